--- a/src/bookkeeping/pipeline.c
+++ b/src/bookkeeping/pipeline.c
@@ -128,7 +128,7 @@
   j->phase = FC_PHASE_CANCELLED;
   if (!j->cancelled_from) j->cancelled_from = now;
   if (!j->over_at) j->over_at = now;
-  g_hash_table_add(t->unrecorded_cancels, j);
+  g_hash_table_insert(t->unrecorded_cancels, j->spec.id, j);
   lower_before(t, j);
 }
 
@@ -205,7 +205,7 @@
   if (j->recorded_phase != FC_PHASE_ACCEPTED || !j->spec.awaits) {
     /* Its own record decides: it is over, or was written when all before it were done. */
     unlink_awaited(t, j);
-    g_hash_table_remove(t->unrecorded_cancels, j);
+    g_hash_table_remove(t->unrecorded_cancels, j->spec.id);
     if (waited && j->phase == FC_PHASE_ACCEPTED) become_ready(t, j, fresh, now);
   } else if (!j->awaits) {
     link_awaited(t, j, now);
@@ -219,7 +219,7 @@
 
 void fc_pipeline_remove(fc_table *t, fc_job *j) {
   unlink_awaited(t, j);
-  g_hash_table_remove(t->unrecorded_cancels, j);
+  g_hash_table_remove(t->unrecorded_cancels, j->spec.id);
   /* A final state stays known; otherwise its end was missed, and is looked up. */
   note_state(t, j->spec.id, FC_AWAITED_UNKNOWN, false, 0);
 }
@@ -261,10 +261,10 @@
 GPtrArray *fc_pipeline_unrecorded(const fc_table *t, int member, guint most) {
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter it;
-  gpointer key;
+  gpointer value;
   g_hash_table_iter_init(&it, t->unrecorded_cancels);
-  while (ids->len < most && g_hash_table_iter_next(&it, &key, NULL)) {
-    const fc_job *j = key;
+  while (ids->len < most && g_hash_table_iter_next(&it, NULL, &value)) {
+    const fc_job *j = value;
     if (fc_job_owner(j, 0) == member) g_ptr_array_add(ids, g_strdup(j->spec.id));
   }
   return ids;
--- a/src/bookkeeping/table.c
+++ b/src/bookkeeping/table.c
@@ -51,7 +51,7 @@
   t->parts = fc_parts_new();
   t->unread = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, unread_free);
   t->awaited = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, awaited_free);
-  t->unrecorded_cancels = g_hash_table_new(NULL, NULL);
+  t->unrecorded_cancels = g_hash_table_new(g_str_hash, g_str_equal);
   /* About two boots of a machine: longer, and yesterday's burst is paid for. */
   fc_demand_init(&t->demand, settings->lease_s * 8);
   for (size_t k = 0; k < FC_TEAMS_MAX; k++) t->carried_cpus[k] = t->carried_gpus[k] = INFINITY;
--- a/src/bookkeeping/table.h
+++ b/src/bookkeeping/table.h
@@ -170,7 +170,7 @@
   fc_parts *parts;                /* of descriptions */
   GHashTable *unread;             /* id -> fc_unread_job */
   GHashTable *awaited;            /* id -> fc_awaited: what accepted jobs await */
-  GHashTable *unrecorded_cancels; /* fc_job: cancelled by another's record, not yet by their own */
+  GHashTable *unrecorded_cancels; /* id -> fc_job: cancelled by another's record, not yet by their own */
   fc_term term;
   uint64_t term_version; /* of the stored record; 0: none seen */
   fc_quota_record quota;
--- /dev/null
+++ b/tests/test_repeat.c
@@ -0,0 +1,96 @@
+/* A seeded day repeats exactly, wherever in memory its jobs and tables lie. */
+#include "check.h"
+
+#include <stdlib.h>
+
+#include "sim/world.h"
+
+/* A day in which several cancellations with an awaited job are recorded at a time. */
+#define SEED 3006u
+#define BUSY_S 240
+#define PLAYS 4u
+#define BLOCKS 20000u
+#define BLOCK_BYTES_MOST 700u
+
+/* All that a day yields: its result, and what each controller sent and got. */
+typedef struct outcome {
+  world_result result;
+  sim_load loads[WORLD_NODES];
+} outcome;
+
+static outcome play(void) {
+  outcome o = {.result = world_play(SEED, BUSY_S, &(world_day){.pipelines = true, .meetings = true})};
+  for (unsigned node = 0; node < WORLD_NODES; node++) o.loads[node] = sim_load_of(WORLD_NODE_IP(node));
+  return o;
+}
+
+/* Takes blocks of many sizes and gives back two in three of them, in no order, so that what is
+ * taken next comes to lie in the holes, at other addresses than before. */
+static void disturb_heap(uint32_t seed) {
+  GRand *sizes = g_rand_new_with_seed(seed);
+  GPtrArray *blocks = g_ptr_array_new();
+  for (unsigned i = 0; i < BLOCKS; i++)
+    g_ptr_array_add(blocks, g_malloc((gsize)g_rand_int_range(sizes, 1, BLOCK_BYTES_MOST)));
+  for (guint kept = BLOCKS / 3; blocks->len > kept;)
+    g_free(g_ptr_array_remove_index_fast(blocks, (guint)g_rand_int_range(sizes, 0, (gint32)blocks->len)));
+  g_ptr_array_free(blocks, TRUE); /* the blocks that are left stay taken */
+  g_rand_free(sizes);
+}
+
+static void assert_same_result(const world_result *a, const world_result *b) {
+  assert_int_equal(a->broken, b->broken);
+  assert_string_equal(a->first, b->first);
+  assert_int_equal(a->submitted, b->submitted);
+  assert_int_equal(a->accepted, b->accepted);
+  assert_int_equal(a->finished, b->finished);
+  assert_int_equal(a->unfinished, b->unfinished);
+  assert_int_equal(a->cancelled, b->cancelled);
+  assert_int_equal(a->starts, b->starts);
+  assert_int_equal(a->lease_kills, b->lease_kills);
+  assert_int_equal(a->crashes, b->crashes);
+  assert_int_equal(a->faults, b->faults);
+  assert_int_equal(a->late_starts, b->late_starts);
+  assert_int_equal(a->odd, b->odd);
+  assert_int_equal(a->served_least, b->served_least);
+  assert_int_equal(a->done_starts, b->done_starts);
+  assert_int_equal(a->submissions, b->submissions);
+  assert_int_equal(a->unanswered, b->unanswered);
+  assert_int_equal(a->refused, b->refused);
+  assert_true(a->lease_left_s == b->lease_left_s);
+  assert_int_equal(a->over_rate, b->over_rate);
+  assert_int_equal(a->questions, b->questions);
+  assert_int_equal(a->told, b->told);
+  assert_int_equal(a->put_off, b->put_off);
+}
+
+static void assert_same_way(const sim_way *a, const sim_way *b) {
+  assert_int_equal(a->sent.messages, b->sent.messages);
+  assert_int_equal(a->sent.bytes, b->sent.bytes);
+  assert_int_equal(a->got.messages, b->got.messages);
+  assert_int_equal(a->got.bytes, b->got.bytes);
+}
+
+static void assert_same_load(const sim_load *a, const sim_load *b) {
+  assert_int_equal(a->wakes, b->wakes);
+  assert_true(a->busy_s == b->busy_s);
+  assert_same_way(&a->peers, &b->peers);
+  assert_same_way(&a->workers, &b->workers);
+  assert_same_way(&a->others, &b->others);
+}
+
+static void a_day_repeats_at_other_addresses(void **state) {
+  (void)state;
+  const outcome first = play();
+  assert_true(first.result.starts > 0);
+  for (unsigned n = 1; n < PLAYS; n++) {
+    disturb_heap(n);
+    const outcome again = play();
+    assert_same_result(&first.result, &again.result);
+    for (unsigned node = 0; node < WORLD_NODES; node++) assert_same_load(&first.loads[node], &again.loads[node]);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {cmocka_unit_test(a_day_repeats_at_other_addresses)};
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
