--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -7,39 +7,39 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "bookkeeping/budget.h"
-#include "bookkeeping/cancels.h"
-#include "bookkeeping/commit.h"
-#include "bookkeeping/table.h"
-#include "bookkeeping/writes.h"
+#include "bookkeeping/cancellation_log.h"
+#include "bookkeeping/cluster.h"
+#include "bookkeeping/group_commit.h"
+#include "bookkeeping/record_writes.h"
+#include "bookkeeping/token_bucket.h"
 #include "controller/metrics.h"
-#include "coordination/authority.h"
+#include "coordination/leader_lease.h"
 #include "protocol/cloud_api.h"
-#include "protocol/frame.h"
 #include "protocol/json.h"
+#include "protocol/kv_store.h"
+#include "protocol/peer_frame.h"
 #include "protocol/settings.h"
-#include "protocol/state_api.h"
 #include "transport/http.h"
 #include "transport/routine.h"
 
 typedef struct fc_peer {
   const fc_peer_settings *settings;
-  double promised_until; /* we commit no term without it before this */
-  double fresh_at;       /* when it last read the state service, as far as it told us */
-  double heard_at;       /* when its last acknowledgement came */
-  uint64_t revision;     /* what it has read, as far as it told us */
-  unsigned backlog;      /* writes that waited there when it last told us */
+  double grant_given_until; /* we commit no term without it before this */
+  double kv_read_at;        /* when it last read the state service, as far as it told us */
+  double heard_at;          /* when its last acknowledgement came */
+  uint64_t revision;        /* what it has read, as far as it told us */
+  unsigned backlog;         /* writes that waited there when it last told us */
   double backlog_at;
   /* The newest view of its machines that we hold whole, and the life and term it was
    * sent in; and where the view stands that comes in pieces. */
-  uint64_t view_boot, view_term, view_seq;
-  uint64_t piece_seq;
+  uint64_t view_incarnation, view_term, view_sequence;
+  uint64_t piece_sequence;
   uint32_t next_piece;
   /* Of the present term, by the life that is in it; 0: nothing yet. */
-  double covered_at;       /* it has told us of every report it answered before this */
-  uint64_t acked_view;     /* the newest view of ours that it has applied */
-  uint64_t acked_revision; /* what its table held then */
-  uint64_t acked_seq;      /* that view's number on the link; 0: the next has to be whole */
+  double renewals_known_until; /* it has told us of every report it answered before this */
+  uint64_t acked_view;         /* the newest view of ours that it has applied */
+  uint64_t acked_revision;     /* what its table held then */
+  uint64_t acked_sequence;     /* that view's number on the link; 0: the next has to be whole */
 } fc_peer;
 
 /* Counted since the start, for the status line and the metrics. */
@@ -49,18 +49,18 @@
 
 struct fc_controller {
   const fc_settings *settings;
-  fc_table *table;
-  fc_state *state;
+  fc_cluster *table;
+  fc_kv *state;
   fc_cloud *cloud;
-  fc_commit *commit;
-  fc_budget cloud_budget;
-  fc_budget lookup_budget; /* for questions about jobs that are not in memory */
-  GHashTable *archived;    /* id -> fc_archived_job: awaited ones that were found lately */
-  fc_authority authority;
+  fc_group_commit *commit;
+  fc_token_bucket cloud_budget;
+  fc_token_bucket lookup_budget; /* for questions about jobs that are not in memory */
+  GHashTable *archived;          /* id -> fc_archived_job: awaited ones that were found lately */
+  fc_leader_lease authority;
   fc_peer peers[FC_MEMBERS_MAX];
 
-  uint64_t boot;  /* this life's number; 0: none drawn yet */
-  uint64_t lease; /* 0: none */
+  uint64_t incarnation; /* this life's number; 0: none drawn yet */
+  uint64_t lease;       /* 0: none */
   double entered_at;
   bool term_unknown; /* a term transaction may still be applied */
 
@@ -69,7 +69,7 @@
 
   bool loaded;
   uint64_t revision;                  /* everything up to here is in the table */
-  double fresh_sent;                  /* when the last successful read of changes was sent */
+  double kv_read_at;                  /* when the last successful read of changes was sent */
   unsigned readers;                   /* routines that wait for a fresh read */
   fc_cond changed;                    /* a read of changes was applied */
   fc_cond round_now;                  /* a job or room arrived: place at once */
@@ -85,45 +85,45 @@
   fc_counts counts;
   fc_metrics metrics;
   unsigned giving[FC_MEMBERS_MAX]; /* machines whose records, being written, give them to these */
-  unsigned pushing;                /* direct calls to workers under way */
+  unsigned worker_calls;           /* direct calls to workers under way */
   uint64_t attempt_counter;
   uint64_t rental_counter;
   double started_at;
-  double looked_at;            /* when places beyond free room were last looked for */
-  bool waiting;                /* something of ours found no place when that was last asked */
-  double cancel_at;            /* when we last learned of a cancellation */
-  fc_cancels *cancels;         /* those that others may not have read */
-  int peer_of[FC_MEMBERS_MAX]; /* member of the term -> index of the peer; -1: none */
-  double types_at;             /* when the machine types were last read */
-  GHashTable *recording;       /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
+  double looked_at;             /* when places beyond free room were last looked for */
+  bool waiting;                 /* something of ours found no place when that was last asked */
+  double cancel_at;             /* when we last learned of a cancellation */
+  fc_cancellation_log *cancels; /* those that others may not have read */
+  int peer_of[FC_MEMBERS_MAX];  /* member of the term -> index of the peer; -1: none */
+  double types_at;              /* when the machine types were last read */
+  GHashTable *recording; /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
 };
 
 /* May we answer workers, command them and give final answers now? */
-bool fc_may_act(const fc_controller *c);
+bool fc_may_act(const fc_controller *controller);
 /* The peer behind a member of the term; NULL: ourselves, or one unknown to us. */
-fc_peer *fc_peer_of(fc_controller *c, int member);
+fc_peer *fc_peer_of(fc_controller *controller, int member);
 /* Does the member act, and know what is new? True for ourselves. */
-bool fc_member_fit(fc_controller *c, int member);
+bool fc_member_fit(fc_controller *controller, int member);
 /* Say that there is something to place, to tell peers. What is said while a round or an
  * exchange is under way counts for the next: it was lost, and a job that came then waited
  * for the next regular one. */
-void fc_round_soon(fc_controller *c);
-void fc_views_soon(fc_controller *c);
+void fc_round_soon(fc_controller *controller);
+void fc_views_soon(fc_controller *controller);
 /* Waits until everything that was committed before this call is in the table. */
-bool fc_wait_fresh(fc_controller *c, double deadline);
+bool fc_wait_fresh(fc_controller *controller, double deadline);
 /* Waits until the table holds the given revision. */
-bool fc_wait_revision(fc_controller *c, uint64_t revision, double deadline);
-bool fc_state_reachable(const fc_controller *c);
+bool fc_wait_revision(fc_controller *controller, uint64_t revision, double deadline);
+bool fc_state_reachable(const fc_controller *controller);
 /* How many rows a start reads at once: as many as the processor parses in a moment. */
-unsigned fc_watch_page_rows(const fc_settings *s);
+unsigned fc_watch_page_rows(const fc_settings *settings);
 /* A cancellation is committed: we wrote it, have read it, or were told. From here on
  * nothing of the job is started, its tasks are stopped, and the others hear of it. `from`:
  * no user was told of it before. */
-void fc_cancel_learned(fc_controller *c, const char *job, uint64_t revision, double from);
+void fc_cancel_learned(fc_controller *controller, const char *job, uint64_t revision, double from);
 
 typedef enum { FC_FOUND, FC_NOT_THERE, FC_NOT_SURE } fc_lookup;
 /* Looks for a job among the archived ones; the table has just been proved current. */
-fc_lookup fc_archive_find(fc_controller *c, const char *id, double deadline, fc_archived_job *out);
+fc_lookup fc_archive_find(fc_controller *controller, const char *id, double deadline, fc_archived_job *out);
 
 /* Starts listening and all duties. NULL, with the reason, when it can't. */
 fc_controller *fc_controller_start(const fc_settings *settings, const char **why);
@@ -137,71 +137,71 @@
 void fc_rent_main(void *controller);
 void fc_archive_main(void *controller);
 void fc_overdue_main(void *controller);
-bool fc_front_start(fc_controller *c);
-bool fc_peers_start(fc_controller *c);
+bool fc_front_start(fc_controller *controller);
+bool fc_peers_start(fc_controller *controller);
 
 /* rent.c */
 /* Waits for our share of the cloud's rate; false: cancelled. */
-bool fc_cloud_turn(fc_controller *c);
+bool fc_cloud_turn(fc_controller *controller);
 /* Takes nothing new from here on, and is among those to be given back. */
-void fc_machine_begin_return(fc_machine *m, const char *why, GPtrArray *ids);
+void fc_machine_begin_return(fc_machine *machine, const char *why, GPtrArray *ids);
 /* The cloud has confirmed that these machines are gone: nothing is on them any more. */
-void fc_machines_gone(fc_controller *c, const GPtrArray *ids);
+void fc_machines_gone(fc_controller *controller, const GPtrArray *ids);
 
 /* view.c */
 /* Seconds from the beginning of one exchange with a peer to that of the next, at least.
  * Exchanges cost at most a small part of the processor, and a controller that falls behind
  * by `lag_s` makes fewer; a peer hears of changes within a report interval all the same. */
-double fc_view_spacing(const fc_settings *s, double lag_s);
+double fc_view_spacing(const fc_settings *settings, double lag_s);
 /* A view of our machines for the peer, in as many frames as it takes: all of them, or
  * what has changed since the newest view that it holds. */
-void fc_view_make(fc_controller *c, const fc_peer *peer, uint64_t seq, GByteArray *out);
+void fc_view_make(fc_controller *controller, const fc_peer *peer, uint64_t seq, GByteArray *out);
 typedef enum {
   FC_VIEW_BROKEN,  /* pieces are missing, or it is late: the link has to be closed */
   FC_VIEW_IGNORED, /* not of this term or life, or on a base that we don't hold */
   FC_VIEW_TAKEN,   /* applied; with its last piece all of it */
 } fc_view_fate;
-fc_view_fate fc_view_take(fc_controller *c, const fc_view *v);
+fc_view_fate fc_view_take(fc_controller *controller, const fc_view *view);
 
 /* workers.c */
-void fc_workers_report(fc_controller *c, const fc_http_request *req, int *status, GString *out);
+void fc_workers_report(fc_controller *controller, const fc_http_request *req, int *status, GString *out);
 /* Sends what the machine is owed (starts, stops, clears) or, when it is not
  * settled yet, an empty command that fences it. */
-void fc_workers_push(fc_controller *c, fc_machine *m);
+void fc_workers_push(fc_controller *controller, fc_machine *machine);
 /* Takes in what a machine of ours has answered to a direct call that was sent at `asked_at`. */
-void fc_workers_called(fc_controller *c, fc_machine *m, const fc_worker_report *r, double asked_at);
+void fc_workers_called(fc_controller *controller, fc_machine *machine, const fc_heartbeat *heartbeat, double asked_at);
 /* Is there a socket for it? */
-bool fc_workers_may_push(const fc_controller *c, const fc_machine *m);
+bool fc_workers_may_push(const fc_controller *controller, const fc_machine *machine);
 /* Marks the task to be stopped with time to save; it is told by the next push or
  * answer. */
-void fc_workers_stop(const fc_controller *c, fc_placement *p);
+void fc_workers_stop(const fc_controller *controller, fc_placement *placement);
 /* May the task not run any more? */
-bool fc_workers_unwanted(const fc_controller *c, const fc_placement *p);
+bool fc_workers_unwanted(const fc_controller *controller, const fc_placement *placement);
 /* Marks the machine to be asked directly when there is reason to; true: it is. */
-bool fc_workers_doubt(const fc_controller *c, fc_machine *m);
+bool fc_workers_doubt(const fc_controller *controller, fc_machine *machine);
 /* The member with the fewest machines of the kind; `count` (zeroed) collects
  * what one caller gives away in a row. */
-const char *fc_even_owner(const fc_table *t, const char *id, const char *type, const char *zone, bool spot,
+const char *fc_even_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
                           unsigned *count);
 
 /* completions.c */
 /* Writes the ends of a job's tasks to the state service. */
-void fc_workers_record(fc_controller *c, const char *job_id);
+void fc_workers_record(fc_controller *controller, const char *job_id);
 
 /* reachability.c */
 /* Has another member's incarnation ended so lately that a worker it answered last may not
  * have come to others yet? */
-bool fc_workers_may_be_kept(const fc_controller *c, double now);
+bool fc_workers_may_be_kept(const fc_controller *controller, double now);
 /* Another member has answered the machine's report. */
-void fc_workers_kept(fc_controller *c, const fc_frame_kept *k, double now);
+void fc_workers_kept(fc_controller *controller, const fc_frame_lease_renewal *k, double now);
 /* A peer has asked the machine directly. `sent`: when we sent the view that it answers. */
-void fc_workers_asked(fc_controller *c, size_t peer, const fc_frame_asked *a, double sent, double now);
+void fc_workers_asked(fc_controller *controller, size_t peer, const fc_frame_probe *a, double sent, double now);
 /* Asks another member's machine directly, where its owner may have to know whether anybody
  * reaches it. */
-void fc_workers_ask(fc_controller *c, fc_machine *m);
+void fc_workers_ask(fc_controller *controller, fc_machine *machine);
 /* Since the last incarnation of a member ended: did every member ask the machine, in vain? */
-bool fc_workers_unreachable(const fc_controller *c, const fc_machine *m);
+bool fc_workers_unreachable(const fc_controller *controller, const fc_machine *machine);
 /* Silent for so long that its worker has given up all its tasks? */
-void fc_workers_expire(fc_controller *c);
+void fc_workers_expire(fc_controller *controller);
 
 #endif
--- a/src/controller/duties.h
+++ b/src/controller/duties.h
@@ -3,13 +3,13 @@
 #define FC_CONTROLLER_DUTIES_H
 
 #include "controller/controller.h"
-#include "scheduler/place.h"
+#include "scheduler/bin_packing.h"
 
 void fc_quota_main(void *controller);
 /* What this part may start now for each team. */
-void fc_quota_allowance(const fc_controller *c, fc_allowance *out);
+void fc_quota_allowance(const fc_controller *controller, fc_allowance *out);
 
 /* Hands over and lends what this round has shown to be better elsewhere. */
-void fc_share_round(fc_controller *c);
+void fc_share_round(fc_controller *controller);
 
 #endif
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -15,7 +15,7 @@
 /* What the processor is used for. */
 typedef enum {
   FC_DUTY_OTHER,       /* connections that have not asked for anything yet */
-  FC_DUTY_REPORTS,     /* workers' reports and the answers to them */
+  FC_DUTY_HEARTBEATS,  /* workers' reports and the answers to them */
   FC_DUTY_COMMANDS,    /* direct calls to workers */
   FC_DUTY_ROUNDS,      /* placing, preempting, handing over */
   FC_DUTY_RENTAL,      /* renting and returning machines */
@@ -35,13 +35,13 @@
   fc_usage usage[FC_DUTIES];
 } fc_metrics;
 
-void fc_metrics_init(fc_metrics *m);
-void fc_metrics_time(fc_metrics *m, fc_time which, double seconds);
+void fc_metrics_init(fc_metrics *metrics);
+void fc_metrics_time(fc_metrics *metrics, fc_time which, double seconds);
 /* Counts what the calling routine uses from now on as the duty's. */
-void fc_metrics_duty(fc_metrics *m, fc_duty duty);
+void fc_metrics_duty(fc_metrics *metrics, fc_duty duty);
 /* Logs, one line a duty, what has been used since the start. */
-void fc_metrics_log_usage(const fc_metrics *m);
+void fc_metrics_log_usage(const fc_metrics *metrics);
 /* Appends all of it, one figure a line: "name value". */
-void fc_metrics_write(const fc_controller *c, GString *out);
+void fc_metrics_write(const fc_controller *controller, GString *out);
 
 #endif
--- /dev/null
+++ b/src/controller/worker_leases.c
@@ -0,0 +1,176 @@
+/* Which members reach a machine, and when its worker's lease has certainly expired. Any
+ * member may answer a worker's report; the owner learns of it from acknowledgements. */
+#include <math.h>
+#include <string.h>
+
+#include "controller/controller.h"
+
+/* Has the incarnation of another member ended so lately that a worker it answered last may
+ * not have come to others yet? Their leases are over well before that. */
+bool fc_workers_may_be_kept(const fc_controller *controller, double now) {
+  return controller->ended_at > 0 && now < controller->ended_at + controller->settings->lease_s * 2;
+}
+
+void fc_workers_kept(fc_controller *controller, const fc_frame_lease_renewal *k, double now) {
+  fc_machine *machine = fc_cluster_find_machine(controller->table, k->machine);
+  if (!machine) return;
+  double at = now - k->age_ms / 1000.0;
+  /* One that counts from below what has come to us is a late copy, or the machine was
+   * started anew and is kept alive in its new life. The copy may cost a lease of
+   * waiting; taking the new life for a copy started its tasks twice, for a direct
+   * start that was held back reached it (fault test, seed 158). */
+  bool old =
+      k->epoch < machine->agent.epoch || (k->epoch == machine->agent.epoch && k->sequence < machine->agent.sequence);
+  machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, at);
+  /* Peers repeat what they answered for two leases. What a machine has told us directly
+   * since then settles it: asked again at every acknowledgement, machines that had come
+   * back from another member cost more than all reports. */
+  double latest = at + k->age_ms / 1000.0 * 2 * FC_CLOCK_DRIFT;
+  if (old && machine->owner == controller->table->membership.self && latest >= machine->probe.confirmed_at)
+    machine->probe.wanted = true;
+  if (old) return;
+  if (k->bidirectional)
+    machine->reachability.peer_bidirectional_at = MAX(machine->reachability.peer_bidirectional_at, at);
+  if (!k->bidirectional && at > machine->reachability.peer_bidirectional_at &&
+      machine->reachability.peer_unidirectional_at <= machine->reachability.peer_bidirectional_at)
+    machine->reachability.peer_unidirectional_at = at;
+}
+
+void fc_workers_asked(fc_controller *controller, size_t peer, const fc_frame_probe *a, double sent, double now) {
+  fc_machine *machine = fc_cluster_find_machine(controller->table, a->machine);
+  if (!machine) return;
+  /* The age was taken between `sent` and now. In doubt the machine counts as reached: the
+   * latest time for an answer, the earliest for none. */
+  if (a->answered) machine->probe.peer_answered_at = MAX(machine->probe.peer_answered_at, now - a->age_ms / 1000.0);
+  if (!a->answered)
+    machine->probe.peer_unanswered_at[peer] = MAX(machine->probe.peer_unanswered_at[peer], sent - a->age_ms / 1000.0);
+}
+
+bool fc_workers_unreachable(const fc_controller *controller, const fc_machine *machine) {
+  /* A question of long ago shows nothing of now. */
+  double from = MAX(controller->ended_at, fc_now() - fc_machine_silence_timeout_s(controller->settings));
+  if (machine->probe.answered || machine->probe.sent_at <= from ||
+      machine->probe.peer_answered_at > controller->ended_at)
+    return false;
+  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
+    if (i == controller->table->membership.self) continue;
+    int k = controller->peer_of[i];
+    if (k < 0 || machine->probe.peer_unanswered_at[k] <= from) return false;
+  }
+  return true;
+}
+
+typedef struct question {
+  fc_controller *c;
+  char id[64]; /* of the machine */
+} question;
+
+static void ask_main(void *arg) {
+  question a = *(question *)arg;
+  g_free(arg);
+  fc_controller *controller = a.c;
+  const fc_machine *known = fc_cluster_find_machine(controller->table, a.id);
+  fc_endpoint at;
+  if (known && fc_endpoint_parse(known->record.endpoint, &at)) {
+    double asked = fc_now();
+    fc_heartbeat heartbeat;
+    fc_worker_call_result result =
+        fc_worker_call(&at, controller->table->membership.term.number, known->agent.epoch, NULL, 0,
+                       asked + controller->settings->heartbeat_s * 0.75, &heartbeat);
+    bool answered = fc_worker_call_answered(result);
+    fc_machine *machine = fc_cluster_find_machine(controller->table, a.id);
+    if (machine) {
+      /* Another may have taken its address since; then that one has answered. */
+      machine->probe.answered = answered && strcmp(heartbeat.machine, machine->id) == 0;
+      machine->probe.sent_at = asked;
+    }
+    if (answered) fc_heartbeat_clear(&heartbeat);
+  }
+  fc_machine *machine = fc_cluster_find_machine(controller->table, a.id);
+  if (machine) machine->probe.in_flight = false;
+  controller->worker_calls--;
+}
+
+void fc_workers_ask(fc_controller *controller, fc_machine *machine) {
+  const fc_cluster *cluster = controller->table;
+  const fc_settings *settings = controller->settings;
+  double now = fc_now();
+  if (machine->probe.in_flight || machine->owner < 0 || !machine->announced || !machine->record.endpoint[0] ||
+      !fc_workers_may_be_kept(controller, now))
+    return;
+  /* Its owner is out of touch with it, or should have settled it by now. */
+  bool doubtful = machine->reconciled_term == cluster->membership.term.number
+                      ? machine->reachability.owner_suspects
+                      : now > controller->term_since + settings->heartbeat_s * 1.5;
+  if (!doubtful || now < machine->probe.sent_at + settings->heartbeat_s || !fc_may_act(controller)) return;
+  /* Our own machines come first: of the sockets for calls these take a quarter at most. */
+  if (controller->worker_calls >= MAX(settings->fd_limit / 32, 1)) return;
+  question *a = g_new0(question, 1);
+  a->c = controller;
+  g_strlcpy(a->id, machine->id, sizeof a->id);
+  machine->probe.in_flight = true;
+  controller->worker_calls++;
+  if (!fc_routine_spawn(ask_main, a)) {
+    machine->probe.in_flight = false;
+    controller->worker_calls--;
+    g_free(a);
+  }
+}
+
+/* When the worker has certainly given up its tasks, if nobody we have not heard of has
+ * answered it. Any member may answer its reports, so each has to have told us until when
+ * it did not; what dead lives answered, they did before we learned of the term. */
+static double lease_over_at(const fc_controller *controller, const fc_machine *machine) {
+  double last = MAX(MAX(machine->lease.answered_at, machine->lease.peer_renewed_at),
+                    MAX(machine->owned_since, controller->term_since));
+  /* A new session has its full time from its own beginning, though nobody has
+   * answered it yet: what was started on it by direct commands alone was once
+   * taken for gone, and started elsewhere (fault test, seed 43). */
+  last = MAX(last, machine->agent.epoch_began_at);
+  return last + controller->settings->lease_s * (1 + 2 * FC_CLOCK_DRIFT) + controller->settings->heartbeat_s * 0.25;
+}
+
+/* Has everybody who might have answered its worker told us until then that it didn't? */
+static bool others_covered(fc_controller *controller, double over) {
+  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
+    if (i == controller->table->membership.self) continue;
+    const fc_peer *peer = fc_peer_of(controller, i);
+    if (!peer || peer->renewals_known_until < over) return false;
+  }
+  /* One that was no member may have entered since we last read of it, and keep the
+   * worker alive: alone in a term, and cut off from the state service, we started its
+   * tasks again (fault test, seed 353). */
+  return controller->table->membership.term.count >= controller->settings->peer_count + 1 ||
+         controller->kv_read_at >= over;
+}
+
+/* The worker has given up its tasks and is in a later session, or will be when it goes
+ * on. A report of the one before may still come, newer than any we have heard: tasks
+ * that had been started elsewhere were once said to run here as well (scene
+ * reports_of_a_lease_that_is_over). */
+static void end_session(fc_machine *machine) {
+  if (!machine->agent.reported) return; /* it may have been in any */
+  machine->agent.epoch++;
+  machine->agent.sequence = 0;
+}
+
+void fc_workers_expire(fc_controller *controller) {
+  fc_cluster *cluster = controller->table;
+  double now = fc_now();
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init(&it, cluster->machines);
+  while (g_hash_table_iter_next(&it, NULL, &value)) {
+    fc_machine *machine = value;
+    if (machine->owner != cluster->membership.self || !machine->record_version) continue;
+    double over = lease_over_at(controller, machine);
+    if (now < over || !others_covered(controller, over)) continue;
+    if (machine->placements->len > 0 || machine->reconciled_term != cluster->membership.term.number) {
+      if (machine->announced) g_info("lease over machine=%s tasks=%u", machine->id, machine->placements->len);
+      fc_machine_remove_placements(cluster, machine);
+      end_session(machine);
+      machine->reconciled_term = cluster->membership.term.number;
+      if (fc_cluster_update_reconciled(cluster)) fc_round_soon(controller);
+    }
+  }
+}
--- a/src/coordination/deal.c
+++ b/src/coordination/assignment.c
@@ -1,4 +1,4 @@
-#include "coordination/deal.h"
+#include "coordination/assignment.h"
 
 #include <glib.h>
 #include <string.h>
@@ -16,11 +16,11 @@
   return h ^ (h >> 31);
 }
 
-int fc_deal_key(const fc_term *t, const char *key) {
+int fc_assign_key(const fc_term *term, const char *key) {
   int best = -1;
   uint64_t best_weight = 0;
-  for (size_t i = 0; i < t->count; i++) {
-    uint64_t w = weigh(t->seed, key, t->members[i].name);
+  for (size_t i = 0; i < term->count; i++) {
+    uint64_t w = weigh(term->seed, key, term->members[i].name);
     if (best < 0 || w > best_weight) {
       best = (int)i;
       best_weight = w;
@@ -29,16 +29,16 @@
   return best;
 }
 
-int fc_deal_job(const fc_term *t, const char *id, unsigned slice, unsigned slices, const char *handed_to) {
-  int m = handed_to && *handed_to ? fc_term_find(t, handed_to) : -1;
+int fc_assign_slice(const fc_term *term, const char *id, unsigned slice, unsigned slices, const char *handed_to) {
+  int m = handed_to && *handed_to ? fc_term_find(term, handed_to) : -1;
   if (m >= 0) return m;
-  if (slices <= 1) return fc_deal_key(t, id);
+  if (slices <= 1) return fc_assign_key(term, id);
   char key[64];
   g_snprintf(key, sizeof key, "%s#%u", id, slice);
-  return fc_deal_key(t, key);
+  return fc_assign_key(term, key);
 }
 
-int fc_deal_machine(const fc_term *t, const char *id, const char *owner) {
-  int m = owner && *owner ? fc_term_find(t, owner) : -1;
-  return m >= 0 ? m : fc_deal_key(t, id);
+int fc_assign_machine(const fc_term *term, const char *id, const char *owner) {
+  int m = owner && *owner ? fc_term_find(term, owner) : -1;
+  return m >= 0 ? m : fc_assign_key(term, id);
 }
--- a/src/coordination/quota.c
+++ b/src/coordination/quota_division.c
@@ -1,8 +1,8 @@
-#include "coordination/quota.h"
+#include "coordination/quota_division.h"
 
 #include <stddef.h>
 
-bool fc_quota_divide(double limit, const fc_demand *parts, size_t count, double *shares) {
+bool fc_quota_divide(double limit, const fc_quota_demand *parts, size_t count, double *shares) {
   double rest = limit, wanted = 0;
   for (size_t i = 0; i < count; i++) {
     shares[i] = parts[i].used;
@@ -18,7 +18,7 @@
   return true;
 }
 
-double fc_quota_adjust(double limit, const fc_quota_others *others, double own_share, const fc_demand *own) {
+double fc_quota_adjust(double limit, const fc_quota_others *others, double own_share, const fc_quota_demand *own) {
   double need = own->used + own->wanted;
   double unassigned = limit - others->assigned - own_share;
   if (need > own_share) {
--- a/src/main.c
+++ b/src/main.c
@@ -90,7 +90,7 @@
     fprintf(stderr, "fieldcleat: %s\n", error);
     return 2;
   }
-  const char *tight = fc_settings_tight(&settings);
+  const char *tight = fc_settings_warning(&settings);
   if (tight) fprintf(stderr, "fieldcleat: warning: %s\n", tight);
   if (check) {
     puts("settings are good");
--- a/src/protocol/cloud_api.h
+++ b/src/protocol/cloud_api.h
@@ -7,8 +7,8 @@
 
 #include "transport/conn.h"
 
-#define FC_RENTAL_MOST 50u
-#define FC_RELEASE_MOST 100u
+#define FC_RENTAL_MAX 50u
+#define FC_RELEASE_MAX 100u
 
 typedef struct fc_machine_type {
   char *name;
@@ -37,17 +37,17 @@
 
 typedef struct fc_cloud fc_cloud;
 fc_cloud *fc_cloud_new(const fc_endpoint *at);
-void fc_cloud_free(fc_cloud *c);
+void fc_cloud_free(fc_cloud *cloud);
 
 /* out: fc_machine_type*, to be freed with fc_machine_type_free */
-fc_cloud_result fc_cloud_types(fc_cloud *c, double deadline, GPtrArray *out);
+fc_cloud_result fc_cloud_types(fc_cloud *cloud, double deadline, GPtrArray *out);
 void fc_machine_type_free(gpointer type);
 /* out: names (char*) */
-fc_cloud_result fc_cloud_rent(fc_cloud *c, const char *rental, const char *type, const char *zone, bool spot,
+fc_cloud_result fc_cloud_rent(fc_cloud *cloud, const char *rental, const char *type, const char *zone, bool spot,
                               unsigned count, double deadline, GPtrArray *out);
-fc_cloud_result fc_cloud_release(fc_cloud *c, const char *const *ids, size_t count, double deadline);
+fc_cloud_result fc_cloud_release(fc_cloud *cloud, const char *const *ids, size_t count, double deadline);
 /* One page after `after` (NULL: from the start); out: fc_listed_machine* */
-fc_cloud_result fc_cloud_list(fc_cloud *c, const char *after, unsigned limit, double deadline, GPtrArray *out,
+fc_cloud_result fc_cloud_list(fc_cloud *cloud, const char *after, unsigned limit, double deadline, GPtrArray *out,
                               bool *more);
 void fc_listed_machine_free(gpointer machine);
 
--- a/src/protocol/job.h
+++ b/src/protocol/job.h
@@ -9,10 +9,10 @@
 
 #include "protocol/json.h"
 
-typedef enum { FC_KIND_ARRAY, FC_KIND_GANG, FC_KIND_SERVICE } fc_job_kind;
+typedef enum { FC_JOB_ARRAY, FC_JOB_GANG, FC_JOB_SERVICE } fc_job_kind;
 /* Larger is more important. */
-typedef enum { FC_RANK_BEST_EFFORT, FC_RANK_STANDARD, FC_RANK_HIGH, FC_RANK_PROD } fc_rank;
-typedef enum { FC_PHASE_ACCEPTED, FC_PHASE_CANCELLED, FC_PHASE_DONE } fc_phase;
+typedef enum { FC_PRIORITY_BEST_EFFORT, FC_PRIORITY_STANDARD, FC_PRIORITY_HIGH, FC_PRIORITY_PROD } fc_priority;
+typedef enum { FC_PHASE_ACCEPTED, FC_PHASE_CANCELLED, FC_PHASE_DONE } fc_job_phase;
 /* What users are told. */
 typedef enum { FC_STATUS_PENDING, FC_STATUS_RUNNING, FC_STATUS_DONE, FC_STATUS_CANCELLED } fc_job_status;
 
@@ -24,7 +24,7 @@
   char *id;
   GRefString *class_name, *team, *image;
   fc_job_kind kind;
-  fc_rank rank;
+  fc_priority priority;
   uint32_t tasks;
   double cpus, gpus, memory_gb, image_gb;
   char **types;     /* NULL-terminated; NULL: any */
@@ -38,13 +38,13 @@
 
 /* The description, without what the job awaits, as JSON and from it; what is wrong with it
  * is collected in the reader. */
-json_t *fc_job_spec_encode(const fc_job_spec *s);
-void fc_job_spec_read(fc_reader *r, fc_job_spec *s);
+json_t *fc_job_spec_encode(const fc_job_spec *spec);
+void fc_job_spec_read(fc_reader *reader, fc_job_spec *spec);
 /* One of several values of a field, by its name; 0, and an error, where it is none of them. */
-int fc_read_choice(fc_reader *r, const char *field, const char *const *names, int count);
+int fc_read_choice(fc_reader *reader, const char *field, const char *const *names, int count);
 /* The awaited ids as "000398,000405": without what all have in common. */
-char *fc_job_awaits_text(char *const *awaits);
-void fc_job_awaits_read(fc_reader *r, const char *field, fc_job_spec *s);
+char *fc_job_dependencies_text(char *const *awaits);
+void fc_job_dependencies_read(fc_reader *reader, const char *field, fc_job_spec *spec);
 
 /* "job-000412": the only form of id there is. */
 bool fc_job_id_valid(const char *id);
@@ -54,8 +54,8 @@
 /* Reads a submission; false with a line that names the field. */
 bool fc_job_spec_parse(const char *text, size_t len, fc_job_spec *out, char *error, size_t error_size);
 /* A copy of its own; of strings that are shared another reference. */
-fc_job_spec fc_job_spec_copy(const fc_job_spec *s);
-void fc_job_spec_clear(fc_job_spec *s);
+fc_job_spec fc_job_spec_copy(const fc_job_spec *spec);
+void fc_job_spec_clear(fc_job_spec *spec);
 
 /* An array is halved into virtual jobs of at least two tasks, at most `limit`; not one
  * whose tasks must share a zone or be scattered. */
--- a/src/protocol/job_parts.c
+++ b/src/protocol/job_description.c
@@ -1,4 +1,4 @@
-#include "protocol/job_parts.h"
+#include "protocol/job_description.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -11,10 +11,10 @@
 #define VALUE_OVERHEAD 32u
 #define TEXT_MOST ((size_t)1024 * 1024)
 
-char *fc_job_description_text(const fc_job_spec *s) {
-  json_t *v = json_pack("{so}", "spec", fc_job_spec_encode(s));
-  if (s->awaits) {
-    char *awaits = fc_job_awaits_text(s->awaits);
+char *fc_job_description_text(const fc_job_spec *spec) {
+  json_t *v = json_pack("{so}", "spec", fc_job_spec_encode(spec));
+  if (spec->awaits) {
+    char *awaits = fc_job_dependencies_text(spec->awaits);
     json_object_set_new(v, "awaits", json_string(awaits));
     g_free(awaits);
   }
@@ -28,12 +28,12 @@
 bool fc_job_description_read(const char *text, fc_job_spec *out) {
   memset(out, 0, sizeof *out);
   json_t *v = fc_json_parse(text, strlen(text));
-  fc_reader r, sr;
-  fc_reader_init(&r, v);
-  fc_reader_init(&sr, fc_read_object(&r, "spec"));
+  fc_reader reader, sr;
+  fc_reader_init(&reader, v);
+  fc_reader_init(&sr, fc_read_object(&reader, "spec"));
   fc_job_spec_read(&sr, out);
-  if (json_object_get(v, "awaits")) fc_job_awaits_read(&r, "awaits", out);
-  bool ok = fc_reader_ok(&r) && fc_reader_ok(&sr);
+  if (json_object_get(v, "awaits")) fc_job_dependencies_read(&reader, "awaits", out);
+  bool ok = fc_reader_ok(&reader) && fc_reader_ok(&sr);
   if (!ok) fc_job_spec_clear(out);
   json_decref(v);
   return ok;
@@ -45,7 +45,7 @@
   return ch == '"' || ch == '\\' ? 2 : 1;
 }
 
-GPtrArray *fc_job_description_cut(const char *text, size_t value_bytes, fc_job_parts *parts) {
+GPtrArray *fc_job_description_cut(const char *text, size_t value_bytes, fc_description_ref *parts) {
   GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
   size_t most = value_bytes - VALUE_OVERHEAD;
   for (const char *from = text; *from;) {
@@ -72,7 +72,7 @@
   if (ok) {
     char *end = NULL;
     unsigned long n = strtoul(fields[2], &end, 10);
-    ok = *end == '\0' && n < FC_JOB_PARTS_MOST;
+    ok = *end == '\0' && n < FC_JOB_PARTS_MAX;
     *number = (unsigned)n;
     g_strlcpy(job, fields[0], 32);
     g_strlcpy(digest, fields[1], FC_JOB_DIGEST_SIZE);
@@ -86,8 +86,8 @@
 }
 
 const char *fc_job_part_decode(const json_t *v) {
-  fc_reader r;
-  fc_reader_init(&r, v);
-  (void)fc_read_count(&r, "f", PART_FORMAT, PART_FORMAT);
-  return fc_read_string(&r, "text", TEXT_MOST);
+  fc_reader reader;
+  fc_reader_init(&reader, v);
+  (void)fc_read_count(&reader, "f", PART_FORMAT, PART_FORMAT);
+  return fc_read_string(&reader, "text", TEXT_MOST);
 }
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -3,7 +3,7 @@
 #define FC_PROTOCOL_JOB_RECORD_H
 
 #include "protocol/job.h"
-#include "protocol/job_parts.h"
+#include "protocol/job_description.h"
 
 /* The stored form: format version, description, phase, finished tasks as
  * ranges ("0-3,7"), the number of virtual jobs (slices) an array is split into,
@@ -34,21 +34,21 @@
 typedef struct fc_job_record {
   fc_job_spec spec;
   fc_job_origin origin;
-  fc_phase phase;
+  fc_job_phase phase;
   char *done; /* ranges */
   unsigned slices;
   char *handed[FC_SLICES_MAX]; /* NULL: as dealt */
-  fc_job_parts parts;          /* where the description is, if it isn't in the record */
+  fc_description_ref parts;    /* where the description is, if it isn't in the record */
   bool awaiting;               /* it still awaits what its description says */
 } fc_job_record;
 
 /* The record's value. An accepted job that still awaits others, or whose description is
  * elsewhere, has the format that older versions can't read. Strings of the record are read
  * only. */
-json_t *fc_job_record_encode(const fc_job_record *r);
+json_t *fc_job_record_encode(const fc_job_record *record);
 /* Where the description is in parts, the record's is left empty. */
 bool fc_job_record_decode(const json_t *v, fc_job_record *out);
-void fc_job_record_clear(fc_job_record *r);
+void fc_job_record_clear(fc_job_record *record);
 
 /* Ranges of task numbers <-> bitmap. Decoding refuses numbers >= tasks. */
 char *fc_ranges_encode(const uint8_t *bits, uint32_t tasks);
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -34,148 +34,148 @@
   return json_loadb(text, len, JSON_DECODE_ANY, NULL);
 }
 
-void fc_reader_init(fc_reader *r, const json_t *object) {
-  r->object = object;
-  r->error[0] = '\0';
-  if (!json_is_object(object)) g_strlcpy(r->error, "not an object", sizeof r->error);
+void fc_reader_init(fc_reader *reader, const json_t *object) {
+  reader->object = object;
+  reader->error[0] = '\0';
+  if (!json_is_object(object)) g_strlcpy(reader->error, "not an object", sizeof reader->error);
 }
 
-bool fc_reader_ok(const fc_reader *r) {
-  return r->error[0] == '\0';
+bool fc_reader_ok(const fc_reader *reader) {
+  return reader->error[0] == '\0';
 }
 
-void fc_reader_fail(fc_reader *r, const char *field, const char *what) {
-  if (fc_reader_ok(r)) g_snprintf(r->error, sizeof r->error, "%s: %s", field, what);
+void fc_reader_fail(fc_reader *reader, const char *field, const char *what) {
+  if (fc_reader_ok(reader)) g_snprintf(reader->error, sizeof reader->error, "%s: %s", field, what);
 }
 
 /* The field's value, NULL when it is absent or null. */
-static const json_t *field_of(fc_reader *r, const char *field) {
-  if (!fc_reader_ok(r)) return NULL;
-  const json_t *v = json_object_get(r->object, field);
+static const json_t *field_of(fc_reader *reader, const char *field) {
+  if (!fc_reader_ok(reader)) return NULL;
+  const json_t *v = json_object_get(reader->object, field);
   return json_is_null(v) ? NULL : v;
 }
 
-static const char *check_string(fc_reader *r, const json_t *v, const char *field, size_t most) {
+static const char *check_string(fc_reader *reader, const json_t *v, const char *field, size_t most) {
   if (!json_is_string(v)) {
-    fc_reader_fail(r, field, "not a string");
+    fc_reader_fail(reader, field, "not a string");
     return NULL;
   }
   size_t len = json_string_length(v);
   if (len == 0 || len > most) {
-    fc_reader_fail(r, field, len == 0 ? "empty" : "too long");
+    fc_reader_fail(reader, field, len == 0 ? "empty" : "too long");
     return NULL;
   }
   /* Names go into keys, logs and packed fields: control characters never do. */
   const char *s = json_string_value(v);
   for (size_t i = 0; i < len; i++) {
     if ((unsigned char)s[i] < 0x20 || s[i] == 0x7f) {
-      fc_reader_fail(r, field, "control character");
+      fc_reader_fail(reader, field, "control character");
       return NULL;
     }
   }
   return s;
 }
 
-const char *fc_read_string(fc_reader *r, const char *field, size_t most) {
-  const json_t *v = field_of(r, field);
+const char *fc_read_string(fc_reader *reader, const char *field, size_t most) {
+  const json_t *v = field_of(reader, field);
   if (!v) {
-    fc_reader_fail(r, field, "missing");
+    fc_reader_fail(reader, field, "missing");
     return NULL;
   }
-  return check_string(r, v, field, most);
+  return check_string(reader, v, field, most);
 }
 
-const char *fc_read_string_or_null(fc_reader *r, const char *field, size_t most) {
-  const json_t *v = field_of(r, field);
-  return v ? check_string(r, v, field, most) : NULL;
+const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t most) {
+  const json_t *v = field_of(reader, field);
+  return v ? check_string(reader, v, field, most) : NULL;
 }
 
-static double check_amount(fc_reader *r, const json_t *v, const char *field, double least, double most) {
+static double check_amount(fc_reader *reader, const json_t *v, const char *field, double least, double most) {
   if (!json_is_number(v)) {
-    fc_reader_fail(r, field, "not a number");
+    fc_reader_fail(reader, field, "not a number");
     return least;
   }
   double d = json_number_value(v);
   if (!isfinite(d) || d < least || d > most) {
-    fc_reader_fail(r, field, "out of range");
+    fc_reader_fail(reader, field, "out of range");
     return least;
   }
   return d;
 }
 
-double fc_read_amount(fc_reader *r, const char *field, double least, double most) {
-  const json_t *v = field_of(r, field);
+double fc_read_amount(fc_reader *reader, const char *field, double least, double most) {
+  const json_t *v = field_of(reader, field);
   if (!v) {
-    fc_reader_fail(r, field, "missing");
+    fc_reader_fail(reader, field, "missing");
     return least;
   }
-  return check_amount(r, v, field, least, most);
+  return check_amount(reader, v, field, least, most);
 }
 
-double fc_read_amount_or(fc_reader *r, const char *field, double least, double most, double otherwise) {
-  const json_t *v = field_of(r, field);
-  return v ? check_amount(r, v, field, least, most) : otherwise;
+double fc_read_amount_or(fc_reader *reader, const char *field, double least, double most, double otherwise) {
+  const json_t *v = field_of(reader, field);
+  return v ? check_amount(reader, v, field, least, most) : otherwise;
 }
 
-static uint64_t check_count(fc_reader *r, const json_t *v, const char *field, uint64_t least, uint64_t most) {
+static uint64_t check_count(fc_reader *reader, const json_t *v, const char *field, uint64_t least, uint64_t most) {
   if (!json_is_integer(v)) {
-    fc_reader_fail(r, field, "not an integer");
+    fc_reader_fail(reader, field, "not an integer");
     return least;
   }
   json_int_t i = json_integer_value(v);
   if (i < 0 || (uint64_t)i < least || (uint64_t)i > most) {
-    fc_reader_fail(r, field, "out of range");
+    fc_reader_fail(reader, field, "out of range");
     return least;
   }
   return (uint64_t)i;
 }
 
-uint64_t fc_read_count(fc_reader *r, const char *field, uint64_t least, uint64_t most) {
-  const json_t *v = field_of(r, field);
+uint64_t fc_read_count(fc_reader *reader, const char *field, uint64_t least, uint64_t most) {
+  const json_t *v = field_of(reader, field);
   if (!v) {
-    fc_reader_fail(r, field, "missing");
+    fc_reader_fail(reader, field, "missing");
     return least;
   }
-  return check_count(r, v, field, least, most);
+  return check_count(reader, v, field, least, most);
 }
 
-uint64_t fc_read_count_or(fc_reader *r, const char *field, uint64_t least, uint64_t most, uint64_t otherwise) {
-  const json_t *v = field_of(r, field);
-  return v ? check_count(r, v, field, least, most) : otherwise;
+uint64_t fc_read_count_or(fc_reader *reader, const char *field, uint64_t least, uint64_t most, uint64_t otherwise) {
+  const json_t *v = field_of(reader, field);
+  return v ? check_count(reader, v, field, least, most) : otherwise;
 }
 
-bool fc_read_bool(fc_reader *r, const char *field) {
-  const json_t *v = field_of(r, field);
+bool fc_read_bool(fc_reader *reader, const char *field) {
+  const json_t *v = field_of(reader, field);
   if (!json_is_boolean(v)) {
-    fc_reader_fail(r, field, v ? "not true or false" : "missing");
+    fc_reader_fail(reader, field, v ? "not true or false" : "missing");
     return false;
   }
   return json_is_true(v);
 }
 
-bool fc_read_bool_or(fc_reader *r, const char *field, bool otherwise) {
-  const json_t *v = field_of(r, field);
+bool fc_read_bool_or(fc_reader *reader, const char *field, bool otherwise) {
+  const json_t *v = field_of(reader, field);
   if (!v) return otherwise;
   if (!json_is_boolean(v)) {
-    fc_reader_fail(r, field, "not true or false");
+    fc_reader_fail(reader, field, "not true or false");
     return otherwise;
   }
   return json_is_true(v);
 }
 
-const json_t *fc_read_array(fc_reader *r, const char *field) {
-  const json_t *v = field_of(r, field);
+const json_t *fc_read_array(fc_reader *reader, const char *field) {
+  const json_t *v = field_of(reader, field);
   if (!json_is_array(v)) {
-    fc_reader_fail(r, field, v ? "not an array" : "missing");
+    fc_reader_fail(reader, field, v ? "not an array" : "missing");
     return NULL;
   }
   return v;
 }
 
-const json_t *fc_read_object(fc_reader *r, const char *field) {
-  const json_t *v = field_of(r, field);
+const json_t *fc_read_object(fc_reader *reader, const char *field) {
+  const json_t *v = field_of(reader, field);
   if (!json_is_object(v)) {
-    fc_reader_fail(r, field, v ? "not an object" : "missing");
+    fc_reader_fail(reader, field, v ? "not an object" : "missing");
     return NULL;
   }
   return v;
--- a/src/protocol/json_call.c
+++ b/src/protocol/json_call.c
@@ -21,8 +21,8 @@
   return out;
 }
 
-void fc_json_reply_clear(fc_json_reply *r) {
-  json_decref(r->object);
-  if (r->text) g_string_free(r->text, TRUE);
-  *r = (fc_json_reply){0};
+void fc_json_reply_clear(fc_json_reply *reply) {
+  json_decref(reply->object);
+  if (reply->text) g_string_free(reply->text, TRUE);
+  *reply = (fc_json_reply){0};
 }
--- a/src/protocol/json_call.h
+++ b/src/protocol/json_call.h
@@ -17,6 +17,6 @@
 
 /* Takes the reference to `body` (NULL: none). */
 fc_json_reply fc_json_call(fc_http_client *http, const char *method, const char *path, json_t *body, double deadline);
-void fc_json_reply_clear(fc_json_reply *r);
+void fc_json_reply_clear(fc_json_reply *reply);
 
 #endif
--- a/src/protocol/frame.c
+++ b/src/protocol/peer_frame.c
@@ -1,4 +1,4 @@
-#include "protocol/frame.h"
+#include "protocol/peer_frame.h"
 
 #include <string.h>
 
@@ -50,13 +50,13 @@
   memcpy(b->data + at + 4, &n, 4);
 }
 
-size_t fc_frame_machine_size(const fc_frame_machine *m) {
-  size_t n = MACHINE_LEAST + strlen(m->id);
-  for (size_t k = 0; k < m->task_count; k++) n += TASK_LEAST + strlen(m->tasks[k].job);
+size_t fc_frame_machine_size(const fc_frame_machine *frame_machine) {
+  size_t n = MACHINE_LEAST + strlen(frame_machine->id);
+  for (size_t k = 0; k < frame_machine->task_count; k++) n += TASK_LEAST + strlen(frame_machine->tasks[k].job);
   return n;
 }
 
-static void put_cancels(GByteArray *b, const fc_frame_cancel *cancels, size_t count) {
+static void put_cancels(GByteArray *b, const fc_frame_cancellation *cancels, size_t count) {
   put_u16(b, (uint16_t)count);
   for (size_t i = 0; i < count; i++) {
     put_text(b, cancels[i].job);
@@ -65,61 +65,62 @@
   }
 }
 
-void fc_view_encode(GByteArray *out, const fc_view *v) {
+void fc_view_encode(GByteArray *out, const fc_view *view) {
   guint at = begin(out, FC_FRAME_VIEW);
-  put_text(out, v->sender);
-  put_u64(out, v->boot);
-  put_u64(out, v->term);
-  put_u64(out, v->seq);
-  put_u64(out, v->base);
-  put_u32(out, v->piece);
-  put_u8(out, v->last);
-  put_u16(out, v->backlog);
-  put_u64(out, v->revision);
-  put_cancels(out, v->cancels, v->cancel_count);
-  put_u32(out, (uint32_t)v->machine_count);
-  for (size_t i = 0; i < v->machine_count; i++) {
-    const fc_frame_machine *m = &v->machines[i];
-    put_text(out, m->id);
-    put_u8(out, (uint8_t)((m->settled ? 1 : 0) | (m->closed ? 2 : 0) | (m->mute ? 4 : 0)));
-    put_u16(out, (uint16_t)m->task_count);
-    for (size_t k = 0; k < m->task_count; k++) {
-      put_text(out, m->tasks[k].job);
-      put_u32(out, m->tasks[k].index);
-      put_u64(out, m->tasks[k].attempt);
-      put_u8(out, m->tasks[k].state);
-      put_u8(out, m->tasks[k].cause);
+  put_text(out, view->sender);
+  put_u64(out, view->incarnation);
+  put_u64(out, view->term);
+  put_u64(out, view->sequence);
+  put_u64(out, view->base);
+  put_u32(out, view->piece);
+  put_u8(out, view->last);
+  put_u16(out, view->backlog);
+  put_u64(out, view->revision);
+  put_cancels(out, view->cancellations, view->cancellation_count);
+  put_u32(out, (uint32_t)view->machine_count);
+  for (size_t i = 0; i < view->machine_count; i++) {
+    const fc_frame_machine *frame_machine = &view->machines[i];
+    put_text(out, frame_machine->id);
+    put_u8(out, (uint8_t)((frame_machine->reconciled ? 1 : 0) | (frame_machine->cordoned ? 2 : 0) |
+                          (frame_machine->unreachable ? 4 : 0)));
+    put_u16(out, (uint16_t)frame_machine->task_count);
+    for (size_t k = 0; k < frame_machine->task_count; k++) {
+      put_text(out, frame_machine->tasks[k].job);
+      put_u32(out, frame_machine->tasks[k].index);
+      put_u64(out, frame_machine->tasks[k].attempt);
+      put_u8(out, frame_machine->tasks[k].state);
+      put_u8(out, frame_machine->tasks[k].cause);
     }
   }
   finish(out, at);
 }
 
-void fc_ack_encode(GByteArray *out, const fc_ack *a) {
+void fc_ack_encode(GByteArray *out, const fc_ack *ack) {
   guint at = begin(out, FC_FRAME_ACK);
-  put_text(out, a->sender);
-  put_u64(out, a->boot);
-  put_u64(out, a->term);
-  put_u64(out, a->seq);
-  put_u8(out, a->applied);
-  put_u32(out, a->promise_ms);
-  put_u32(out, a->quiet_ms);
-  put_u32(out, a->fresh_ms);
-  put_u64(out, a->revision);
-  put_u8(out, a->told_all);
-  put_cancels(out, a->cancels, a->cancel_count);
-  put_u32(out, (uint32_t)a->kept_count);
-  for (size_t i = 0; i < a->kept_count; i++) {
-    put_text(out, a->kept[i].machine);
-    put_u32(out, a->kept[i].age_ms);
-    put_u8(out, a->kept[i].hears);
-    put_u64(out, a->kept[i].session);
-    put_u64(out, a->kept[i].seq);
+  put_text(out, ack->sender);
+  put_u64(out, ack->incarnation);
+  put_u64(out, ack->term);
+  put_u64(out, ack->sequence);
+  put_u8(out, ack->applied);
+  put_u32(out, ack->grant_ms);
+  put_u32(out, ack->no_cancellation_ms);
+  put_u32(out, ack->kv_read_age_ms);
+  put_u64(out, ack->revision);
+  put_u8(out, ack->cancellations_complete);
+  put_cancels(out, ack->cancellations, ack->cancellation_count);
+  put_u32(out, (uint32_t)ack->renewal_count);
+  for (size_t i = 0; i < ack->renewal_count; i++) {
+    put_text(out, ack->renewals[i].machine);
+    put_u32(out, ack->renewals[i].age_ms);
+    put_u8(out, ack->renewals[i].bidirectional);
+    put_u64(out, ack->renewals[i].epoch);
+    put_u64(out, ack->renewals[i].sequence);
   }
-  put_u32(out, (uint32_t)a->asked_count);
-  for (size_t i = 0; i < a->asked_count; i++) {
-    put_text(out, a->asked[i].machine);
-    put_u32(out, a->asked[i].age_ms);
-    put_u8(out, a->asked[i].answered);
+  put_u32(out, (uint32_t)ack->probe_count);
+  for (size_t i = 0; i < ack->probe_count; i++) {
+    put_text(out, ack->probes[i].machine);
+    put_u32(out, ack->probes[i].age_ms);
+    put_u8(out, ack->probes[i].answered);
   }
   finish(out, at);
 }
@@ -189,41 +190,41 @@
   *len = get_u32(&c);
   *type = (fc_frame_type)kind;
   return magic == MAGIC && version == FC_FRAME_VERSION && (kind == FC_FRAME_VIEW || kind == FC_FRAME_ACK) &&
-         *len <= FC_FRAME_MOST;
+         *len <= FC_FRAME_MAX;
 }
 
-static void decode_machine(cursor *c, fc_frame_machine *m) {
-  get_text(c, m->id, sizeof m->id);
+static void decode_machine(cursor *c, fc_frame_machine *frame_machine) {
+  get_text(c, frame_machine->id, sizeof frame_machine->id);
   uint8_t flags = get_u8(c);
-  m->settled = flags & 1;
-  m->closed = flags & 2;
-  m->mute = flags & 4;
+  frame_machine->reconciled = flags & 1;
+  frame_machine->cordoned = flags & 2;
+  frame_machine->unreachable = flags & 4;
   size_t n = get_u16(c);
-  if (c->bad || n > FC_FRAME_TASKS_MOST || n > c->left / TASK_LEAST) {
+  if (c->bad || n > FC_FRAME_TASKS_MAX || n > c->left / TASK_LEAST) {
     c->bad = true;
     return;
   }
-  m->tasks = g_new0(fc_frame_task, n);
-  m->task_count = n;
+  frame_machine->tasks = g_new0(fc_frame_task, n);
+  frame_machine->task_count = n;
   for (size_t k = 0; k < n && !c->bad; k++) {
-    fc_frame_task *t = &m->tasks[k];
-    get_text(c, t->job, sizeof t->job);
-    t->index = get_u32(c);
-    t->attempt = get_u64(c);
-    t->state = get_u8(c);
-    t->cause = get_u8(c);
-    if (t->state > FC_TASK_EXITED || t->cause > FC_CAUSE_UNKNOWN) c->bad = true;
+    fc_frame_task *frame_task = &frame_machine->tasks[k];
+    get_text(c, frame_task->job, sizeof frame_task->job);
+    frame_task->index = get_u32(c);
+    frame_task->attempt = get_u64(c);
+    frame_task->state = get_u8(c);
+    frame_task->cause = get_u8(c);
+    if (frame_task->state > FC_TASK_EXITED || frame_task->cause > FC_CAUSE_UNKNOWN) c->bad = true;
   }
 }
 
-static fc_frame_cancel *get_cancels(cursor *c, size_t *count) {
+static fc_frame_cancellation *get_cancels(cursor *c, size_t *count) {
   size_t n = get_u16(c);
   *count = 0;
-  if (c->bad || n > FC_FRAME_CANCELS_MOST || n > c->left / CANCEL_LEAST) {
+  if (c->bad || n > FC_FRAME_CANCELLATIONS_MAX || n > c->left / CANCEL_LEAST) {
     c->bad = true;
     return NULL;
   }
-  fc_frame_cancel *out = g_new0(fc_frame_cancel, n);
+  fc_frame_cancellation *out = g_new0(fc_frame_cancellation, n);
   *count = n;
   for (size_t i = 0; i < n; i++) {
     get_text(c, out[i].job, sizeof out[i].job);
@@ -237,15 +238,15 @@
   memset(out, 0, sizeof *out);
   cursor c = {.p = p, .left = len};
   get_text(&c, out->sender, sizeof out->sender);
-  out->boot = get_u64(&c);
+  out->incarnation = get_u64(&c);
   out->term = get_u64(&c);
-  out->seq = get_u64(&c);
+  out->sequence = get_u64(&c);
   out->base = get_u64(&c);
   out->piece = get_u32(&c);
   out->last = get_u8(&c) != 0;
   out->backlog = get_u16(&c);
   out->revision = get_u64(&c);
-  out->cancels = get_cancels(&c, &out->cancel_count);
+  out->cancellations = get_cancels(&c, &out->cancellation_count);
   size_t n = get_u32(&c);
   if (!c.bad && n <= c.left / MACHINE_LEAST) {
     out->machines = g_new0(fc_frame_machine, n);
@@ -259,49 +260,49 @@
   return false;
 }
 
-void fc_view_clear(fc_view *v) {
-  for (size_t i = 0; i < v->machine_count; i++) g_free(v->machines[i].tasks);
-  g_free(v->machines);
-  g_free(v->cancels);
-  memset(v, 0, sizeof *v);
+void fc_view_clear(fc_view *view) {
+  for (size_t i = 0; i < view->machine_count; i++) g_free(view->machines[i].tasks);
+  g_free(view->machines);
+  g_free(view->cancellations);
+  memset(view, 0, sizeof *view);
 }
 
 bool fc_ack_decode(const uint8_t *p, size_t len, fc_ack *out) {
   memset(out, 0, sizeof *out);
   cursor c = {.p = p, .left = len};
   get_text(&c, out->sender, sizeof out->sender);
-  out->boot = get_u64(&c);
+  out->incarnation = get_u64(&c);
   out->term = get_u64(&c);
-  out->seq = get_u64(&c);
+  out->sequence = get_u64(&c);
   out->applied = get_u8(&c) != 0;
-  out->promise_ms = get_u32(&c);
-  out->quiet_ms = get_u32(&c);
-  out->fresh_ms = get_u32(&c);
+  out->grant_ms = get_u32(&c);
+  out->no_cancellation_ms = get_u32(&c);
+  out->kv_read_age_ms = get_u32(&c);
   out->revision = get_u64(&c);
-  out->told_all = get_u8(&c) != 0;
-  out->cancels = get_cancels(&c, &out->cancel_count);
+  out->cancellations_complete = get_u8(&c) != 0;
+  out->cancellations = get_cancels(&c, &out->cancellation_count);
   size_t n = get_u32(&c);
   if (!c.bad && n <= c.left / KEPT_LEAST) {
-    out->kept = g_new0(fc_frame_kept, n);
-    out->kept_count = n;
+    out->renewals = g_new0(fc_frame_lease_renewal, n);
+    out->renewal_count = n;
     for (size_t i = 0; i < n; i++) {
-      get_text(&c, out->kept[i].machine, sizeof out->kept[i].machine);
-      out->kept[i].age_ms = get_u32(&c);
-      out->kept[i].hears = get_u8(&c) != 0;
-      out->kept[i].session = get_u64(&c);
-      out->kept[i].seq = get_u64(&c);
+      get_text(&c, out->renewals[i].machine, sizeof out->renewals[i].machine);
+      out->renewals[i].age_ms = get_u32(&c);
+      out->renewals[i].bidirectional = get_u8(&c) != 0;
+      out->renewals[i].epoch = get_u64(&c);
+      out->renewals[i].sequence = get_u64(&c);
     }
   } else {
     c.bad = true;
   }
   n = get_u32(&c);
   if (!c.bad && n <= c.left / ASKED_LEAST) {
-    out->asked = g_new0(fc_frame_asked, n);
-    out->asked_count = n;
+    out->probes = g_new0(fc_frame_probe, n);
+    out->probe_count = n;
     for (size_t i = 0; i < n; i++) {
-      get_text(&c, out->asked[i].machine, sizeof out->asked[i].machine);
-      out->asked[i].age_ms = get_u32(&c);
-      out->asked[i].answered = get_u8(&c) != 0;
+      get_text(&c, out->probes[i].machine, sizeof out->probes[i].machine);
+      out->probes[i].age_ms = get_u32(&c);
+      out->probes[i].answered = get_u8(&c) != 0;
     }
   } else {
     c.bad = true;
@@ -311,9 +312,9 @@
   return false;
 }
 
-void fc_ack_clear(fc_ack *a) {
-  g_free(a->kept);
-  g_free(a->asked);
-  g_free(a->cancels);
-  memset(a, 0, sizeof *a);
+void fc_ack_clear(fc_ack *ack) {
+  g_free(ack->renewals);
+  g_free(ack->probes);
+  g_free(ack->cancellations);
+  memset(ack, 0, sizeof *ack);
 }
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -28,7 +28,7 @@
 
 typedef struct fc_member {
   char name[64];
-  uint64_t boot; /* one for each start of a process, and never the same again */
+  uint64_t incarnation; /* one for each start of a process, and never the same again */
 } fc_member;
 
 /* The stored record the whole deal is derived from. */
@@ -49,9 +49,9 @@
 /* That format; FC_JOB_FORMAT_PLAIN where none is named. */
 unsigned fc_member_key_format(const json_t *v);
 
-json_t *fc_term_encode(const fc_term *t);
+json_t *fc_term_encode(const fc_term *term);
 bool fc_term_decode(const json_t *v, fc_term *out);
-int fc_term_find(const fc_term *t, const char *name); /* -1: not a member */
+int fc_term_find(const fc_term *term, const char *name); /* -1: not a member */
 
 typedef struct fc_machine_record {
   char endpoint[32]; /* "" until the machine's address is known */
@@ -59,7 +59,7 @@
   bool spot;
 } fc_machine_record;
 
-json_t *fc_machine_record_encode(const fc_machine_record *m);
+json_t *fc_machine_record_encode(const fc_machine_record *record);
 bool fc_machine_record_decode(const json_t *v, fc_machine_record *out);
 
 /* Written before the cloud is asked, so that a taker-over can repeat it. */
@@ -70,7 +70,7 @@
   uint64_t version; /* of the record; not part of it */
 } fc_rental_record;
 
-json_t *fc_rental_record_encode(const fc_rental_record *h);
+json_t *fc_rental_record_encode(const fc_rental_record *rental);
 bool fc_rental_record_decode(const json_t *v, fc_rental_record *out);
 
 /* Shares of the teams' limits, valid in one term only. */
@@ -89,10 +89,10 @@
   uint32_t tasks_done;
 } fc_archived_job;
 
-json_t *fc_archived_job_encode(const fc_archived_job *o);
+json_t *fc_archived_job_encode(const fc_archived_job *archived);
 bool fc_archived_job_decode(const json_t *v, fc_archived_job *out);
 
-json_t *fc_quota_record_encode(const fc_quota_record *q, const fc_settings *s);
-bool fc_quota_record_decode(const json_t *v, const fc_settings *s, fc_quota_record *out);
+json_t *fc_quota_record_encode(const fc_quota_record *quota, const fc_settings *settings);
+bool fc_quota_record_decode(const json_t *v, const fc_settings *settings, fc_quota_record *out);
 
 #endif
--- a/src/protocol/routes.c
+++ b/src/protocol/routes.c
@@ -8,7 +8,7 @@
   fc_route route;
 } k_plain[] = {
     {"/api/jobs", "POST", FC_ROUTE_SUBMIT},
-    {"/checkin", "POST", FC_ROUTE_REPORT},
+    {"/checkin", "POST", FC_ROUTE_HEARTBEAT},
     {"/ready", "GET", FC_ROUTE_READY},
     {"/metrics", "GET", FC_ROUTE_METRICS},
 };
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -20,71 +20,71 @@
 #define NAME_MAX_BYTES 64u
 #define AMOUNT_MAX 1e9
 
-static void copy_error(fc_reader *r, const char *prefix, char *error, size_t size) {
-  g_snprintf(error, size, "%s%s", prefix, r->error);
+static void copy_error(fc_reader *reader, const char *prefix, char *error, size_t size) {
+  g_snprintf(error, size, "%s%s", prefix, reader->error);
 }
 
-static bool read_endpoint(fc_reader *r, const char *field, fc_endpoint *out) {
-  const char *text = fc_read_string(r, field, 32);
-  if (text && !fc_endpoint_parse(text, out)) fc_reader_fail(r, field, "not an address like 10.0.0.1:8080");
-  return fc_reader_ok(r);
+static bool read_endpoint(fc_reader *reader, const char *field, fc_endpoint *out) {
+  const char *text = fc_read_string(reader, field, 32);
+  if (text && !fc_endpoint_parse(text, out)) fc_reader_fail(reader, field, "not an address like 10.0.0.1:8080");
+  return fc_reader_ok(reader);
 }
 
-static bool read_name(fc_reader *r, const char *field, char **out) {
-  const char *text = fc_read_string(r, field, NAME_MAX_BYTES);
+static bool read_name(fc_reader *reader, const char *field, char **out) {
+  const char *text = fc_read_string(reader, field, NAME_MAX_BYTES);
   /* Names become parts of keys in the state service, which hold no spaces. */
-  if (text && strpbrk(text, " /")) fc_reader_fail(r, field, "holds a space or a slash");
-  if (fc_reader_ok(r)) *out = g_strdup(text);
-  return fc_reader_ok(r);
+  if (text && strpbrk(text, " /")) fc_reader_fail(reader, field, "holds a space or a slash");
+  if (fc_reader_ok(reader)) *out = g_strdup(text);
+  return fc_reader_ok(reader);
 }
 
-static bool read_peers(fc_reader *top, fc_settings *s, char *error, size_t size) {
+static bool read_peers(fc_reader *top, fc_settings *settings, char *error, size_t size) {
   const json_t *list = fc_read_array(top, "members");
   if (!list) return false;
   if (json_array_size(list) >= FC_MEMBERS_MAX) fc_reader_fail(top, "members", "too many");
   if (!fc_reader_ok(top)) return false;
   for (size_t i = 0; i < json_array_size(list); i++) {
-    fc_reader r;
-    fc_reader_init(&r, json_array_get(list, i));
-    fc_peer_settings *p = &s->peers[i];
-    if (!read_name(&r, "host_name", &p->name) || !read_name(&r, "domain", &p->zone) ||
-        !read_endpoint(&r, "endpoint", &p->peer_at)) {
-      g_snprintf(error, size, "members[%zu].%s", i, r.error);
+    fc_reader reader;
+    fc_reader_init(&reader, json_array_get(list, i));
+    fc_peer_settings *peer = &settings->peers[i];
+    if (!read_name(&reader, "host_name", &peer->name) || !read_name(&reader, "domain", &peer->zone) ||
+        !read_endpoint(&reader, "endpoint", &peer->peer_at)) {
+      g_snprintf(error, size, "members[%zu].%s", i, reader.error);
       return false;
     }
-    if (strcmp(p->name, s->name) == 0) {
+    if (strcmp(peer->name, settings->name) == 0) {
       g_snprintf(error, size, "members[%zu].host_name: same as our own", i);
       return false;
     }
-    s->peer_count++;
+    settings->peer_count++;
   }
   return true;
 }
 
-static bool read_teams(fc_reader *top, fc_settings *s, char *error, size_t size) {
+static bool read_teams(fc_reader *top, fc_settings *settings, char *error, size_t size) {
   const json_t *list = fc_read_array(top, "teams");
   if (!list) return false;
   if (json_array_size(list) > FC_TEAMS_MAX) fc_reader_fail(top, "teams", "too many");
   if (!fc_reader_ok(top)) return false;
   for (size_t i = 0; i < json_array_size(list); i++) {
-    fc_reader r;
-    fc_reader_init(&r, json_array_get(list, i));
-    fc_team_settings *t = &s->teams[i];
-    t->name = g_strdup(fc_read_string(&r, "name", 256));
-    t->cpus = fc_read_amount_or(&r, "cpus", 0, AMOUNT_MAX, 0);
-    t->gpus = fc_read_amount_or(&r, "gpus", 0, AMOUNT_MAX, 0);
-    t->cpus_max = fc_read_amount_or(&r, "cpus_max", 0, AMOUNT_MAX, 0);
-    t->gpus_max = fc_read_amount_or(&r, "gpus_max", 0, AMOUNT_MAX, 0);
-    if (!fc_reader_ok(&r)) {
-      g_snprintf(error, size, "settings.teams[%zu].%s", i, r.error);
+    fc_reader reader;
+    fc_reader_init(&reader, json_array_get(list, i));
+    fc_team_settings *team_settings = &settings->teams[i];
+    team_settings->name = g_strdup(fc_read_string(&reader, "name", 256));
+    team_settings->cpus = fc_read_amount_or(&reader, "cpus", 0, AMOUNT_MAX, 0);
+    team_settings->gpus = fc_read_amount_or(&reader, "gpus", 0, AMOUNT_MAX, 0);
+    team_settings->cpus_max = fc_read_amount_or(&reader, "cpus_max", 0, AMOUNT_MAX, 0);
+    team_settings->gpus_max = fc_read_amount_or(&reader, "gpus_max", 0, AMOUNT_MAX, 0);
+    if (!fc_reader_ok(&reader)) {
+      g_snprintf(error, size, "settings.teams[%zu].%s", i, reader.error);
       return false;
     }
-    s->team_count++;
+    settings->team_count++;
   }
   return true;
 }
 
-static bool read_objectives(const json_t *params, fc_settings *s, char *error, size_t size) {
+static bool read_objectives(const json_t *params, fc_settings *settings, char *error, size_t size) {
   const json_t *list = json_object_get(params, "objectives");
   if (!list || json_is_null(list)) return true;
   if (!json_is_array(list) || json_array_size(list) > FC_OBJECTIVES_MAX) {
@@ -92,25 +92,25 @@
     return false;
   }
   for (size_t i = 0; i < json_array_size(list); i++) {
-    fc_reader r;
-    fc_reader_init(&r, json_array_get(list, i));
-    fc_objective *o = &s->objectives[i];
-    const char *kind = fc_read_string(&r, "kind", NAME_MAX_BYTES);
-    const char *class_name = fc_read_string_or_null(&r, "class", 256);
-    o->within_s = fc_read_amount_or(&r, "within_s", 0, AMOUNT_MAX, 0);
-    o->share = fc_read_amount_or(&r, "share", 0, 1, 0);
-    if (!fc_reader_ok(&r)) {
-      g_snprintf(error, size, "settings.objectives[%zu].%s", i, r.error);
+    fc_reader reader;
+    fc_reader_init(&reader, json_array_get(list, i));
+    fc_objective *o = &settings->objectives[i];
+    const char *kind = fc_read_string(&reader, "kind", NAME_MAX_BYTES);
+    const char *class_name = fc_read_string_or_null(&reader, "class", 256);
+    o->within_s = fc_read_amount_or(&reader, "within_s", 0, AMOUNT_MAX, 0);
+    o->share = fc_read_amount_or(&reader, "share", 0, 1, 0);
+    if (!fc_reader_ok(&reader)) {
+      g_snprintf(error, size, "settings.objectives[%zu].%s", i, reader.error);
       return false;
     }
     o->kind = g_strdup(kind);
     o->class_name = g_strdup(class_name);
-    s->objective_count++;
+    settings->objective_count++;
   }
   return true;
 }
 
-static bool read_zones(fc_reader *top, fc_settings *s) {
+static bool read_zones(fc_reader *top, fc_settings *settings) {
   const json_t *list = fc_read_array(top, "zones");
   if (!list) return false;
   if (json_array_size(list) == 0 || json_array_size(list) > FC_ZONES_MAX) {
@@ -123,7 +123,7 @@
       fc_reader_fail(top, "zones", "holds something that is not a name");
       return false;
     }
-    s->zones[s->zone_count++] = g_strdup(z);
+    settings->zones[settings->zone_count++] = g_strdup(z);
   }
   return true;
 }
@@ -137,11 +137,11 @@
 
 static bool read_group(const json_t *params, const char *group, const number *n, size_t count, char *error,
                        size_t size) {
-  fc_reader r;
-  fc_reader_init(&r, json_object_get(params, group));
-  for (size_t i = 0; i < count; i++) *n[i].out = fc_read_amount(&r, n[i].field, n[i].least, n[i].most);
-  if (fc_reader_ok(&r)) return true;
-  g_snprintf(error, size, "settings.%s.%s", group, r.error);
+  fc_reader reader;
+  fc_reader_init(&reader, json_object_get(params, group));
+  for (size_t i = 0; i < count; i++) *n[i].out = fc_read_amount(&reader, n[i].field, n[i].least, n[i].most);
+  if (fc_reader_ok(&reader)) return true;
+  g_snprintf(error, size, "settings.%s.%s", group, reader.error);
   return false;
 }
 
@@ -168,14 +168,14 @@
 }
 
 static bool read_state_limits(const json_t *state, state_limits *out, char *error, size_t size) {
-  fc_reader r;
-  fc_reader_init(&r, state);
+  fc_reader reader;
+  fc_reader_init(&reader, state);
   for (size_t i = 0; i < G_N_ELEMENTS(k_state_fields); i++) {
     const state_field *f = &k_state_fields[i];
-    *state_limit(out, f) = fc_read_amount(&r, f->name, f->least, f->most);
+    *state_limit(out, f) = fc_read_amount(&reader, f->name, f->least, f->most);
   }
-  if (fc_reader_ok(&r)) return true;
-  copy_error(&r, "settings.state.", error, size);
+  if (fc_reader_ok(&reader)) return true;
+  copy_error(&reader, "settings.state.", error, size);
   return false;
 }
 
@@ -183,81 +183,85 @@
 static bool read_next_limits(const json_t *state, state_limits *next, char *error, size_t size) {
   const json_t *v = json_object_get(state, "next");
   if (!v || json_is_null(v)) return true;
-  fc_reader r;
-  fc_reader_init(&r, v);
-  if (!fc_reader_ok(&r)) {
-    g_snprintf(error, size, "settings.state.next: %s", r.error);
+  fc_reader reader;
+  fc_reader_init(&reader, v);
+  if (!fc_reader_ok(&reader)) {
+    g_snprintf(error, size, "settings.state.next: %s", reader.error);
     return false;
   }
   for (size_t i = 0; i < G_N_ELEMENTS(k_state_fields); i++) {
     const state_field *f = &k_state_fields[i];
     double *limit = state_limit(next, f);
-    *limit = fc_read_amount_or(&r, f->name, f->least, f->most, *limit);
+    *limit = fc_read_amount_or(&reader, f->name, f->least, f->most, *limit);
   }
-  if (fc_reader_ok(&r)) return true;
-  copy_error(&r, "settings.state.next.", error, size);
+  if (fc_reader_ok(&reader)) return true;
+  copy_error(&reader, "settings.state.next.", error, size);
   return false;
 }
 
-static bool read_state(const json_t *params, fc_settings *s, char *error, size_t size) {
+static bool read_state(const json_t *params, fc_settings *settings, char *error, size_t size) {
   const json_t *state = json_object_get(params, "state");
   state_limits now;
   if (!read_state_limits(state, &now, error, size)) return false;
   state_limits next = now;
   if (!read_next_limits(state, &next, error, size)) return false;
-  s->state_rps = MIN(now.rps, next.rps);
-  s->state_value_kb = MIN(now.value_kb, next.value_kb);
-  s->state_txn_ops = (unsigned)MIN(now.txn_ops, next.txn_ops);
-  s->state_write_rps = now.write_rps;
-  s->state_next_write_rps = MIN(now.write_rps, next.write_rps);
+  settings->state_rps = MIN(now.rps, next.rps);
+  settings->state_value_kb = MIN(now.value_kb, next.value_kb);
+  settings->state_txn_ops = (unsigned)MIN(now.txn_ops, next.txn_ops);
+  settings->state_write_rps = now.write_rps;
+  settings->state_next_write_rps = MIN(now.write_rps, next.write_rps);
   return true;
 }
 
-static bool read_numbers(const json_t *params, fc_settings *s, char *error, size_t size) {
+static bool read_numbers(const json_t *params, fc_settings *settings, char *error, size_t size) {
   double fd_limit = 0;
-  const number workers[] = {{"report_s", &s->report_s, 0.01, 3600},
-                            {"lease_s", &s->lease_s, 0.1, 36000},
-                            {"gang_wait_s", &s->gang_wait_s, 0.1, 36000},
-                            {"gang_peer_s", &s->gang_peer_s, 0.1, 36000},
-                            {"cancel_s", &s->cancel_s, 0.1, 36000}};
-  const number cloud[] = {{"rps", &s->cloud_rps, 0.01, 1e6}, {"list_lag_s", &s->cloud_list_lag_s, 0, 3600}};
-  const number limits[] = {{"cpu", &s->cpu, CPU_LEAST, 1e4},
-                           {"memory_mb", &s->memory_mb, MEMORY_LEAST_MB, 1e7},
+  const number workers[] = {{"report_s", &settings->heartbeat_s, 0.01, 3600},
+                            {"lease_s", &settings->lease_s, 0.1, 36000},
+                            {"gang_wait_s", &settings->gang_wait_s, 0.1, 36000},
+                            {"gang_peer_s", &settings->gang_peer_s, 0.1, 36000},
+                            {"cancel_s", &settings->cancel_s, 0.1, 36000}};
+  const number cloud[] = {{"rps", &settings->cloud_rps, 0.01, 1e6},
+                          {"list_lag_s", &settings->cloud_list_lag_s, 0, 3600}};
+  const number limits[] = {{"cpu", &settings->cpu, CPU_LEAST, 1e4},
+                           {"memory_mb", &settings->memory_mb, MEMORY_LEAST_MB, 1e7},
                            {"fd_limit", &fd_limit, 32, 1e6}};
   if (!read_group(params, "workers", workers, G_N_ELEMENTS(workers), error, size) ||
-      !read_state(params, s, error, size) || !read_group(params, "cloud", cloud, G_N_ELEMENTS(cloud), error, size) ||
+      !read_state(params, settings, error, size) ||
+      !read_group(params, "cloud", cloud, G_N_ELEMENTS(cloud), error, size) ||
       !read_group(params, "limits", limits, G_N_ELEMENTS(limits), error, size))
     return false;
-  s->fd_limit = (unsigned)fd_limit;
+  settings->fd_limit = (unsigned)fd_limit;
   /* The peers' listener may take eight for each peer, calls an eighth of all. */
-  if (s->fd_limit < 16 * (s->peer_count + 1)) {
-    g_snprintf(error, size, "settings.limits.fd_limit: too few for the links to %zu other controllers", s->peer_count);
+  if (settings->fd_limit < 16 * (settings->peer_count + 1)) {
+    g_snprintf(error, size, "settings.limits.fd_limit: too few for the links to %zu other controllers",
+               settings->peer_count);
     return false;
   }
   /* One lost answer costs a worker several report intervals. */
-  if (s->lease_s < 3 * s->report_s) {
+  if (settings->lease_s < 3 * settings->heartbeat_s) {
     g_snprintf(error, size, "settings.workers.lease_s: shorter than three times report_s");
     return false;
   }
   /* A controller that may have missed a cancellation has to stop answering a
    * whole worker lease before cancel_s is up (docs/design.md, "Cancellations"). */
-  if (s->cancel_s < s->lease_s + 3 * s->report_s) {
+  if (settings->cancel_s < settings->lease_s + 3 * settings->heartbeat_s) {
     g_snprintf(error, size, "settings.workers.cancel_s: not beyond lease_s by three times report_s");
     return false;
   }
   return true;
 }
 
-static bool settings_from_json(const json_t *root, fc_settings *s, char *error, size_t size) {
+static bool settings_from_json(const json_t *root, fc_settings *settings, char *error, size_t size) {
   fc_reader r;
   fc_reader_init(&r, root);
-  if (!read_name(&r, "host_name", &s->name) || !read_name(&r, "domain", &s->zone) ||
-      !read_endpoint(&r, "client_listen", &s->client_at) || !read_endpoint(&r, "peer_listen", &s->peer_at)) {
+  if (!read_name(&r, "host_name", &settings->name) || !read_name(&r, "domain", &settings->zone) ||
+      !read_endpoint(&r, "client_listen", &settings->client_at) ||
+      !read_endpoint(&r, "peer_listen", &settings->peer_at)) {
     copy_error(&r, "", error, size);
     return false;
   }
   error[0] = '\0';
-  if (!read_peers(&r, s, error, size)) {
+  if (!read_peers(&r, settings, error, size)) {
     if (!error[0]) copy_error(&r, "", error, size);
     return false;
   }
@@ -267,19 +271,19 @@
     copy_error(&r, "", error, size);
     return false;
   }
-  fc_reader o;
-  fc_reader_init(&o, outside);
-  if (!read_endpoint(&o, "cloud", &s->cloud_at) || !read_endpoint(&o, "state", &s->state_at)) {
-    copy_error(&o, "outside.", error, size);
+  fc_reader reader;
+  fc_reader_init(&reader, outside);
+  if (!read_endpoint(&reader, "cloud", &settings->cloud_at) || !read_endpoint(&reader, "state", &settings->state_at)) {
+    copy_error(&reader, "outside.", error, size);
     return false;
   }
   fc_reader p;
   fc_reader_init(&p, params);
-  if (!read_zones(&p, s) || !read_teams(&p, s, error, size)) {
+  if (!read_zones(&p, settings) || !read_teams(&p, settings, error, size)) {
     if (!error[0]) copy_error(&p, "settings.", error, size);
     return false;
   }
-  return read_objectives(params, s, error, size) && read_numbers(params, s, error, size);
+  return read_objectives(params, settings, error, size) && read_numbers(params, settings, error, size);
 }
 
 bool fc_settings_load(const char *path, fc_settings *out, char *error, size_t error_size) {
@@ -304,10 +308,10 @@
   return ok;
 }
 
-const char *fc_settings_tight(const fc_settings *s) {
-  if (s->memory_mb < MEMORY_ROOMY_MB) return "settings.limits.memory_mb: little room for a larger fleet";
-  if (s->cpu < CPU_ROOMY) return "settings.limits.cpu: little room for a larger fleet";
-  if (s->fd_limit < FD_ROOMY) return "settings.limits.fd_limit: little room for workers and users";
+const char *fc_settings_warning(const fc_settings *settings) {
+  if (settings->memory_mb < MEMORY_ROOMY_MB) return "settings.limits.memory_mb: little room for a larger fleet";
+  if (settings->cpu < CPU_ROOMY) return "settings.limits.cpu: little room for a larger fleet";
+  if (settings->fd_limit < FD_ROOMY) return "settings.limits.fd_limit: little room for workers and users";
   return NULL;
 }
 
@@ -324,18 +328,18 @@
   };
 }
 
-size_t fc_settings_value_bytes(const fc_settings *s) {
-  return (size_t)(s->state_value_kb * 1024);
+size_t fc_settings_value_bytes(const fc_settings *settings) {
+  return (size_t)(settings->state_value_kb * 1024);
 }
 
-int fc_settings_team(const fc_settings *s, const char *name) {
-  for (size_t i = 0; i < s->team_count; i++)
-    if (strcmp(s->teams[i].name, name) == 0) return (int)i;
+int fc_settings_team(const fc_settings *settings, const char *name) {
+  for (size_t i = 0; i < settings->team_count; i++)
+    if (strcmp(settings->teams[i].name, name) == 0) return (int)i;
   return -1;
 }
 
-unsigned fc_settings_zone(const fc_settings *s, const char *name) {
-  for (unsigned z = 0; z < s->zone_count; z++)
-    if (strcmp(s->zones[z], name) == 0) return z;
+unsigned fc_settings_zone(const fc_settings *settings, const char *name) {
+  for (unsigned z = 0; z < settings->zone_count; z++)
+    if (strcmp(settings->zones[z], name) == 0) return z;
   return FC_ZONES_MAX;
 }
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -54,7 +54,7 @@
   size_t team_count;
   fc_objective objectives[FC_OBJECTIVES_MAX];
   size_t objective_count;
-  double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
+  double heartbeat_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
   /* Limits of the state service. It may lower them to those of `state.next` at any moment:
    * sizes and requests keep to the smaller of both from the start, the write rate follows
    * once it is refused. */
@@ -73,11 +73,11 @@
 bool fc_operator_load(const char *path, fc_operator_settings *out, char *error, size_t error_size);
 /* Limits under which the service starts and keeps every rule, but has little room for a
  * larger fleet: one line that names the fields; NULL when there are none. */
-const char *fc_settings_tight(const fc_settings *s);
+const char *fc_settings_warning(const fc_settings *settings);
 void fc_operator_defaults(fc_operator_settings *out);
 /* Bytes that a value may have in the state service, now and later. */
-size_t fc_settings_value_bytes(const fc_settings *s);
-int fc_settings_team(const fc_settings *s, const char *name);      /* -1: unknown */
-unsigned fc_settings_zone(const fc_settings *s, const char *name); /* FC_ZONES_MAX: none of them */
+size_t fc_settings_value_bytes(const fc_settings *settings);
+int fc_settings_team(const fc_settings *settings, const char *name);      /* -1: unknown */
+unsigned fc_settings_zone(const fc_settings *settings, const char *name); /* FC_ZONES_MAX: none of them */
 
 #endif
--- a/src/scheduler/share.h
+++ b/src/scheduler/shard_balancing.h
@@ -1,24 +1,25 @@
 /* Between the parts: slices of jobs that go where the room is, and machines
  * that go where a gang is which no part can hold. Pure functions. */
-#ifndef FC_SCHEDULER_SHARE_H
-#define FC_SCHEDULER_SHARE_H
+#ifndef FC_SCHEDULER_SHARD_BALANCING_H
+#define FC_SCHEDULER_SHARD_BALANCING_H
 
 #include <glib.h>
 
-#include "bookkeeping/table.h"
+#include "bookkeeping/cluster.h"
 
 /* What each member of the term has acknowledged of us. */
-typedef struct fc_told {
+typedef struct fc_peer_progress {
   uint64_t view[FC_MEMBERS_MAX];     /* newest view of ours it has applied */
   uint64_t revision[FC_MEMBERS_MAX]; /* state of its table when it did */
   bool fit[FC_MEMBERS_MAX];          /* acts, and knows what is new */
-} fc_told;
+} fc_peer_progress;
 
 /* The deal of a new job: its slices go to parts that hold a machine of its type
  * and zone, and to members that are fit (away, or unable to read the state
  * service, they would leave it lying). handed[i] is set to a member's name where
  * that is not where the term alone deals the slice. */
-void fc_share_deal(const fc_table *t, const bool *fit, const fc_job_spec *spec, unsigned slices, char **handed);
+void fc_place_new_job_slices(const fc_cluster *cluster, const bool *fit, const fc_job_spec *spec, unsigned slices,
+                             char **handed);
 
 typedef struct fc_handover {
   fc_job *job;
@@ -29,19 +30,19 @@
 } fc_handover;
 
 /* Slices of ours that have waited and find room only in another part. */
-GArray *fc_share_handovers(const fc_table *t, const fc_told *told, double now);
+GArray *fc_plan_handovers(const fc_cluster *cluster, const fc_peer_progress *told, double now);
 
-typedef struct fc_loan {
+typedef struct fc_machine_transfer {
   fc_machine *machine;
   int to; /* may be ourselves, with `clear` */
   fc_job *gang;
   bool clear; /* tasks of lower rank have to be stopped there first */
-} fc_loan;
+} fc_machine_transfer;
 
 /* May the task be stopped to clear its machine for the gang? */
-bool fc_share_clearable(const fc_placement *p, const fc_job *gang);
+bool fc_preemptible_for_gang(const fc_placement *placement, const fc_job *gang);
 /* Machines of ours that a waiting gang, here or elsewhere, needs: idle ones, or
  * where those don't suffice, ones that hold nothing but arrays of lower rank. */
-GArray *fc_share_loans(const fc_table *t, const fc_told *told, double now);
+GArray *fc_plan_machine_transfers(const fc_cluster *cluster, const fc_peer_progress *told, double now);
 
 #endif
--- a/src/transport/conn.c
+++ b/src/transport/conn.c
@@ -47,11 +47,11 @@
 }
 
 static void on_io(struct ev_loop *loop, ev_io *w, int events) {
-  fc_conn *c = w->data;
-  if (c->waiter && (events & (c->wanted | EV_ERROR))) {
-    fc_routine *r = c->waiter;
-    c->waiter = NULL;
-    fc_routine_wake(r);
+  fc_conn *conn = w->data;
+  if (conn->waiter && (events & (conn->wanted | EV_ERROR))) {
+    fc_routine *routine = conn->waiter;
+    conn->waiter = NULL;
+    fc_routine_wake(routine);
     return; /* it stays armed: for most messages the next wait is for the same event */
   }
   /* Level-triggered: without a routine to read it, the event would fire for ever. */
@@ -59,78 +59,78 @@
 }
 
 static fc_conn *conn_new(int fd) {
-  fc_conn *c = calloc(1, sizeof *c);
-  if (!c) {
+  fc_conn *conn = calloc(1, sizeof *conn);
+  if (!conn) {
     close(fd);
     return NULL;
   }
   static uint64_t last_number;
-  c->number = ++last_number;
-  c->fd = fd;
+  conn->number = ++last_number;
+  conn->fd = fd;
   int one = 1;
   /* Best effort: without it messages are only slower. */
   (void)count_call(setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one));
-  ev_io_init(&c->io, on_io, fd, EV_READ);
-  c->io.data = c;
-  return c;
+  ev_io_init(&conn->io, on_io, fd, EV_READ);
+  conn->io.data = conn;
+  return conn;
 }
 
-static fc_wake conn_wait(fc_conn *c, int events, double deadline) {
-  c->wanted = events;
-  c->waiter = fc_routine_self();
-  if ((c->io.events & (EV_READ | EV_WRITE)) != events) {
-    ev_io_stop(fc_loop(), &c->io);
+static fc_wake conn_wait(fc_conn *conn, int events, double deadline) {
+  conn->wanted = events;
+  conn->waiter = fc_routine_self();
+  if ((conn->io.events & (EV_READ | EV_WRITE)) != events) {
+    ev_io_stop(fc_loop(), &conn->io);
     /* Not ev_io_set(): after it libev takes the descriptor for a new one, and tells the
      * kernel of it with a call that fails and one that does not, at every wait. */
-    ev_io_modify(&c->io, events);
+    ev_io_modify(&conn->io, events);
   }
-  ev_io_start(fc_loop(), &c->io); /* nothing when it is active */
+  ev_io_start(fc_loop(), &conn->io); /* nothing when it is active */
   fc_wake w = fc_routine_park(deadline);
-  c->waiter = NULL;
+  conn->waiter = NULL;
   return w;
 }
 
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline) {
   int fd = (int)count_call(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd < 0) return NULL;
-  fc_conn *c = conn_new(fd);
-  if (!c) return NULL;
+  fc_conn *conn = conn_new(fd);
+  if (!conn) return NULL;
   struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(to->port)};
   sa.sin_addr.s_addr = to->ip;
-  if (count_call(connect(fd, (struct sockaddr *)&sa, sizeof sa)) == 0) return c;
+  if (count_call(connect(fd, (struct sockaddr *)&sa, sizeof sa)) == 0) return conn;
   if (errno != EINPROGRESS) goto fail;
-  if (conn_wait(c, EV_WRITE, deadline) != FC_WAKE_OK) goto fail;
+  if (conn_wait(conn, EV_WRITE, deadline) != FC_WAKE_OK) goto fail;
   int err = 0;
   socklen_t len = sizeof err;
   if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len) != 0 || err != 0) goto fail;
-  return c;
+  return conn;
 fail:
-  fc_conn_close(c);
+  fc_conn_close(conn);
   return NULL;
 }
 
-ssize_t fc_conn_read(fc_conn *c, void *buf, size_t size, double deadline) {
+ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t size, double deadline) {
   for (;;) {
     /* Saves a system call for each message; each is dear where we run. */
-    if (c->wait_first) {
-      c->wait_first = false;
-      if (conn_wait(c, EV_READ, deadline) != FC_WAKE_OK) return -1;
+    if (conn->wait_first) {
+      conn->wait_first = false;
+      if (conn_wait(conn, EV_READ, deadline) != FC_WAKE_OK) return -1;
     }
-    ssize_t n = count_call(recv(c->fd, buf, size, 0));
+    ssize_t n = count_call(recv(conn->fd, buf, size, 0));
     if (n >= 0) {
       fc_routine_usage()->bytes_in += (uint64_t)n;
       return n;
     }
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) return -1;
-    if (conn_wait(c, EV_READ, deadline) != FC_WAKE_OK) return -1;
+    if (conn_wait(conn, EV_READ, deadline) != FC_WAKE_OK) return -1;
   }
 }
 
-bool fc_conn_write(fc_conn *c, const void *buf, size_t size, double deadline) {
+bool fc_conn_write(fc_conn *conn, const void *buf, size_t size, double deadline) {
   const char *p = buf;
   while (size > 0) {
-    ssize_t n = count_call(send(c->fd, p, size, MSG_NOSIGNAL));
+    ssize_t n = count_call(send(conn->fd, p, size, MSG_NOSIGNAL));
     if (n > 0) {
       fc_routine_usage()->bytes_out += (uint64_t)n;
       p += n;
@@ -139,27 +139,27 @@
     }
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) return false;
-    if (conn_wait(c, EV_WRITE, deadline) != FC_WAKE_OK) return false;
+    if (conn_wait(conn, EV_WRITE, deadline) != FC_WAKE_OK) return false;
   }
-  c->wait_first = true;
+  conn->wait_first = true;
   return true;
 }
 
-bool fc_conn_stale(fc_conn *c) {
+bool fc_conn_stale(fc_conn *conn) {
   char byte;
-  ssize_t n = count_call(recv(c->fd, &byte, 1, MSG_PEEK));
+  ssize_t n = count_call(recv(conn->fd, &byte, 1, MSG_PEEK));
   return !(n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
-void fc_conn_close(fc_conn *c) {
-  if (!c) return;
-  ev_io_stop(fc_loop(), &c->io);
-  (void)count_call(close(c->fd));
-  free(c);
+void fc_conn_close(fc_conn *conn) {
+  if (!conn) return;
+  ev_io_stop(fc_loop(), &conn->io);
+  (void)count_call(close(conn->fd));
+  free(conn);
 }
 
-uint64_t fc_conn_number(const fc_conn *c) {
-  return c->number;
+uint64_t fc_conn_number(const fc_conn *conn) {
+  return conn->number;
 }
 
 struct listener {
@@ -169,8 +169,8 @@
   size_t open, most;
 };
 
-bool fc_conn_crowded(const fc_conn *c) {
-  return c->from && c->from->open * 5 >= c->from->most * 4;
+bool fc_conn_crowded(const fc_conn *conn) {
+  return conn->from && conn->from->open * 5 >= conn->from->most * 4;
 }
 
 typedef struct accepted {
@@ -199,19 +199,19 @@
       close(fd);
       continue;
     }
-    fc_conn *c = conn_new(fd);
-    accepted *a = c ? malloc(sizeof *a) : NULL;
+    fc_conn *conn = conn_new(fd);
+    accepted *a = conn ? malloc(sizeof *a) : NULL;
     if (!a) {
-      if (c) fc_conn_close(c);
+      if (conn) fc_conn_close(conn);
       continue;
     }
     a->listener = l;
-    a->conn = c;
-    c->from = l;
+    a->conn = conn;
+    conn->from = l;
     l->open++;
     if (!fc_routine_spawn(accepted_main, a)) {
       l->open--;
-      fc_conn_close(c);
+      fc_conn_close(conn);
       free(a);
     }
   }
--- a/src/transport/conn.h
+++ b/src/transport/conn.h
@@ -19,15 +19,15 @@
 
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline);
 /* Bytes read, 0 at the end of the stream, -1 on error, deadline or cancel. */
-ssize_t fc_conn_read(fc_conn *c, void *buf, size_t size, double deadline);
-bool fc_conn_write(fc_conn *c, const void *buf, size_t size, double deadline);
+ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t size, double deadline);
+bool fc_conn_write(fc_conn *conn, const void *buf, size_t size, double deadline);
 /* True when the other side has closed an idle connection, or sent unasked. */
-bool fc_conn_stale(fc_conn *c);
+bool fc_conn_stale(fc_conn *conn);
 /* A number of its own. */
-uint64_t fc_conn_number(const fc_conn *c);
+uint64_t fc_conn_number(const fc_conn *conn);
 /* Does its listener have little room left for new connections? */
-bool fc_conn_crowded(const fc_conn *c);
-void fc_conn_close(fc_conn *c);
+bool fc_conn_crowded(const fc_conn *conn);
+void fc_conn_close(fc_conn *conn);
 
 /* Accepts until the process ends; each connection gets a routine of its own.
  * At most `most` connections of this listener are open; `on_conn` owns none of
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -43,7 +43,7 @@
 
 /* Serves one connection of another listener, of which the first bytes have been
  * read already; returns when it is to be closed. */
-void fc_http_serve_conn(fc_conn *c, const char *first, size_t first_len, const fc_http_server_options *opt,
+void fc_http_serve_conn(fc_conn *conn, const char *first, size_t first_len, const fc_http_server_options *opt,
                         fc_http_handler handler, void *arg);
 
 typedef struct fc_http_client fc_http_client;
@@ -57,10 +57,10 @@
 } fc_http_reply;
 
 fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t most_body);
-void fc_http_client_free(fc_http_client *c);
+void fc_http_client_free(fc_http_client *client);
 /* Waits for the answer until the deadline. The reply's body is freed by
  * fc_http_reply_clear(). Returns true when a whole answer came. */
-bool fc_http_call(fc_http_client *c, const char *method, const char *path, const char *body, size_t body_len,
+bool fc_http_call(fc_http_client *client, const char *method, const char *path, const char *body, size_t body_len,
                   double deadline, fc_http_reply *reply);
 void fc_http_reply_clear(fc_http_reply *reply);
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -88,37 +88,37 @@
 };
 
 fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t most_body) {
-  fc_http_client *c = g_new0(fc_http_client, 1);
-  c->to = *to;
-  c->most_body = most_body;
+  fc_http_client *client = g_new0(fc_http_client, 1);
+  client->to = *to;
+  client->most_body = most_body;
   const unsigned char *ip = (const unsigned char *)&to->ip;
-  g_snprintf(c->host, sizeof c->host, "%u.%u.%u.%u:%u", ip[0], ip[1], ip[2], ip[3], to->port);
-  return c;
+  g_snprintf(client->host, sizeof client->host, "%u.%u.%u.%u:%u", ip[0], ip[1], ip[2], ip[3], to->port);
+  return client;
 }
 
-void fc_http_client_free(fc_http_client *c) {
-  if (!c) return;
-  for (size_t i = 0; i < c->pool_count; i++) fc_conn_close(c->pool[i].conn);
-  g_free(c);
+void fc_http_client_free(fc_http_client *client) {
+  if (!client) return;
+  for (size_t i = 0; i < client->pool_count; i++) fc_conn_close(client->pool[i].conn);
+  g_free(client);
 }
 
-static fc_conn *take_conn(fc_http_client *c, double deadline) {
+static fc_conn *take_conn(fc_http_client *client, double deadline) {
   double now = fc_now();
-  while (c->pool_count > 0) {
-    pooled p = c->pool[--c->pool_count];
+  while (client->pool_count > 0) {
+    pooled p = client->pool[--client->pool_count];
     double idle = now - p.since;
     if (idle < POOL_IDLE_S && (idle < POOL_TRUSTED_S || !fc_conn_stale(p.conn))) return p.conn;
     fc_conn_close(p.conn);
   }
-  return fc_conn_connect(&c->to, deadline);
+  return fc_conn_connect(&client->to, deadline);
 }
 
-static void give_conn(fc_http_client *c, fc_conn *conn) {
-  if (c->pool_count == POOL_MAX) {
+static void give_conn(fc_http_client *client, fc_conn *conn) {
+  if (client->pool_count == POOL_MAX) {
     fc_conn_close(conn);
     return;
   }
-  c->pool[c->pool_count++] = (pooled){.conn = conn, .since = fc_now()};
+  client->pool[client->pool_count++] = (pooled){.conn = conn, .since = fc_now()};
 }
 
 /* One for all: nothing waits between filling it and having parsed what is in it. */
@@ -137,17 +137,18 @@
   return a->complete;
 }
 
-bool fc_http_call(fc_http_client *c, const char *method, const char *path, const char *body, size_t body_len,
+bool fc_http_call(fc_http_client *client, const char *method, const char *path, const char *body, size_t body_len,
                   double deadline, fc_http_reply *reply) {
   *reply = (fc_http_reply){.body = g_string_new(NULL)};
-  fc_conn *conn = take_conn(c, deadline);
+  fc_conn *conn = take_conn(client, deadline);
   if (!conn) {
     reply->unsent = true;
     return false;
   }
-  answer a = {.body = reply->body, .most_body = c->most_body, .field = g_string_new(NULL), .value = g_string_new(NULL)};
+  answer a = {
+      .body = reply->body, .most_body = client->most_body, .field = g_string_new(NULL), .value = g_string_new(NULL)};
   GString *out = g_string_sized_new(256 + body_len);
-  g_string_append_printf(out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, c->host);
+  g_string_append_printf(out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, client->host);
   if (body) {
     g_string_append_printf(out, "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n", body_len);
     g_string_append_len(out, body, (gssize)body_len);
@@ -167,7 +168,7 @@
     keep = http_should_keep_alive(&p);
   }
   if (keep) {
-    give_conn(c, conn);
+    give_conn(client, conn);
   } else {
     fc_conn_close(conn);
   }
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -88,7 +88,7 @@
   }
 }
 
-static bool send_response(fc_conn *c, const fc_http_response *res, bool keep, double deadline) {
+static bool send_response(fc_conn *conn, const fc_http_response *res, bool keep, double deadline) {
   GString *out = g_string_sized_new(256 + (res->body ? res->body->len : 0));
   g_string_append_printf(out, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n", res->status,
                          reason_of(res->status), res->content_type ? res->content_type : "application/json",
@@ -98,15 +98,15 @@
   if (!keep) g_string_append(out, "Connection: close\r\n");
   g_string_append(out, "\r\n");
   if (res->body) g_string_append_len(out, res->body->str, (gssize)res->body->len);
-  bool ok = fc_conn_write(c, out->str, out->len, deadline);
+  bool ok = fc_conn_write(conn, out->str, out->len, deadline);
   g_string_free(out, TRUE);
   return ok;
 }
 
-static bool send_plain(fc_conn *c, int status, const char *what, double deadline) {
+static bool send_plain(fc_conn *conn, int status, const char *what, double deadline) {
   fc_http_response res = {.status = status, .body = g_string_new(NULL)};
   g_string_append_printf(res.body, "{\"error\":\"%s\"}", what);
-  bool ok = send_response(c, &res, false, deadline);
+  bool ok = send_response(conn, &res, false, deadline);
   g_string_free(res.body, TRUE);
   return ok;
 }
@@ -116,7 +116,7 @@
 static char g_input[16u * 1024u];
 
 /* Reads one request; false ends the connection. */
-static bool read_request(server *s, fc_conn *c, http_parser *p, exchange *x) {
+static bool read_request(server *s, fc_conn *conn, http_parser *p, exchange *x) {
   char *buf = g_input;
   double deadline = fc_now() + s->opt.idle_s;
   bool timed = false;
@@ -126,7 +126,7 @@
       memcpy(buf, s->first, s->first_len);
       s->first_len = 0;
     } else {
-      n = fc_conn_read(c, buf, sizeof g_input, deadline);
+      n = fc_conn_read(conn, buf, sizeof g_input, deadline);
     }
     if (n <= 0) return false;
     if (!timed) {
@@ -136,15 +136,15 @@
     http_parser_execute(p, &k_settings, buf, (size_t)n);
     enum http_errno err = HTTP_PARSER_ERRNO(p);
     if (err != HPE_OK && err != HPE_PAUSED) {
-      (void)send_plain(c, 400, x->too_large ? "request too large" : "malformed HTTP", deadline);
+      (void)send_plain(conn, 400, x->too_large ? "request too large" : "malformed HTTP", deadline);
       return false;
     }
   }
   return true;
 }
 
-static bool serve_one(server *s, fc_conn *c, http_parser *p, exchange *x) {
-  if (!read_request(s, c, p, x)) return false;
+static bool serve_one(server *s, fc_conn *conn, http_parser *p, exchange *x) {
+  if (!read_request(s, conn, p, x)) return false;
   bool keep = http_should_keep_alive(p);
   http_parser_pause(p, 0);
   char *query = strchr(x->url->str, '?');
@@ -155,18 +155,18 @@
       .query = query ? query : "",
       .body = x->body->str,
       .body_len = x->body->len,
-      .connection = fc_conn_number(c),
-      .crowded = fc_conn_crowded(c),
+      .connection = fc_conn_number(conn),
+      .crowded = fc_conn_crowded(conn),
   };
   fc_http_response res = {.status = 500, .body = g_string_new(NULL)};
   s->handler(&req, &res, s->arg);
   keep = keep && !res.close && !fc_routine_cancelled();
-  bool ok = send_response(c, &res, keep, fc_now() + s->opt.request_s);
+  bool ok = send_response(conn, &res, keep, fc_now() + s->opt.request_s);
   g_string_free(res.body, TRUE);
   return ok && keep;
 }
 
-static void serve(fc_conn *c, void *arg) {
+static void serve(fc_conn *conn, void *arg) {
   server *s = arg;
   http_parser p;
   bool go_on = true;
@@ -174,16 +174,16 @@
     http_parser_init(&p, HTTP_REQUEST);
     exchange x = {.url = g_string_new(NULL), .body = g_string_new(NULL)};
     p.data = &x;
-    go_on = serve_one(s, c, &p, &x);
+    go_on = serve_one(s, conn, &p, &x);
     g_string_free(x.url, TRUE);
     g_string_free(x.body, TRUE);
   }
 }
 
-void fc_http_serve_conn(fc_conn *c, const char *first, size_t first_len, const fc_http_server_options *opt,
+void fc_http_serve_conn(fc_conn *conn, const char *first, size_t first_len, const fc_http_server_options *opt,
                         fc_http_handler handler, void *arg) {
   server s = {.opt = *opt, .handler = handler, .arg = arg, .first = first, .first_len = first_len};
-  serve(c, &s);
+  serve(conn, &s);
 }
 
 bool fc_http_serve(const fc_endpoint *at, const fc_http_server_options *opt, fc_http_handler handler, void *arg) {
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -156,37 +156,37 @@
 
 static void entry(transfer_t t) {
   g_main_context = t.fctx;
-  fc_routine *r = t.data;
-  r->fn(r->arg);
-  r->finished = true;
+  fc_routine *routine = t.data;
+  routine->fn(routine->arg);
+  routine->finished = true;
   count_slice(fc_now());
-  jump_fcontext(g_main_context, r);
+  jump_fcontext(g_main_context, routine);
   abort(); /* a finished routine is never entered again */
 }
 
-static void enqueue(fc_routine *r) {
-  if (r->queued) return;
-  r->queued = true;
-  r->next = NULL;
+static void enqueue(fc_routine *routine) {
+  if (routine->queued) return;
+  routine->queued = true;
+  routine->next = NULL;
   if (g_queue_tail) {
-    g_queue_tail->next = r;
+    g_queue_tail->next = routine;
   } else {
-    g_queue_head = r;
+    g_queue_head = routine;
   }
-  g_queue_tail = r;
+  g_queue_tail = routine;
 }
 
-static void run_one(fc_routine *r) {
+static void run_one(fc_routine *routine) {
   fc_routine *before = g_self;
-  g_self = r;
-  r->usage->switches++;
-  transfer_t t = jump_fcontext(r->context, r);
-  r->context = t.fctx;
+  g_self = routine;
+  routine->usage->switches++;
+  transfer_t t = jump_fcontext(routine->context, routine);
+  routine->context = t.fctx;
   g_self = before;
-  if (r->finished) {
-    ev_timer_stop(g_loop, &r->timer);
-    stack_give(r->stack);
-    free(r);
+  if (routine->finished) {
+    ev_timer_stop(g_loop, &routine->timer);
+    stack_give(routine->stack);
+    free(routine);
     g_count--;
   }
 }
@@ -195,12 +195,12 @@
 static void sweep_queue(void) {
   fc_routine *last = g_queue_tail;
   while (g_queue_head) {
-    fc_routine *r = g_queue_head;
-    bool stop = r == last;
-    g_queue_head = r->next;
+    fc_routine *routine = g_queue_head;
+    bool stop = routine == last;
+    g_queue_head = routine->next;
     if (!g_queue_head) g_queue_tail = NULL;
-    r->queued = false;
-    run_one(r);
+    routine->queued = false;
+    run_one(routine);
     if (stop) break;
   }
 }
@@ -244,83 +244,84 @@
   ev_run(g_loop, 0);
 }
 
-static void arm(fc_routine *r, double now) {
-  ev_timer_stop(g_loop, &r->timer);
+static void arm(fc_routine *routine, double now) {
+  ev_timer_stop(g_loop, &routine->timer);
   ev_now_update(g_loop);
-  ev_timer_set(&r->timer, r->deadline - now, 0.);
-  ev_timer_start(g_loop, &r->timer);
-  r->armed_until = r->deadline;
+  ev_timer_set(&routine->timer, routine->deadline - now, 0.);
+  ev_timer_start(g_loop, &routine->timer);
+  routine->armed_until = routine->deadline;
 }
 
 /* A timer that an earlier wait has left is good for this one if it fires no later, and
  * not so early that it would mostly fire for nothing. */
-static bool armed_well(const fc_routine *r, double now) {
-  return ev_is_active(&r->timer) && r->armed_until <= r->deadline && r->armed_until - now >= (r->deadline - now) * 0.5;
+static bool armed_well(const fc_routine *routine, double now) {
+  return ev_is_active(&routine->timer) && routine->armed_until <= routine->deadline &&
+         routine->armed_until - now >= (routine->deadline - now) * 0.5;
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *w, int events) {
   (void)loop;
   (void)events;
-  fc_routine *r = w->data;
-  if (!r->parked) return;
+  fc_routine *routine = w->data;
+  if (!routine->parked) return;
   double now = fc_now();
-  if (now < r->deadline) {
-    arm(r, now);
+  if (now < routine->deadline) {
+    arm(routine, now);
     return;
   }
-  note_lag(now, now - r->deadline);
-  r->parked = false;
-  r->reason = FC_WAKE_TIMEOUT;
-  enqueue(r);
+  note_lag(now, now - routine->deadline);
+  routine->parked = false;
+  routine->reason = FC_WAKE_TIMEOUT;
+  enqueue(routine);
 }
 
 fc_routine *fc_routine_spawn(fc_routine_fn fn, void *arg) {
-  fc_routine *r = calloc(1, sizeof *r);
-  if (!r) return NULL;
-  r->stack = stack_take();
-  if (!r->stack) {
-    free(r);
+  fc_routine *routine = calloc(1, sizeof *routine);
+  if (!routine) return NULL;
+  routine->stack = stack_take();
+  if (!routine->stack) {
+    free(routine);
     return NULL;
   }
-  r->fn = fn;
-  r->arg = arg;
-  r->usage = fc_routine_usage();
-  r->context = make_fcontext(r->stack + STACK_BYTES, STACK_BYTES - GUARD_BYTES, entry);
-  ev_timer_init(&r->timer, on_timer, 0., 0.);
-  r->timer.data = r;
+  routine->fn = fn;
+  routine->arg = arg;
+  routine->usage = fc_routine_usage();
+  routine->context = make_fcontext(routine->stack + STACK_BYTES, STACK_BYTES - GUARD_BYTES, entry);
+  ev_timer_init(&routine->timer, on_timer, 0., 0.);
+  routine->timer.data = routine;
   g_count++;
-  enqueue(r);
-  return r;
+  enqueue(routine);
+  return routine;
 }
 
 fc_wake fc_routine_park(double deadline) {
-  fc_routine *r = g_self;
-  if (r->cancelled) return FC_WAKE_CANCELLED;
+  fc_routine *routine = g_self;
+  if (routine->cancelled) return FC_WAKE_CANCELLED;
   double now = fc_now();
   if (deadline <= now) return FC_WAKE_TIMEOUT;
-  r->parked = true;
-  r->reason = FC_WAKE_OK;
-  r->deadline = deadline;
+  routine->parked = true;
+  routine->reason = FC_WAKE_OK;
+  routine->deadline = deadline;
   count_slice(now);
-  if (!armed_well(r, now)) arm(r, now);
-  transfer_t t = jump_fcontext(g_main_context, r);
+  if (!armed_well(routine, now)) arm(routine, now);
+  transfer_t t = jump_fcontext(g_main_context, routine);
   g_main_context = t.fctx;
-  return r->reason;
+  return routine->reason;
 }
 
-void fc_routine_wake(fc_routine *r) {
-  if (!r->parked) return;
-  r->parked = false;
-  r->reason = FC_WAKE_OK;
-  enqueue(r);
+void fc_routine_wake(fc_routine *routine) {
+  if (!routine->parked) return;
+  routine->parked = false;
+  routine->reason = FC_WAKE_OK;
+  enqueue(routine);
 }
 
-void fc_routine_cancel(fc_routine *r) {
-  r->cancelled = true;
-  if (!r->parked) return;
-  r->parked = false;
-  r->reason = FC_WAKE_CANCELLED;
-  enqueue(r);
+void fc_routine_cancel(fc_routine *routine) {
+  routine->cancelled = true;
+  if (!routine->parked) return;
+  routine->parked = false;
+  routine->reason = FC_WAKE_CANCELLED;
+  enqueue(routine);
 }
 
 fc_wake fc_routine_sleep(double seconds) {
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -29,7 +29,7 @@
 fc_routine *fc_routine_spawn(fc_routine_fn fn, void *arg);
 fc_routine *fc_routine_self(void);
 /* Ends the present wait, and every later one, with FC_WAKE_CANCELLED. */
-void fc_routine_cancel(fc_routine *r);
+void fc_routine_cancel(fc_routine *routine);
 bool fc_routine_cancelled(void);
 size_t fc_routine_count(void);
 
@@ -55,7 +55,7 @@
 
 /* Waits until woken, cancelled or the deadline (steady clock) has come. */
 fc_wake fc_routine_park(double deadline);
-void fc_routine_wake(fc_routine *r);
+void fc_routine_wake(fc_routine *routine);
 fc_wake fc_routine_sleep(double seconds);
 
 /* A condition that routines wait on. Waking is a broadcast. */
--- a/tests/sim/events.c
+++ b/tests/sim/events.c
@@ -155,8 +155,8 @@
 size_t fc_routine_count(void) {
   return g_process ? g_process->routines->len : 0;
 }
-void fc_routine_cancel(fc_routine *r) {
-  (void)r;
+void fc_routine_cancel(fc_routine *routine) {
+  (void)routine;
 }
 /* Nothing here takes time or makes system calls, so there is nothing to account for. */
 void fc_routine_account(fc_usage *usage) {
@@ -183,46 +183,46 @@
   p->lag_at = g_now;
 }
 
-void sim_routine_owes(fc_routine *r, double cost_s) {
-  r->owed_s += cost_s;
+void sim_routine_owes(fc_routine *routine, double cost_s) {
+  routine->owed_s += cost_s;
 }
 
 static void entry(transfer_t t) {
   g_main = t.fctx;
-  fc_routine *r = t.data;
-  r->fn(r->arg);
-  r->finished = true;
+  fc_routine *routine = t.data;
+  routine->fn(routine->arg);
+  routine->finished = true;
   jump_fcontext(g_main, NULL);
   abort();
 }
 
-static void release(fc_routine *r) {
-  g_ptr_array_remove_fast(r->process->routines, r);
-  g_ptr_array_add(g_spare, r->stack);
-  r->stack = NULL;
-  r->dead = true; /* kept: events may still name it */
+static void release(fc_routine *routine) {
+  g_ptr_array_remove_fast(routine->process->routines, routine);
+  g_ptr_array_add(g_spare, routine->stack);
+  routine->stack = NULL;
+  routine->dead = true; /* kept: events may still name it */
 }
 
 static void run(void *arg) {
-  fc_routine *r = arg;
-  if (!r->dead && r->process->still_until > g_now) {
-    sim_at(r->process->still_until, run, r);
+  fc_routine *routine = arg;
+  if (!routine->dead && routine->process->still_until > g_now) {
+    sim_at(routine->process->still_until, run, routine);
     return;
   }
-  r->queued = false;
-  if (r->dead) return;
-  if (r->waits > 0 && r->reason == FC_WAKE_TIMEOUT) note_lag(r->process, g_now - r->deadline);
-  sim_charge_wake(r->process);
+  routine->queued = false;
+  if (routine->dead) return;
+  if (routine->waits > 0 && routine->reason == FC_WAKE_TIMEOUT) note_lag(routine->process, g_now - routine->deadline);
+  sim_charge_wake(routine->process);
   fc_routine *self_before = g_self;
   sim_process *process_before = g_process;
-  g_self = r;
-  g_process = r->process;
-  transfer_t t = jump_fcontext(r->context, r);
-  r->context = t.fctx;
-  sim_charge_work(r->process);
+  g_self = routine;
+  g_process = routine->process;
+  transfer_t t = jump_fcontext(routine->context, routine);
+  routine->context = t.fctx;
+  sim_charge_work(routine->process);
   g_self = self_before;
   g_process = process_before;
-  if (r->finished) release(r);
+  if (routine->finished) release(routine);
 }
 
 static void turn(void *arg);
@@ -237,47 +237,47 @@
 static void turn(void *arg) {
   sim_process *p = arg;
   p->turn_due = false;
-  fc_routine *r = g_queue_peek_head(&p->ready);
-  if (g_now >= p->busy_until && g_now >= p->still_until && p->alive && r) {
-    sim_charge(p, r->owed_s);
-    r->owed_s = 0;
-    if (p->busy_until <= g_now || r->dead) {
+  fc_routine *routine = g_queue_peek_head(&p->ready);
+  if (g_now >= p->busy_until && g_now >= p->still_until && p->alive && routine) {
+    sim_charge(p, routine->owed_s);
+    routine->owed_s = 0;
+    if (p->busy_until <= g_now || routine->dead) {
       (void)g_queue_pop_head(&p->ready);
-      run(r);
+      run(routine);
     }
   }
   if (p->alive) next_turn(p);
 }
 
-static void enqueue(fc_routine *r) {
-  if (r->queued) return;
-  r->queued = true;
-  if (r->process->share > 0) {
-    g_queue_push_tail(&r->process->ready, r);
-    next_turn(r->process);
+static void enqueue(fc_routine *routine) {
+  if (routine->queued) return;
+  routine->queued = true;
+  if (routine->process->share > 0) {
+    g_queue_push_tail(&routine->process->ready, routine);
+    next_turn(routine->process);
   } else {
-    sim_at(g_now, run, r);
+    sim_at(g_now, run, routine);
   }
 }
 
 fc_routine *sim_spawn_in(sim_process *p, fc_routine_fn fn, void *arg) {
   sim_own_work_begin();
-  fc_routine *r = g_new0(fc_routine, 1);
-  r->fn = fn;
-  r->arg = arg;
-  r->process = p;
+  fc_routine *routine = g_new0(fc_routine, 1);
+  routine->fn = fn;
+  routine->arg = arg;
+  routine->process = p;
   if (g_spare->len > 0) {
-    r->stack = g_ptr_array_steal_index_fast(g_spare, g_spare->len - 1);
+    routine->stack = g_ptr_array_steal_index_fast(g_spare, g_spare->len - 1);
   } else {
-    r->stack = mmap(NULL, STACK, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
-    if (r->stack == MAP_FAILED) abort();
+    routine->stack = mmap(NULL, STACK, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
+    if (routine->stack == MAP_FAILED) abort();
   }
-  ASAN_UNPOISON_MEMORY_REGION(r->stack, STACK); /* frames of one that was killed */
-  r->context = make_fcontext(r->stack + STACK, STACK, entry);
-  g_ptr_array_add(p->routines, r);
-  enqueue(r);
+  ASAN_UNPOISON_MEMORY_REGION(routine->stack, STACK); /* frames of one that was killed */
+  routine->context = make_fcontext(routine->stack + STACK, STACK, entry);
+  g_ptr_array_add(p->routines, routine);
+  enqueue(routine);
   sim_own_work_end();
-  return r;
+  return routine;
 }
 
 fc_routine *fc_routine_spawn(fc_routine_fn fn, void *arg) {
@@ -291,38 +291,38 @@
 
 static void on_timer(void *arg) {
   timer *t = arg;
-  fc_routine *r = t->routine;
-  if (!r->dead && r->parked && r->waits == t->wait) {
-    r->parked = false;
-    r->reason = FC_WAKE_TIMEOUT;
-    enqueue(r);
+  fc_routine *routine = t->routine;
+  if (!routine->dead && routine->parked && routine->waits == t->wait) {
+    routine->parked = false;
+    routine->reason = FC_WAKE_TIMEOUT;
+    enqueue(routine);
   }
   g_free(t);
 }
 
 fc_wake fc_routine_park(double deadline) {
-  fc_routine *r = g_self;
+  fc_routine *routine = g_self;
   double when = true_time(deadline);
   if (when <= g_now) return FC_WAKE_TIMEOUT;
-  r->parked = true;
-  r->reason = FC_WAKE_OK;
+  routine->parked = true;
+  routine->reason = FC_WAKE_OK;
   sim_own_work_begin();
   timer *t = g_new(timer, 1);
-  *t = (timer){.routine = r, .wait = ++r->waits};
-  r->deadline = when;
-  if (r->process->late_s > 0) when += sim_draw(0, r->process->late_s);
+  *t = (timer){.routine = routine, .wait = ++routine->waits};
+  routine->deadline = when;
+  if (routine->process->late_s > 0) when += sim_draw(0, routine->process->late_s);
   sim_at(when, on_timer, t);
   sim_own_work_end();
   transfer_t tr = jump_fcontext(g_main, NULL);
   g_main = tr.fctx;
-  return r->reason;
+  return routine->reason;
 }
 
-void fc_routine_wake(fc_routine *r) {
-  if (r->dead || !r->parked) return;
-  r->parked = false;
-  r->reason = FC_WAKE_OK;
-  enqueue(r);
+void fc_routine_wake(fc_routine *routine) {
+  if (routine->dead || !routine->parked) return;
+  routine->parked = false;
+  routine->reason = FC_WAKE_OK;
+  enqueue(routine);
 }
 
 fc_wake fc_routine_sleep(double seconds) {
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -242,19 +242,19 @@
 
 fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t most_body) {
   (void)most_body;
-  fc_http_client *c = g_new0(fc_http_client, 1);
-  c->to = *to;
-  return c;
+  fc_http_client *client = g_new0(fc_http_client, 1);
+  client->to = *to;
+  return client;
 }
 
-void fc_http_client_free(fc_http_client *c) {
-  g_free(c);
+void fc_http_client_free(fc_http_client *client) {
+  g_free(client);
 }
 
-bool fc_http_call(fc_http_client *c, const char *method, const char *path, const char *body, size_t body_len,
+bool fc_http_call(fc_http_client *client, const char *method, const char *path, const char *body, size_t body_len,
                   double deadline, fc_http_reply *reply) {
   *reply = (fc_http_reply){.body = g_string_new(NULL)};
-  uint32_t to = ntohl(c->to.ip);
+  uint32_t to = ntohl(client->to.ip);
   if (sim_link_now(sim_here(), to) != SIM_CLEAR && sim_chance(0.5)) {
     /* No connection: certainly not carried out. */
     while (fc_routine_park(deadline) == FC_WAKE_OK) {
@@ -262,7 +262,7 @@
     reply->unsent = true;
     return false;
   }
-  sim_exchange *x = send_request(sim_here(), to, c->to.port, method, path, body, body_len);
+  sim_exchange *x = send_request(sim_here(), to, client->to.port, method, path, body, body_len);
   x->waiter = fc_routine_self();
   while (!x->answered)
     if (fc_routine_park(deadline) == FC_WAKE_TIMEOUT) break;
@@ -291,7 +291,7 @@
   return true;
 }
 
-void fc_http_serve_conn(fc_conn *c, const char *first, size_t first_len, const fc_http_server_options *opt,
+void fc_http_serve_conn(fc_conn *conn, const char *first, size_t first_len, const fc_http_server_options *opt,
                         fc_http_handler handler, void *arg) {
-  (void)c, (void)first, (void)first_len, (void)opt, (void)handler, (void)arg; /* nobody asks here */
+  (void)conn, (void)first, (void)first_len, (void)opt, (void)handler, (void)arg; /* nobody asks here */
 }
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -28,7 +28,7 @@
 fc_routine *sim_spawn_in(sim_process *p, fc_routine_fn fn, void *arg);
 
 /* The routine pays so much of a whole processor before it runs on. */
-void sim_routine_owes(fc_routine *r, double cost_s);
+void sim_routine_owes(fc_routine *routine, double cost_s);
 
 /* Between the two the simulation works on its own account, not on the process's. */
 void sim_own_work_begin(void);
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -44,14 +44,14 @@
 
 static fc_conn *conn_new(sim_process *p, uint32_t local, uint32_t remote) {
   sim_own_work_begin();
-  fc_conn *c = g_new0(fc_conn, 1);
-  c->process = p;
-  c->local = local;
-  c->remote = remote;
-  c->inbox = g_byte_array_new();
-  g_queue_init(&c->arriving);
+  fc_conn *conn = g_new0(fc_conn, 1);
+  conn->process = p;
+  conn->local = local;
+  conn->remote = remote;
+  conn->inbox = g_byte_array_new();
+  g_queue_init(&conn->arriving);
   sim_own_work_end();
-  return c;
+  return conn;
 }
 
 typedef struct accepted {
@@ -94,27 +94,27 @@
 } segment;
 
 /* Delivers in order what may arrive by now. */
-static void deliver(fc_conn *c, const segment *s, sim_link l) {
-  if (s->end || l == SIM_RESET) c->other = NULL;
-  if (!s->end && l == SIM_CLEAR) g_byte_array_append(c->inbox, s->data->data, s->data->len);
-  c->unpaid_s += sim_message_cost(s->data->len);
-  if (!c->waiter) return;
-  sim_routine_owes(c->waiter, c->unpaid_s);
-  c->unpaid_s = 0;
-  fc_routine_wake(c->waiter);
+static void deliver(fc_conn *conn, const segment *s, sim_link l) {
+  if (s->end || l == SIM_RESET) conn->other = NULL;
+  if (!s->end && l == SIM_CLEAR) g_byte_array_append(conn->inbox, s->data->data, s->data->len);
+  conn->unpaid_s += sim_message_cost(s->data->len);
+  if (!conn->waiter) return;
+  sim_routine_owes(conn->waiter, conn->unpaid_s);
+  conn->unpaid_s = 0;
+  fc_routine_wake(conn->waiter);
 }
 
 static void pump(void *arg) {
-  fc_conn *c = arg;
+  fc_conn *conn = arg;
   segment *s;
-  while ((s = g_queue_peek_head(&c->arriving)) && s->when <= sim_now()) {
-    sim_link l = sim_link_now(c->remote, c->local);
+  while ((s = g_queue_peek_head(&conn->arriving)) && s->when <= sim_now()) {
+    sim_link l = sim_link_now(conn->remote, conn->local);
     if (l == SIM_HELD) {
-      sim_after(0.25, pump, c);
+      sim_after(0.25, pump, conn);
       return;
     }
-    (void)g_queue_pop_head(&c->arriving);
-    if (!c->closed && c->process->alive) deliver(c, s, l);
+    (void)g_queue_pop_head(&conn->arriving);
+    if (!conn->closed && conn->process->alive) deliver(conn, s, l);
     g_byte_array_free(s->data, TRUE);
     g_free(s);
   }
@@ -136,37 +136,37 @@
   sim_own_work_end();
 }
 
-ssize_t fc_conn_read(fc_conn *c, void *buf, size_t size, double deadline) {
-  while (c->inbox->len == 0) {
-    if (!c->other || !c->other->process->alive) return c->other ? -1 : 0;
-    c->waiter = fc_routine_self();
+ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t size, double deadline) {
+  while (conn->inbox->len == 0) {
+    if (!conn->other || !conn->other->process->alive) return conn->other ? -1 : 0;
+    conn->waiter = fc_routine_self();
     fc_wake w = fc_routine_park(deadline);
-    c->waiter = NULL;
+    conn->waiter = NULL;
     if (w != FC_WAKE_OK) return -1;
   }
-  sim_charge(c->process, c->unpaid_s);
-  c->unpaid_s = 0;
-  size_t n = MIN(size, c->inbox->len);
-  memcpy(buf, c->inbox->data, n);
-  g_byte_array_remove_range(c->inbox, 0, (guint)n);
+  sim_charge(conn->process, conn->unpaid_s);
+  conn->unpaid_s = 0;
+  size_t n = MIN(size, conn->inbox->len);
+  memcpy(buf, conn->inbox->data, n);
+  g_byte_array_remove_range(conn->inbox, 0, (guint)n);
   return (ssize_t)n;
 }
 
-bool fc_conn_write(fc_conn *c, const void *buf, size_t size, double deadline) {
+bool fc_conn_write(fc_conn *conn, const void *buf, size_t size, double deadline) {
   (void)deadline;
-  if (!c->other) return false;
-  send_segment(c, buf, size, false);
+  if (!conn->other) return false;
+  send_segment(conn, buf, size, false);
   return true;
 }
 
-bool fc_conn_stale(fc_conn *c) {
-  return !c->other;
+bool fc_conn_stale(fc_conn *conn) {
+  return !conn->other;
 }
 
-void fc_conn_close(fc_conn *c) {
-  if (!c || c->closed) return;
-  send_segment(c, "", 0, true);
-  c->closed = true;
+void fc_conn_close(fc_conn *conn) {
+  if (!conn || conn->closed) return;
+  send_segment(conn, "", 0, true);
+  conn->closed = true;
 }
 
 bool fc_listen(const fc_endpoint *where, size_t most, fc_conn_fn on_conn, void *arg) {
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -85,15 +85,15 @@
 
 static void node_start(void *arg) {
   const char *why = NULL;
-  fc_controller *c = fc_controller_start(arg, &why);
-  if (!c) world_broke("start", why);
-  g_controllers[(fc_settings *)arg - g_settings] = c;
+  fc_controller *controller = fc_controller_start(arg, &why);
+  if (!controller) world_broke("start", why);
+  g_controllers[(fc_settings *)arg - g_settings] = controller;
 }
 
 static void node_boot(void *arg) {
-  fc_settings *s = arg;
-  uint32_t ip = ntohl(s->client_at.ip);
-  if (!sim_process_alive(ip)) sim_process_start(ip, node_start, s);
+  fc_settings *settings = arg;
+  uint32_t ip = ntohl(settings->client_at.ip);
+  if (!sim_process_alive(ip)) sim_process_start(ip, node_start, settings);
 }
 
 /* Back after about four seconds, and now and then within a fraction of one. */
@@ -261,33 +261,33 @@
   world_capacity(machines / 2, 0);
   world_keep_idle();
   for (int n = 0; n < WORLD_NODES; n++) {
-    fc_settings *s = &g_settings[n];
-    s->state_rps = 500;
-    s->state_write_rps = s->state_next_write_rps = machines;
-    s->state_txn_ops = 24;
-    world_state_limits(s->state_value_kb, s->state_txn_ops, 0);
-    state_later_limits(s->state_value_kb, s->state_txn_ops);
-    s->fd_limit = machines * 2;
-    s->cloud_rps = 6;
-    s->teams[0].gpus = machines;
-    s->teams[1].gpus = s->teams[1].gpus_max = 0;
-    s->op.rent = false; /* what there is */
+    fc_settings *settings = &g_settings[n];
+    settings->state_rps = 500;
+    settings->state_write_rps = settings->state_next_write_rps = machines;
+    settings->state_txn_ops = 24;
+    world_state_limits(settings->state_value_kb, settings->state_txn_ops, 0);
+    state_later_limits(settings->state_value_kb, settings->state_txn_ops);
+    settings->fd_limit = machines * 2;
+    settings->cloud_rps = 6;
+    settings->teams[0].gpus = machines;
+    settings->teams[1].gpus = settings->teams[1].gpus_max = 0;
+    settings->op.rent = false; /* what there is */
   }
 }
 
 void world_lean(unsigned machines) {
   world_large(machines);
   for (int n = 0; n < WORLD_NODES; n++) {
-    fc_settings *s = &g_settings[n];
-    s->state_rps = 100;
-    s->state_write_rps = s->state_next_write_rps = 40;
-    s->cloud_rps = 2;
-    s->memory_mb = 27;
-    s->cpu = 0.024;
-    s->fd_limit = 900;
+    fc_settings *settings = &g_settings[n];
+    settings->state_rps = 100;
+    settings->state_write_rps = settings->state_next_write_rps = 40;
+    settings->cloud_rps = 2;
+    settings->memory_mb = 27;
+    settings->cpu = 0.024;
+    settings->fd_limit = 900;
     fc_operator_settings usual;
     fc_operator_defaults(&usual);
-    s->op.over_keep_s = usual.over_keep_s;
+    settings->op.over_keep_s = usual.over_keep_s;
   }
 }
 
@@ -305,16 +305,16 @@
 /* A version that does not know what comes takes the limits for good. */
 static void set_limits(unsigned node) {
   const state_sizes *known = g_former[node] ? &g_now : &g_next;
-  fc_settings *s = &g_settings[node];
-  s->state_value_kb = known->value_kb;
-  s->state_txn_ops = known->txn_ops;
-  s->state_next_write_rps = known->write_rps;
+  fc_settings *settings = &g_settings[node];
+  settings->state_value_kb = known->value_kb;
+  settings->state_txn_ops = known->txn_ops;
+  settings->state_next_write_rps = known->write_rps;
 }
 
 void world_state_next(double value_kb, unsigned txn_ops, double write_rps) {
-  const fc_settings *s = &g_settings[0];
-  g_next = (state_sizes){MIN(s->state_value_kb, value_kb), MIN(s->state_txn_ops, txn_ops),
-                         MIN(s->state_write_rps, write_rps)};
+  const fc_settings *settings = &g_settings[0];
+  g_next = (state_sizes){MIN(settings->state_value_kb, value_kb), MIN(settings->state_txn_ops, txn_ops),
+                         MIN(settings->state_write_rps, write_rps)};
   state_later_limits(g_next.value_kb, g_next.txn_ops);
   for (unsigned n = 0; n < WORLD_NODES; n++) set_limits(n);
 }
@@ -360,12 +360,12 @@
   const double machine_s = 0.5e-6, job_s = 2e-6;
   static uint64_t seen[WORLD_NODES];
   int n = node_of(ip);
-  const fc_controller *c = g_controllers[n];
-  if (!c) return 0;
-  uint64_t rounds = c->counts.rounds, before = MIN(seen[n], rounds);
+  const fc_controller *controller = g_controllers[n];
+  if (!controller) return 0;
+  uint64_t rounds = controller->counts.rounds, before = MIN(seen[n], rounds);
   seen[n] = rounds;
-  return (double)(rounds - before) *
-         (machine_s * g_hash_table_size(c->table->machines) + job_s * g_hash_table_size(c->table->jobs));
+  return (double)(rounds - before) * (machine_s * g_hash_table_size(controller->table->machines) +
+                                      job_s * g_hash_table_size(controller->table->jobs));
 }
 
 void world_slow(unsigned node, double of_processor, double timers_late_s) {
@@ -573,42 +573,42 @@
 }
 
 static void settings_of(int n) {
-  fc_settings *s = &g_settings[n];
-  memset(s, 0, sizeof *s);
-  s->name = g_strdup_printf("paddock-%d", n);
-  s->zone = (char *)world_zones[n == 1];
-  s->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8080};
-  s->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8081};
-  s->cloud_at = (fc_endpoint){htonl(WORLD_CLOUD_IP), 8443};
-  s->state_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
+  fc_settings *settings = &g_settings[n];
+  memset(settings, 0, sizeof *settings);
+  settings->name = g_strdup_printf("paddock-%d", n);
+  settings->zone = (char *)world_zones[n == 1];
+  settings->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8080};
+  settings->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8081};
+  settings->cloud_at = (fc_endpoint){htonl(WORLD_CLOUD_IP), 8443};
+  settings->state_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
   for (int k = 0; k < WORLD_NODES; k++) {
     if (k == n) continue;
-    fc_peer_settings *p = &s->peers[s->peer_count++];
-    p->name = g_strdup_printf("paddock-%d", k);
-    p->zone = (char *)world_zones[k == 1];
-    p->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(k)), 8081};
+    fc_peer_settings *peer = &settings->peers[settings->peer_count++];
+    peer->name = g_strdup_printf("paddock-%d", k);
+    peer->zone = (char *)world_zones[k == 1];
+    peer->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(k)), 8081};
   }
-  s->zone_count = 2;
-  s->zones[0] = (char *)world_zones[0];
-  s->zones[1] = (char *)world_zones[1];
-  s->team_count = 2;
-  s->teams[0] = (fc_team_settings){.name = (char *)"red", .gpus = 8};
-  s->teams[1] = (fc_team_settings){.name = (char *)"blue", .gpus = 6, .gpus_max = 12};
-  s->report_s = REPORT_S;
-  s->lease_s = LEASE_S;
-  s->cancel_s = CANCEL_S;
-  s->gang_wait_s = GANG_WAIT_S;
-  s->gang_peer_s = GANG_PEER_S;
-  s->state_rps = 120;
-  s->state_write_rps = s->state_next_write_rps = 40;
-  s->state_value_kb = 8;
-  s->state_txn_ops = 8;
-  s->cloud_rps = 4;
-  s->memory_mb = 56;
-  s->cpu = 0.08;
-  s->fd_limit = 900;
-  fc_operator_defaults(&s->op);
-  s->op.over_keep_s = 20; /* jobs are archived in the middle of the troubles */
+  settings->zone_count = 2;
+  settings->zones[0] = (char *)world_zones[0];
+  settings->zones[1] = (char *)world_zones[1];
+  settings->team_count = 2;
+  settings->teams[0] = (fc_team_settings){.name = (char *)"red", .gpus = 8};
+  settings->teams[1] = (fc_team_settings){.name = (char *)"blue", .gpus = 6, .gpus_max = 12};
+  settings->heartbeat_s = REPORT_S;
+  settings->lease_s = LEASE_S;
+  settings->cancel_s = CANCEL_S;
+  settings->gang_wait_s = GANG_WAIT_S;
+  settings->gang_peer_s = GANG_PEER_S;
+  settings->state_rps = 120;
+  settings->state_write_rps = settings->state_next_write_rps = 40;
+  settings->state_value_kb = 8;
+  settings->state_txn_ops = 8;
+  settings->cloud_rps = 4;
+  settings->memory_mb = 56;
+  settings->cpu = 0.08;
+  settings->fd_limit = 900;
+  fc_operator_defaults(&settings->op);
+  settings->op.over_keep_s = 20; /* jobs are archived in the middle of the troubles */
 }
 
 void world_notice(unsigned at, double in_s) {
@@ -674,8 +674,8 @@
   cloud_init();
   memset(g_former, 0, sizeof g_former);
   for (int n = 0; n < WORLD_NODES; n++) settings_of(n);
-  const fc_settings *s = &g_settings[0];
-  g_now = g_next = (state_sizes){s->state_value_kb, s->state_txn_ops, s->state_write_rps};
+  const fc_settings *settings = &g_settings[0];
+  g_now = g_next = (state_sizes){settings->state_value_kb, settings->state_txn_ops, settings->state_write_rps};
 }
 
 void world_start_nodes(void) {
--- a/tests/test_compat.c
+++ b/tests/test_compat.c
@@ -5,9 +5,9 @@
 
 #include <stdlib.h>
 
-#include "protocol/frame.h"
 #include "protocol/job_record.h"
 #include "protocol/json.h"
+#include "protocol/peer_frame.h"
 #include "protocol/records.h"
 
 #define FIXTURES "version-0275842.txt"
@@ -49,7 +49,7 @@
   (void)state;
   static const struct {
     const char *name;
-    fc_phase phase;
+    fc_job_phase phase;
     const char *id, *done;
     unsigned slices;
     uint64_t term;
@@ -61,13 +61,13 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     json_t *v = stored(rows[i].name);
-    fc_job_record r;
-    check_row(rows[i].name, fc_job_record_decode(v, &r));
-    check_row(rows[i].name, r.phase == rows[i].phase && strcmp(r.spec.id, rows[i].id) == 0);
-    check_row(rows[i].name, strcmp(r.done, rows[i].done) == 0 && r.slices == rows[i].slices);
-    check_row(rows[i].name, r.origin.term == rows[i].term);
-    writes_as(rows[i].name, fc_job_record_encode(&r));
-    fc_job_record_clear(&r);
+    fc_job_record record;
+    check_row(rows[i].name, fc_job_record_decode(v, &record));
+    check_row(rows[i].name, record.phase == rows[i].phase && strcmp(record.spec.id, rows[i].id) == 0);
+    check_row(rows[i].name, strcmp(record.done, rows[i].done) == 0 && record.slices == rows[i].slices);
+    check_row(rows[i].name, record.origin.term == rows[i].term);
+    writes_as(rows[i].name, fc_job_record_encode(&record));
+    fc_job_record_clear(&record);
     json_decref(v);
   }
 }
@@ -76,19 +76,20 @@
 static void a_job_in_full(void **state) {
   (void)state;
   json_t *v = stored("job moved");
-  fc_job_record r;
-  assert_true(fc_job_record_decode(v, &r));
-  assert_string_equal(r.handed[2], "paddock-2");
-  assert_string_equal(r.handed[7], "paddock-0");
-  assert_null(r.handed[0]);
-  assert_true(r.origin.moved == 0x84 && r.origin.unseen == 4);
-  assert_true(r.origin.last_move[2].term == 9 && r.origin.last_move[2].members == 6);
-  const fc_job_spec *s = &r.spec;
-  assert_true(s->kind == FC_KIND_ARRAY && s->rank == FC_RANK_HIGH && s->tasks == 16 && s->gpus == 1.5);
-  assert_string_equal(s->types[1], "g4");
-  assert_string_equal(s->zone, "a");
-  assert_true(s->deadline_s == 900 && s->checkpoint_s == 30 && s->spot && !s->one_zone);
-  fc_job_record_clear(&r);
+  fc_job_record record;
+  assert_true(fc_job_record_decode(v, &record));
+  assert_string_equal(record.handed[2], "paddock-2");
+  assert_string_equal(record.handed[7], "paddock-0");
+  assert_null(record.handed[0]);
+  assert_true(record.origin.moved == 0x84 && record.origin.unseen == 4);
+  assert_true(record.origin.last_move[2].term == 9 && record.origin.last_move[2].members == 6);
+  const fc_job_spec *spec = &record.spec;
+  assert_true(spec->kind == FC_JOB_ARRAY && spec->priority == FC_PRIORITY_HIGH && spec->tasks == 16 &&
+              spec->gpus == 1.5);
+  assert_string_equal(spec->types[1], "g4");
+  assert_string_equal(spec->zone, "a");
+  assert_true(spec->deadline_s == 900 && spec->checkpoint_s == 30 && spec->spot && !spec->one_zone);
+  fc_job_record_clear(&record);
   json_decref(v);
 }
 
@@ -97,23 +98,23 @@
   fc_term term;
   json_t *v = stored("term");
   assert_true(fc_term_decode(v, &term));
-  assert_true(term.number == 12 && term.count == 3 && term.members[2].boot == 30 && term.names_since == 3);
+  assert_true(term.number == 12 && term.count == 3 && term.members[2].incarnation == 30 && term.names_since == 3);
   writes_as("term", fc_term_encode(&term));
   json_decref(v);
   static const char *const machines[] = {"machine", "machine booting"};
   for (size_t i = 0; i < G_N_ELEMENTS(machines); i++) {
-    fc_machine_record m;
+    fc_machine_record record;
     v = stored(machines[i]);
-    assert_true(fc_machine_record_decode(v, &m));
-    assert_string_equal(m.endpoint, i == 0 ? "10.1.0.2:9000" : "");
-    writes_as(machines[i], fc_machine_record_encode(&m));
+    assert_true(fc_machine_record_decode(v, &record));
+    assert_string_equal(record.endpoint, i == 0 ? "10.1.0.2:9000" : "");
+    writes_as(machines[i], fc_machine_record_encode(&record));
     json_decref(v);
   }
-  fc_rental_record h;
+  fc_rental_record rental;
   v = stored("rental");
-  assert_true(fc_rental_record_decode(v, &h));
-  assert_true(h.count == 50 && h.spot);
-  writes_as("rental", fc_rental_record_encode(&h));
+  assert_true(fc_rental_record_decode(v, &rental));
+  assert_true(rental.count == 50 && rental.spot);
+  writes_as("rental", fc_rental_record_encode(&rental));
   json_decref(v);
   static const char *const archived[] = {"archived done", "archived cancelled"};
   for (size_t i = 0; i < G_N_ELEMENTS(archived); i++) {
@@ -129,15 +130,15 @@
 
 static void shares_of_limits(void **state) {
   (void)state;
-  fc_settings s = {.team_count = 2};
-  s.teams[0] = (fc_team_settings){.name = "red"};
-  s.teams[1] = (fc_team_settings){.name = "blue", .gpus_max = 16};
-  fc_quota_record q;
+  fc_settings settings = {.team_count = 2};
+  settings.teams[0] = (fc_team_settings){.name = "red"};
+  settings.teams[1] = (fc_team_settings){.name = "blue", .gpus_max = 16};
+  fc_quota_record quota;
   json_t *v = stored("quota");
-  assert_true(fc_quota_record_decode(v, &s, &q));
-  assert_true(q.term == 12 && q.carried && q.member_count == 2);
-  assert_true(q.gpus[0][1] == 5.5 && q.gpus[1][1] == 10.25);
-  writes_as("quota", fc_quota_record_encode(&q, &s));
+  assert_true(fc_quota_record_decode(v, &settings, &quota));
+  assert_true(quota.term == 12 && quota.carried && quota.member_count == 2);
+  assert_true(quota.gpus[0][1] == 5.5 && quota.gpus[1][1] == 10.25);
+  writes_as("quota", fc_quota_record_encode(&quota, &settings));
   json_decref(v);
 }
 
@@ -166,16 +167,18 @@
   uint32_t len;
   assert_true(fc_frame_head(b->data, &type, &len));
   assert_true(type == FC_FRAME_VIEW && len == b->len - FC_FRAME_HEAD);
-  fc_view v;
-  assert_true(fc_view_decode(b->data + FC_FRAME_HEAD, len, &v));
-  assert_true(v.boot == 7 && v.term == 12 && v.seq == 11 && v.base == 10 && v.last && v.backlog == 3);
-  assert_true(v.cancel_count == 1 && v.cancels[0].revision == 77);
-  assert_true(v.machine_count == 2 && v.machines[0].task_count == 2 && v.machines[1].mute && v.machines[1].closed);
-  assert_int_equal(v.machines[0].tasks[1].cause, FC_CAUSE_DONE);
+  fc_view view;
+  assert_true(fc_view_decode(b->data + FC_FRAME_HEAD, len, &view));
+  assert_true(view.incarnation == 7 && view.term == 12 && view.sequence == 11 && view.base == 10 && view.last &&
+              view.backlog == 3);
+  assert_true(view.cancellation_count == 1 && view.cancellations[0].revision == 77);
+  assert_true(view.machine_count == 2 && view.machines[0].task_count == 2 && view.machines[1].unreachable &&
+              view.machines[1].cordoned);
+  assert_int_equal(view.machines[0].tasks[1].cause, FC_CAUSE_DONE);
   GByteArray *again = g_byte_array_new();
-  fc_view_encode(again, &v);
+  fc_view_encode(again, &view);
   same_bytes(b, again);
-  fc_view_clear(&v);
+  fc_view_clear(&view);
   g_byte_array_free(b, TRUE);
 }
 
@@ -188,8 +191,9 @@
   assert_int_equal(type, FC_FRAME_ACK);
   fc_ack a;
   assert_true(fc_ack_decode(b->data + FC_FRAME_HEAD, len, &a));
-  assert_true(a.applied && a.told_all && a.promise_ms == 7000 && a.revision == 80 && a.fresh_ms == 60);
-  assert_true(a.kept_count == 1 && a.kept[0].hears && a.asked_count == 1 && !a.asked[0].answered);
+  assert_true(a.applied && a.cancellations_complete && a.grant_ms == 7000 && a.revision == 80 &&
+              a.kv_read_age_ms == 60);
+  assert_true(a.renewal_count == 1 && a.renewals[0].bidirectional && a.probe_count == 1 && !a.probes[0].answered);
   GByteArray *again = g_byte_array_new();
   fc_ack_encode(again, &a);
   same_bytes(b, again);
--- a/tests/test_coordination.c
+++ b/tests/test_coordination.c
@@ -1,15 +1,15 @@
 /* The deal, authority and the shares of limits, by tables. */
 #include "check.h"
 
-#include "coordination/authority.h"
-#include "coordination/deal.h"
-#include "coordination/quota.h"
+#include "coordination/assignment.h"
+#include "coordination/leader_lease.h"
+#include "coordination/quota_division.h"
 
 static fc_term term_of(size_t count) {
   fc_term t = {.number = 1, .seed = 42, .count = count};
   for (size_t i = 0; i < count; i++) {
     g_snprintf(t.members[i].name, sizeof t.members[i].name, "paddock-%zu", i);
-    t.members[i].boot = 10 + i;
+    t.members[i].incarnation = 10 + i;
   }
   return t;
 }
@@ -23,25 +23,25 @@
   for (int i = 0; i < JOBS; i++) {
     char id[32];
     g_snprintf(id, sizeof id, "job-%06d", i);
-    int a = fc_deal_job(&three, id, 0, 1, NULL), b = fc_deal_job(&two, id, 0, 1, NULL);
+    int a = fc_assign_slice(&three, id, 0, 1, NULL), b = fc_assign_slice(&two, id, 0, 1, NULL);
     counts[a]++;
     moved_wrongly += a != 2 && a != b; /* only the leaver's jobs may move */
-    moved_by_seed += a != fc_deal_job(&other, id, 0, 1, NULL);
+    moved_by_seed += a != fc_assign_slice(&other, id, 0, 1, NULL);
   }
   for (int k = 0; k < 3; k++) assert_in_range(counts[k], JOBS / 3 - 120, JOBS / 3 + 120);
   assert_int_equal(moved_wrongly, 0);
   assert_in_range(moved_by_seed, JOBS / 2, JOBS * 5 / 6);
   fc_term none = {.count = 0};
-  assert_int_equal(fc_deal_job(&none, "job-000001", 0, 1, NULL), -1);
-  assert_int_equal(fc_deal_job(&three, "job-000001", 0, 1, "paddock-2"), 2);
-  assert_int_equal(fc_deal_machine(&two, "vm-1", "paddock-1"), 1);
-  assert_in_range(fc_deal_machine(&two, "vm-1", "paddock-2"), 0, 1); /* its owner has left */
+  assert_int_equal(fc_assign_slice(&none, "job-000001", 0, 1, NULL), -1);
+  assert_int_equal(fc_assign_slice(&three, "job-000001", 0, 1, "paddock-2"), 2);
+  assert_int_equal(fc_assign_machine(&two, "vm-1", "paddock-1"), 1);
+  assert_in_range(fc_assign_machine(&two, "vm-1", "paddock-2"), 0, 1); /* its owner has left */
 }
 
 static void the_right_to_act(void **state) {
   (void)state;
   /* lease 7, worker lease 14, cancel 34, report 2: stale bound 19 less drift */
-  static const double d = 1 - FC_DRIFT;
+  static const double d = 1 - FC_CLOCK_DRIFT;
   static const struct {
     const char *name;
     double lease_sent, fresh_sent;
@@ -60,20 +60,20 @@
   fc_term t = term_of(3);
   const int peer_of[] = {-1, 0, 1};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_authority r;
-    fc_authority_init(&r, 7, 14, 34, 2, 2);
-    if (rows[i].lease_sent >= 0) fc_authority_renewed(&r, rows[i].lease_sent);
-    fc_authority_fresh(&r, rows[i].fresh_sent);
+    fc_leader_lease r;
+    fc_leader_lease_init(&r, 7, 14, 34, 2, 2);
+    if (rows[i].lease_sent >= 0) fc_leader_lease_renewed(&r, rows[i].lease_sent);
+    fc_leader_lease_read_fresh(&r, rows[i].fresh_sent);
     for (size_t k = 0; k < 2; k++) {
       if (rows[i].promise[k] < 0) continue;
-      fc_authority_quiet(&r, k, rows[i].promise[k], rows[i].quiet_from[k]);
-      fc_authority_promised(&r, &t, peer_of, 0, k, rows[i].lease_sent + 1, rows[i].promise[k], 7);
+      fc_leader_lease_no_cancellation(&r, k, rows[i].promise[k], rows[i].quiet_from[k]);
+      fc_leader_lease_granted(&r, &t, peer_of, 0, k, rows[i].lease_sent + 1, rows[i].promise[k], 7);
     }
-    double until = fc_authority_until(&r, &t, peer_of, 0);
+    double until = fc_leader_lease_until(&r, &t, peer_of, 0);
     check_row(rows[i].name, until > rows[i].until - 1e-6 && until < rows[i].until + 1e-6);
-    check_row(rows[i].name, fc_authority_until(&r, &t, peer_of, -1) < 0);
-    fc_authority_new_term(&r); /* promises of the old term count no more */
-    check_row(rows[i].name, fc_authority_until(&r, &t, peer_of, 0) <= r.lease_until || r.lease_until < 0);
+    check_row(rows[i].name, fc_leader_lease_until(&r, &t, peer_of, -1) < 0);
+    fc_leader_lease_new_term(&r); /* promises of the old term count no more */
+    check_row(rows[i].name, fc_leader_lease_until(&r, &t, peer_of, 0) <= r.lease_until || r.lease_until < 0);
   }
 }
 
@@ -83,29 +83,30 @@
   (void)state;
   fc_term t = term_of(2);
   const int peer_of[] = {-1, 0};
-  fc_authority r;
-  fc_authority_init(&r, 7, 14, 34, 2, 1);
-  fc_authority_renewed(&r, 100);
-  fc_authority_fresh(&r, 105);
-  fc_authority_promised(&r, &t, peer_of, 0, 0, 106, 106, 7);
-  assert_true(fc_authority_until(&r, &t, peer_of, 0) > 112);
-  fc_authority_promised(&r, &t, peer_of, 0, 0, 114, 113.9, 7); /* too late */
-  assert_true(fc_authority_until(&r, &t, peer_of, 0) < 114);
-  fc_authority_renewed(&r, 114);
-  assert_true(fc_authority_until(&r, &t, peer_of, 0) > 120);
+  fc_leader_lease r;
+  fc_leader_lease_init(&r, 7, 14, 34, 2, 1);
+  fc_leader_lease_renewed(&r, 100);
+  fc_leader_lease_read_fresh(&r, 105);
+  fc_leader_lease_granted(&r, &t, peer_of, 0, 0, 106, 106, 7);
+  assert_true(fc_leader_lease_until(&r, &t, peer_of, 0) > 112);
+  fc_leader_lease_granted(&r, &t, peer_of, 0, 0, 114, 113.9, 7); /* too late */
+  assert_true(fc_leader_lease_until(&r, &t, peer_of, 0) < 114);
+  fc_leader_lease_renewed(&r, 114);
+  assert_true(fc_leader_lease_until(&r, &t, peer_of, 0) > 120);
 }
 
 /* Whoever missed an entry has stopped before the enterer may exclude it. */
 static void an_enterer_waits_out_whoever_missed_it(void **state) {
   (void)state;
-  fc_authority r;
-  fc_authority_init(&r, 7, 14, 34, 2, 1);
+  fc_leader_lease r;
+  fc_leader_lease_init(&r, 7, 14, 34, 2, 1);
   fc_term t = term_of(1); /* the enterer is no member of the term we know */
   const int peer_of[] = {-1};
-  fc_authority_fresh(&r, 100); /* read just before it entered at 100 */
-  double stops = fc_authority_until(&r, &t, peer_of, 0);
+  fc_leader_lease_read_fresh(&r, 100); /* read just before it entered at 100 */
+  double stops = fc_leader_lease_until(&r, &t, peer_of, 0);
   /* its clock may be slow, the enterer's fast */
-  assert_true(100 + (stops - 100) * (1 + FC_DRIFT / 2) < 100 + fc_authority_entry_wait(&r) * (1 - FC_DRIFT / 2));
+  assert_true(100 + (stops - 100) * (1 + FC_CLOCK_DRIFT / 2) <
+              100 + fc_leader_lease_entry_wait(&r) * (1 - FC_CLOCK_DRIFT / 2));
 }
 
 static void shares_never_pass_the_limit(void **state) {
@@ -113,7 +114,7 @@
   static const struct {
     const char *name;
     double limit;
-    fc_demand parts[3];
+    fc_quota_demand parts[3];
     double expect[3];
   } rows[] = {
       {"nothing asked", 30, {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, {10, 10, 10}},
@@ -133,7 +134,7 @@
     const char *name;
     fc_quota_others others;
     double own;
-    fc_demand demand;
+    fc_quota_demand demand;
     double expect;
   } steps[] = {
       {"keeps what nobody else needs", {10, 0, 2}, 20, {5, 3, 0}, 20},
@@ -157,7 +158,7 @@
   for (int n = 0; n < 20000; n++) {
     int k = g_rand_int_range(rand, 0, 3);
     used[k] = g_rand_double_range(rand, 0, share[k] + 1e-12); /* within its share */
-    fc_demand d = {used[k], g_rand_double_range(rand, 0, 40), g_rand_double_range(rand, 0, 2)};
+    fc_quota_demand d = {used[k], g_rand_double_range(rand, 0, 40), g_rand_double_range(rand, 0, 2)};
     fc_quota_others o = {share[(k + 1) % 3] + share[(k + 2) % 3], g_rand_double_range(rand, 0, 20), 2};
     share[k] = fc_quota_adjust(30, &o, share[k], &d);
     assert_true(share[0] + share[1] + share[2] <= 30 + 1e-6);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -6,9 +6,9 @@
 
 #include "protocol/cloud_api.h"
 #include "protocol/job_record.h"
+#include "protocol/kv_store.h"
 #include "protocol/records.h"
-#include "protocol/state_api.h"
-#include "protocol/worker.h"
+#include "protocol/worker_api.h"
 #include "sim/requests.h"
 #include "sim/world.h"
 #include "transport/routine.h"
@@ -190,7 +190,7 @@
 static void bodies_for_workers(void **state) {
   (void)state;
   GString *out = g_string_new(NULL);
-  fc_worker_answer(out, 41, k_commands, G_N_ELEMENTS(k_commands));
+  fc_heartbeat_answer(out, 41, k_commands, G_N_ELEMENTS(k_commands));
   golden_check("worker: commands", out->str);
   g_string_truncate(out, 0);
   fc_worker_redirect(out, NULL);
@@ -214,21 +214,21 @@
                                            " " FC_PREFIX_RENTAL " " FC_PREFIX_PART " " FC_KEY_ARCHIVE
                                            " " FC_KEY_RETURNED " " FC_PREFIX_ARCHIVED);
   check_stored("stored: member", fc_member_key_encode());
-  fc_job_record r = {.origin = {.submitted_at = 1700000000.5, .term = 3}, .slices = 1, .awaiting = true};
+  fc_job_record record = {.origin = {.submitted_at = 1700000000.5, .term = 3}, .slices = 1, .awaiting = true};
   char error[200];
-  assert_true(fc_job_spec_parse(submission, strlen(submission), &r.spec, error, sizeof error));
-  check_stored("stored: awaiting job", fc_job_record_encode(&r));
-  char *text = fc_job_description_text(&r.spec);
+  assert_true(fc_job_spec_parse(submission, strlen(submission), &record.spec, error, sizeof error));
+  check_stored("stored: awaiting job", fc_job_record_encode(&record));
+  char *text = fc_job_description_text(&record.spec);
   golden_check("stored: description", text);
-  GPtrArray *parts = fc_job_description_cut(text, 200, &r.parts);
-  check_stored("stored: job in parts", fc_job_record_encode(&r));
-  char *key = fc_job_part_key(r.spec.id, r.parts.digest, 1);
+  GPtrArray *parts = fc_job_description_cut(text, 200, &record.parts);
+  check_stored("stored: job in parts", fc_job_record_encode(&record));
+  char *key = fc_job_part_key(record.spec.id, record.parts.digest, 1);
   golden_check("stored: key of a part", key);
   check_stored("stored: part", fc_job_part_encode(parts->pdata[1]));
   g_free(key);
   g_ptr_array_free(parts, TRUE);
   g_free(text);
-  fc_job_spec_clear(&r.spec);
+  fc_job_spec_clear(&record.spec);
 }
 
 /* What the server at one address is asked: each request goes on as the next name says. */
@@ -260,26 +260,26 @@
   g_ptr_array_free(out, TRUE);
 }
 
-static void ask_state(fc_state *service, double until) {
+static void ask_state(fc_kv *service, double until) {
   GPtrArray *out = g_ptr_array_new();
   bool more;
   uint64_t number;
   json_t *value;
   fc_txn *txn = fc_txn_new();
-  ASK("state: empty commit", fc_state_commit(service, txn, until, &number, NULL));
-  fc_txn_if(txn, "a/b", 0);
-  fc_txn_if(txn, "c/d", 412);
+  ASK("state: empty commit", fc_kv_commit(service, txn, until, &number, NULL));
+  fc_txn_compare(txn, "a/b", 0);
+  fc_txn_compare(txn, "c/d", 412);
   fc_txn_put(txn, "a/b", json_pack("{si}", "f", 1));
   fc_txn_put_leased(txn, "a/c", json_pack("{si}", "f", 1), 7);
   fc_txn_delete(txn, "c/d");
-  ASK("state: commit", fc_state_commit(service, txn, until, &number, NULL));
+  ASK("state: commit", fc_kv_commit(service, txn, until, &number, NULL));
   fc_txn_free(txn);
-  ASK("state: key", fc_state_get(service, "a/b", until, &value));
-  ASK("state: first page", fc_state_list(service, "c/", NULL, 200, until, out, &more, &number));
-  ASK("state: next page", fc_state_list(service, "c/", "c/7", 200, until, out, &more, &number));
-  ASK("state: changes", fc_state_changes(service, "c/", 431, 10, until, out, &number));
-  ASK("state: lease", fc_state_lease_open(service, 5, until, &number));
-  ASK("state: renewal", fc_state_lease_renew(service, 7, until));
+  ASK("state: key", fc_kv_get(service, "a/b", until, &value));
+  ASK("state: first page", fc_kv_list(service, "c/", NULL, 200, until, out, &more, &number));
+  ASK("state: next page", fc_kv_list(service, "c/", "c/7", 200, until, out, &more, &number));
+  ASK("state: changes", fc_kv_changes(service, "c/", 431, 10, until, out, &number));
+  ASK("state: lease", fc_kv_lease_open(service, 5, until, &number));
+  ASK("state: renewal", fc_kv_lease_renew(service, 7, until));
   g_ptr_array_free(out, TRUE);
 }
 
@@ -289,12 +289,12 @@
   fc_cloud *cloud = fc_cloud_new(&at);
   ask_cloud(cloud, until);
   fc_cloud_free(cloud);
-  fc_state *service = fc_state_new(&at);
+  fc_kv *service = fc_kv_new(&at);
   ask_state(service, until);
-  fc_state_free(service);
-  fc_worker_report report;
-  ASK("worker: orders", fc_worker_order(&at, 41, 3, k_commands, G_N_ELEMENTS(k_commands), until, &report));
-  ASK("worker: asked", fc_worker_order(&at, 41, 3, NULL, 0, until, &report));
+  fc_kv_free(service);
+  fc_heartbeat report;
+  ASK("worker: orders", fc_worker_call(&at, 41, 3, k_commands, G_N_ELEMENTS(k_commands), until, &report));
+  ASK("worker: asked", fc_worker_call(&at, 41, 3, NULL, 0, until, &report));
   *(bool *)arg = true;
 }
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -136,11 +136,11 @@
   fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
   uint64_t before = 0;
   for (int i = 0; i < 3; i++) {
-    fc_http_client *c = fc_http_client_new(&at, rows[i].most_body);
+    fc_http_client *client = fc_http_client_new(&at, rows[i].most_body);
     uint64_t first = 0;
     for (int k = 0; k < 2; k++) {
       fc_http_reply reply;
-      bool ok = fc_http_call(c, "GET", "/ready", NULL, 0, fc_now() + 5, &reply);
+      bool ok = fc_http_call(client, "GET", "/ready", NULL, 0, fc_now() + 5, &reply);
       check_row(rows[i].name, ok == rows[i].ok && reply.too_large == rows[i].too_large);
       fc_http_reply_clear(&reply);
       if (k == 0) first = g_connection;
@@ -148,7 +148,7 @@
     /* Requests on one connection name it, those on another another. */
     check_row(rows[i].name, first != before && (g_connection == first) == rows[i].ok);
     before = g_connection;
-    fc_http_client_free(c);
+    fc_http_client_free(client);
   }
   ev_break(fc_loop(), EVBREAK_ALL);
 }
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -4,10 +4,10 @@
 
 #include <math.h>
 
-#include "bookkeeping/parts.h"
-#include "bookkeeping/pipeline.h"
+#include "bookkeeping/dependencies.h"
+#include "bookkeeping/description_parts.h"
 #include "protocol/json.h"
-#include "scheduler/place.h"
+#include "scheduler/bin_packing.h"
 
 /* ---- what is parsed and stored ---- */
 
@@ -48,16 +48,16 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     char *text = submission(rows[i].awaits);
-    fc_job_spec s;
+    fc_job_spec spec;
     char error[200] = "";
-    bool ok = fc_job_spec_parse(text, strlen(text), &s, error, sizeof error);
+    bool ok = fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error);
     check_row(rows[i].name, ok == (rows[i].ids != NULL));
     if (ok) {
-      char *ids = s.awaits ? g_strjoinv(" ", s.awaits) : g_strdup("");
+      char *ids = spec.awaits ? g_strjoinv(" ", spec.awaits) : g_strdup("");
       check_row(rows[i].name, strcmp(ids, rows[i].ids) == 0);
-      check_row(rows[i].name, (s.awaits == NULL) == (*rows[i].ids == '\0'));
+      check_row(rows[i].name, (spec.awaits == NULL) == (*rows[i].ids == '\0'));
       g_free(ids);
-      fc_job_spec_clear(&s);
+      fc_job_spec_clear(&spec);
     } else {
       check_row(rows[i].name, g_str_has_prefix(error, rows[i].error ? rows[i].error : "awaits"));
     }
@@ -70,7 +70,7 @@
   (void)state;
   static const struct {
     const char *name, *awaits;
-    fc_phase phase;
+    fc_job_phase phase;
     int format;
   } rows[] = {
       {"awaits nobody", "[]", FC_PHASE_ACCEPTED, FC_JOB_FORMAT_PLAIN},
@@ -80,25 +80,25 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     char *text = submission(rows[i].awaits);
-    fc_job_spec s;
+    fc_job_spec spec;
     char error[200];
-    assert_true(fc_job_spec_parse(text, strlen(text), &s, error, sizeof error));
+    assert_true(fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error));
     const fc_job_origin origin = {.term = 3, .submitted_at = 1.8e9 + 0.5};
     json_t *v = fc_job_record_encode(&(fc_job_record){
-        .spec = s, .origin = origin, .phase = rows[i].phase, .slices = 1, .awaiting = s.awaits != NULL});
+        .spec = spec, .origin = origin, .phase = rows[i].phase, .slices = 1, .awaiting = spec.awaits != NULL});
     check_row(rows[i].name, json_integer_value(json_object_get(v, "f")) == rows[i].format);
     bool awaiting = rows[i].format == FC_JOB_FORMAT_AWAITING;
-    fc_job_record r;
-    check_row(rows[i].name, fc_job_record_decode(v, &r));
-    check_row(rows[i].name, r.phase == rows[i].phase && (r.spec.awaits != NULL) == awaiting);
+    fc_job_record record;
+    check_row(rows[i].name, fc_job_record_decode(v, &record));
+    check_row(rows[i].name, record.phase == rows[i].phase && (record.spec.awaits != NULL) == awaiting);
     if (awaiting) {
-      check_row(rows[i].name, strcmp(r.spec.awaits[0], "job-0000405") == 0);
-      check_row(rows[i].name, strcmp(r.spec.awaits[1], "job-000398") == 0 && !r.spec.awaits[2]);
-      check_row(rows[i].name, r.origin.submitted_at == origin.submitted_at);
+      check_row(rows[i].name, strcmp(record.spec.awaits[0], "job-0000405") == 0);
+      check_row(rows[i].name, strcmp(record.spec.awaits[1], "job-000398") == 0 && !record.spec.awaits[2]);
+      check_row(rows[i].name, record.origin.submitted_at == origin.submitted_at);
     }
-    fc_job_record_clear(&r);
+    fc_job_record_clear(&record);
     json_decref(v);
-    fc_job_spec_clear(&s);
+    fc_job_spec_clear(&spec);
     g_free(text);
   }
 }
@@ -107,18 +107,18 @@
   (void)state;
   static const char *const bad[] = {"null", "\"\"", "7", "[\"000398\"]", "\"398\"", "\"000398,\"", "\"000398,x\""};
   char *text = submission("[\"job-000398\"]");
-  fc_job_spec s;
+  fc_job_spec spec;
   char error[200];
-  assert_true(fc_job_spec_parse(text, strlen(text), &s, error, sizeof error));
+  assert_true(fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error));
   for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
     json_t *v =
-        fc_job_record_encode(&(fc_job_record){.spec = s, .phase = FC_PHASE_ACCEPTED, .slices = 1, .awaiting = true});
+        fc_job_record_encode(&(fc_job_record){.spec = spec, .phase = FC_PHASE_ACCEPTED, .slices = 1, .awaiting = true});
     json_object_set_new(v, "awaits", fc_json_parse(bad[i], strlen(bad[i])));
-    fc_job_record r;
-    check_row(bad[i], !fc_job_record_decode(v, &r));
+    fc_job_record record;
+    check_row(bad[i], !fc_job_record_decode(v, &record));
     json_decref(v);
   }
-  fc_job_spec_clear(&s);
+  fc_job_spec_clear(&spec);
   g_free(text);
 }
 
@@ -158,11 +158,11 @@
   static const size_t sizes[] = {64, 1024, 2048, 8192, 1 << 20};
   for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
     char *list = long_list(ids[i]), *text = submission(list), error[200];
-    fc_job_spec s, again;
-    assert_true(fc_job_spec_parse(text, strlen(text), &s, error, sizeof error));
-    char *description = fc_job_description_text(&s);
+    fc_job_spec spec, again;
+    assert_true(fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error));
+    char *description = fc_job_description_text(&spec);
     for (size_t k = 0; k < G_N_ELEMENTS(sizes); k++) {
-      fc_job_parts parts;
+      fc_description_ref parts;
       GPtrArray *pieces = fc_job_description_cut(description, sizes[k], &parts);
       GString *whole = g_string_new(NULL);
       assert_int_equal(parts.count, pieces->len);
@@ -178,11 +178,11 @@
     }
     assert_true(fc_job_description_read(description, &again));
     assert_int_equal(again.awaits ? g_strv_length(again.awaits) : 0, ids[i]);
-    assert_true(again.tasks == s.tasks && again.deadline_s == s.deadline_s);
+    assert_true(again.tasks == spec.tasks && again.deadline_s == spec.deadline_s);
     fc_job_spec_clear(&again);
     description[strlen(description) / 2] = '\0'; /* a part is missing */
     assert_false(fc_job_description_read(description, &again));
-    fc_job_spec_clear(&s);
+    fc_job_spec_clear(&spec);
     g_free(description);
     g_free(text);
     g_free(list);
@@ -221,44 +221,44 @@
 /* Parts come in any order, some go, some are of another text of the same job. */
 static void parts_that_are_there(void **state) {
   (void)state;
-  fc_parts *p = fc_parts_new();
-  const fc_job_parts of = {.digest = DIGEST, .count = 3};
-  fc_parts_put(p, "job-000001", DIGEST, 2, "c", 12, 5);
-  fc_parts_put(p, "job-000001", DIGEST, 0, "a", 10, 6);
-  fc_parts_put(p, "job-000001", "another", 1, "x", 11, 6);
-  assert_null(fc_parts_join(p, "job-000001", &of));
-  fc_parts_put(p, "job-000001", DIGEST, 1, "b", 11, 7);
-  fc_parts_put(p, "job-000001", DIGEST, 1, "old", 9, 7); /* read late */
-  char *whole = fc_parts_join(p, "job-000001", &of);
+  fc_description_parts *descriptions = fc_description_parts_new();
+  const fc_description_ref of = {.digest = DIGEST, .count = 3};
+  fc_description_parts_put(descriptions, "job-000001", DIGEST, 2, "c", 12, 5);
+  fc_description_parts_put(descriptions, "job-000001", DIGEST, 0, "a", 10, 6);
+  fc_description_parts_put(descriptions, "job-000001", "another", 1, "x", 11, 6);
+  assert_null(fc_description_parts_join(descriptions, "job-000001", &of));
+  fc_description_parts_put(descriptions, "job-000001", DIGEST, 1, "b", 11, 7);
+  fc_description_parts_put(descriptions, "job-000001", DIGEST, 1, "old", 9, 7); /* read late */
+  char *whole = fc_description_parts_join(descriptions, "job-000001", &of);
   assert_string_equal(whole, "abc");
   g_free(whole);
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 2), 12);
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 3), 0);
-  fc_parts_drop_texts(p, "job-000001", DIGEST);
-  assert_null(fc_parts_join(p, "job-000001", &of));
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 0), 10);
-  fc_parts_put(p, "job-000001", DIGEST, 0, NULL, 20, 8);
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 0), 0);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 2), 12);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 3), 0);
+  fc_description_parts_drop_texts(descriptions, "job-000001", DIGEST);
+  assert_null(fc_description_parts_join(descriptions, "job-000001", &of));
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 0), 10);
+  fc_description_parts_put(descriptions, "job-000001", DIGEST, 0, NULL, 20, 8);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 0), 0);
   /* Everything is read anew: what is not there any more is gone, what is newer stays. */
   GHashTable *present = g_hash_table_new(g_str_hash, g_str_equal);
   g_hash_table_add(present, "fc1/part/job-000001/" DIGEST "/1");
-  fc_parts_put(p, "job-000001", DIGEST, 5, "f", 31, 8);
-  fc_parts_keep(p, present, 30);
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 1), 11);
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 2), 0);
-  assert_int_equal(fc_parts_version(p, "job-000001", DIGEST, 5), 31);
-  assert_int_equal(fc_parts_version(p, "job-000001", "another", 1), 0);
+  fc_description_parts_put(descriptions, "job-000001", DIGEST, 5, "f", 31, 8);
+  fc_description_parts_retain(descriptions, present, 30);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 1), 11);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 2), 0);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", DIGEST, 5), 31);
+  assert_int_equal(fc_description_parts_version(descriptions, "job-000001", "another", 1), 0);
   g_hash_table_destroy(present);
-  fc_parts_free(p);
+  fc_description_parts_free(descriptions);
 }
 
 /* A record whose description is elsewhere, and ones that say so in a wrong way. */
 static void records_with_parts(void **state) {
   (void)state;
-  fc_job_record r = {.phase = FC_PHASE_ACCEPTED, .slices = 4, .awaiting = true, .done = (char *)"0-1"};
-  r.parts = (fc_job_parts){.digest = DIGEST, .count = 3};
-  r.origin = (fc_job_origin){.term = 6, .submitted_at = 1.8e9};
-  json_t *v = fc_job_record_encode(&r);
+  fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .slices = 4, .awaiting = true, .done = (char *)"0-1"};
+  record.parts = (fc_description_ref){.digest = DIGEST, .count = 3};
+  record.origin = (fc_job_origin){.term = 6, .submitted_at = 1.8e9};
+  json_t *v = fc_job_record_encode(&record);
   assert_int_equal(json_integer_value(json_object_get(v, "f")), FC_JOB_FORMAT_AWAITING);
   fc_job_record again;
   assert_true(fc_job_record_decode(v, &again));
@@ -284,7 +284,7 @@
 
 typedef struct scene {
   fc_settings settings;
-  fc_table *table;
+  fc_cluster *table;
   uint64_t version;
 } scene;
 
@@ -297,7 +297,7 @@
 }
 
 static void scene_free(scene *s) {
-  fc_table_free(s->table);
+  fc_cluster_free(s->table);
   g_free(s);
 }
 
@@ -311,47 +311,48 @@
 
 typedef struct stage {
   unsigned job;
-  fc_rank rank;
+  fc_priority rank;
   double estimate_s, deadline_s; /* 0: no deadline */
   unsigned awaits[4];            /* 0: no more */
 } stage;
 
 /* The record of the job as it is read, in one phase or another. */
-static fc_job *put_at(scene *s, const stage *st, fc_phase phase, bool fresh, double now) {
+static fc_job *put_at(scene *s, const stage *st, fc_job_phase phase, bool fresh, double now) {
   char *awaits[5] = {NULL};
   for (unsigned i = 0; i < 4 && st->awaits[i]; i++) awaits[i] = g_strdup(id_of(st->awaits[i]));
-  fc_job_record r = {.phase = phase, .done = "", .slices = 1};
-  r.awaiting = st->awaits[0] && phase == FC_PHASE_ACCEPTED;
-  r.spec = (fc_job_spec){.id = (char *)id_of(st->job),
-                         .class_name = g_ref_string_new_intern("c"),
-                         .team = g_ref_string_new_intern("red"),
-                         .image = g_ref_string_new_intern("i"),
-                         .rank = st->rank,
-                         .tasks = 1,
-                         .cpus = 1,
-                         .estimate_s = st->estimate_s,
-                         .deadline_s = st->deadline_s > 0 ? st->deadline_s : -1,
-                         .awaits = r.awaiting ? awaits : NULL};
-  fc_job *j = fc_table_put_job(s->table, r.spec.id, &r, ++s->version, fresh, now);
-  g_ref_string_release(r.spec.class_name);
-  g_ref_string_release(r.spec.team);
-  g_ref_string_release(r.spec.image);
+  fc_job_record record = {.phase = phase, .done = "", .slices = 1};
+  record.awaiting = st->awaits[0] && phase == FC_PHASE_ACCEPTED;
+  record.spec = (fc_job_spec){.id = (char *)id_of(st->job),
+                              .class_name = g_ref_string_new_intern("c"),
+                              .team = g_ref_string_new_intern("red"),
+                              .image = g_ref_string_new_intern("i"),
+                              .priority = st->rank,
+                              .tasks = 1,
+                              .cpus = 1,
+                              .estimate_s = st->estimate_s,
+                              .deadline_s = st->deadline_s > 0 ? st->deadline_s : -1,
+                              .awaits = record.awaiting ? awaits : NULL};
+  fc_job *job = fc_cluster_apply_job(s->table, record.spec.id, &record, ++s->version, fresh, now);
+  g_ref_string_release(record.spec.class_name);
+  g_ref_string_release(record.spec.team);
+  g_ref_string_release(record.spec.image);
   for (char **id = awaits; *id; id++) g_free(*id);
-  return j;
+  return job;
 }
 
-static fc_job *put(scene *s, const stage *st, fc_phase phase) {
+static fc_job *put(scene *s, const stage *st, fc_job_phase phase) {
   return put_at(s, st, phase, true, 0);
 }
 
 static const fc_job *job(const scene *s, unsigned k) {
-  return fc_table_job(s->table, id_of(k));
+  return fc_cluster_find_job(s->table, id_of(k));
 }
 
 /* 1 <- 2, 3 <- 4; 4 -> 5; 6 alone. */
 static const stage k_diamond[] = {
-    {1, FC_RANK_BEST_EFFORT, 10, 0, {0}}, {2, FC_RANK_BEST_EFFORT, 20, 0, {1}}, {3, FC_RANK_STANDARD, 30, 0, {1}},
-    {4, FC_RANK_STANDARD, 5, 0, {2, 3}},  {5, FC_RANK_HIGH, 10, 200, {4}},      {6, FC_RANK_STANDARD, 10, 0, {0}},
+    {1, FC_PRIORITY_BEST_EFFORT, 10, 0, {0}}, {2, FC_PRIORITY_BEST_EFFORT, 20, 0, {1}},
+    {3, FC_PRIORITY_STANDARD, 30, 0, {1}},    {4, FC_PRIORITY_STANDARD, 5, 0, {2, 3}},
+    {5, FC_PRIORITY_HIGH, 10, 200, {4}},      {6, FC_PRIORITY_STANDARD, 10, 0, {0}},
 };
 enum { DIAMOND = G_N_ELEMENTS(k_diamond) };
 
@@ -367,10 +368,10 @@
     /* Ranks and latest starts: 5 by 190, 4 by 185 as it takes 5, 2 by 165, 3 by 155, 1 by 145. */
     static const double latest[] = {0, 145, 165, 155, 185, 190};
     for (unsigned k = 1; k <= 5; k++) {
-      assert_int_equal(job(s, k)->rank, FC_RANK_HIGH);
+      assert_int_equal(job(s, k)->queue.priority, FC_PRIORITY_HIGH);
       assert_true(fabs(fc_job_latest_start(job(s, k)) - latest[k]) < 1e-9);
     }
-    assert_true(job(s, 6)->rank == FC_RANK_STANDARD && isinf(fc_job_latest_start(job(s, 6))));
+    assert_true(job(s, 6)->queue.priority == FC_PRIORITY_STANDARD && isinf(fc_job_latest_start(job(s, 6))));
     scene_free(s);
   }
 }
@@ -378,7 +379,7 @@
 typedef struct readiness_row {
   const char *name;
   unsigned over[6]; /* jobs in the order in which they end; 0: no more */
-  fc_phase as;      /* of the last of them; the others are done */
+  fc_job_phase as;  /* of the last of them; the others are done */
   unsigned ready;   /* a bit a job: accepted and ready */
   unsigned cancelled;
 } readiness_row;
@@ -405,7 +406,7 @@
     check_row(row->name, fc_job_runnable(j) == (row->ready >> k & 1));
     check_row(row->name, (j->phase == FC_PHASE_CANCELLED) == (row->cancelled >> k & 1));
     uint32_t running;
-    if (!fc_job_ready(j) && !(row->cancelled >> k & 1))
+    if (!fc_job_dependencies_met(j) && !(row->cancelled >> k & 1))
       check_row(row->name, fc_job_status_of(j, &running) == FC_STATUS_PENDING);
   }
 }
@@ -426,7 +427,7 @@
       scene *again = scene_new();
       for (unsigned n = 0; n < DIAMOND; n++) {
         unsigned k = backwards ? DIAMOND - 1 - n : n;
-        put_at(again, &k_diamond[k], job(s, k + 1)->recorded_phase, false, 0);
+        put_at(again, &k_diamond[k], job(s, k + 1)->record.phase, false, 0);
       }
       check_readiness(again, row);
       scene_free(again);
@@ -455,16 +456,16 @@
     scene *s = scene_new();
     if (rows[i].known) put(s, &k_diamond[0], FC_PHASE_ACCEPTED);
     put(s, &k_diamond[1], FC_PHASE_ACCEPTED);
-    check_row(rows[i].name, !fc_job_ready(job(s, 2)));
-    check_row(rows[i].name, (fc_job_unknown_awaited(job(s, 2)) == NULL) == rows[i].known);
-    if (rows[i].how == TOLD) fc_table_cancel(s->table, id_of(1), 1000, 3, 4);
-    if (rows[i].how == ARCHIVED_CANCELLED) fc_pipeline_learned(s->table, id_of(1), FC_AWAITED_CANCELLED, 4);
-    if (rows[i].how == ARCHIVED_DONE) fc_pipeline_learned(s->table, id_of(1), FC_AWAITED_DONE, 4);
-    if (rows[i].how == REMOVED) fc_table_remove_job(s->table, fc_table_job(s->table, id_of(1)));
+    check_row(rows[i].name, !fc_job_dependencies_met(job(s, 2)));
+    check_row(rows[i].name, (fc_job_unknown_dependency(job(s, 2)) == NULL) == rows[i].known);
+    if (rows[i].how == TOLD) fc_cluster_apply_cancellation(s->table, id_of(1), 1000, 3, 4);
+    if (rows[i].how == ARCHIVED_CANCELLED) fc_dependencies_learn(s->table, id_of(1), FC_DEPENDENCY_CANCELLED, 4);
+    if (rows[i].how == ARCHIVED_DONE) fc_dependencies_learn(s->table, id_of(1), FC_DEPENDENCY_DONE, 4);
+    if (rows[i].how == REMOVED) fc_cluster_remove_job(s->table, fc_cluster_find_job(s->table, id_of(1)));
     const fc_job *j = job(s, 2);
     check_row(rows[i].name, fc_job_runnable(j) == rows[i].ready);
     check_row(rows[i].name, (j->phase == FC_PHASE_CANCELLED) == rows[i].cancelled);
-    GPtrArray *unknown = fc_pipeline_unknown(s->table, 9);
+    GPtrArray *unknown = fc_dependencies_unknown(s->table, 9);
     check_row(rows[i].name, unknown->len == (rows[i].how == REMOVED));
     g_ptr_array_free(unknown, TRUE);
     scene_free(s);
@@ -480,19 +481,19 @@
   put(s, &k_diamond[0], FC_PHASE_CANCELLED);
   put(s, &k_diamond[1], FC_PHASE_ACCEPTED); /* written by one who did not know yet */
   assert_int_equal(job(s, 2)->phase, FC_PHASE_CANCELLED);
-  assert_int_equal(job(s, 2)->recorded_phase, FC_PHASE_ACCEPTED);
-  GPtrArray *ids = fc_pipeline_unrecorded(s->table, s->table->self, 9);
+  assert_int_equal(job(s, 2)->record.phase, FC_PHASE_ACCEPTED);
+  GPtrArray *ids = fc_dependencies_unrecorded(s->table, s->table->membership.self, 9);
   assert_int_equal(ids->len, 2);
   g_ptr_array_free(ids, TRUE);
-  assert_true(fc_pipeline_awaited(s->table, id_of(1))); /* not to be archived yet */
+  assert_true(fc_dependencies_has_dependents(s->table, id_of(1))); /* not to be archived yet */
   put(s, &k_diamond[1], FC_PHASE_CANCELLED);
   put(s, &k_diamond[2], FC_PHASE_CANCELLED);
-  ids = fc_pipeline_unrecorded(s->table, s->table->self, 9);
+  ids = fc_dependencies_unrecorded(s->table, s->table->membership.self, 9);
   assert_int_equal(ids->len, 0);
   g_ptr_array_free(ids, TRUE);
-  assert_false(fc_pipeline_awaited(s->table, id_of(1)));
+  assert_false(fc_dependencies_has_dependents(s->table, id_of(1)));
   /* One that names it now is cancelled from the start. */
-  static const stage late = {9, FC_RANK_HIGH, 1, 0, {1}};
+  static const stage late = {9, FC_PRIORITY_HIGH, 1, 0, {1}};
   put(s, &late, FC_PHASE_ACCEPTED);
   assert_int_equal(job(s, 9)->phase, FC_PHASE_CANCELLED);
   scene_free(s);
@@ -503,26 +504,26 @@
   (void)state;
   scene *s = scene_new();
   for (unsigned k = 0; k < 4; k++) put(s, &k_diamond[k], FC_PHASE_ACCEPTED);
-  assert_true(job(s, 1)->rank == FC_RANK_STANDARD && isinf(job(s, 1)->due_at));
+  assert_true(job(s, 1)->queue.priority == FC_PRIORITY_STANDARD && isinf(job(s, 1)->queue.due_at));
   put(s, &k_diamond[4], FC_PHASE_ACCEPTED); /* the last is submitted late */
-  assert_true(job(s, 1)->rank == FC_RANK_HIGH && job(s, 1)->due_at == 155);
-  assert_true(job(s, 2)->rank == FC_RANK_HIGH && job(s, 2)->due_at == 185);
-  static const stage sooner = {7, FC_RANK_BEST_EFFORT, 10, 60, {2}};
+  assert_true(job(s, 1)->queue.priority == FC_PRIORITY_HIGH && job(s, 1)->queue.due_at == 155);
+  assert_true(job(s, 2)->queue.priority == FC_PRIORITY_HIGH && job(s, 2)->queue.due_at == 185);
+  static const stage sooner = {7, FC_PRIORITY_BEST_EFFORT, 10, 60, {2}};
   put(s, &sooner, FC_PHASE_ACCEPTED);
-  assert_true(job(s, 2)->due_at == 50 && job(s, 1)->due_at == 30 && job(s, 3)->due_at == 185);
-  static const stage higher = {8, FC_RANK_PROD, 10, 400, {2}};
+  assert_true(job(s, 2)->queue.due_at == 50 && job(s, 1)->queue.due_at == 30 && job(s, 3)->queue.due_at == 185);
+  static const stage higher = {8, FC_PRIORITY_PROD, 10, 400, {2}};
   put(s, &higher, FC_PHASE_ACCEPTED);
-  assert_true(job(s, 2)->rank == FC_RANK_PROD && job(s, 2)->due_at == 50);
+  assert_true(job(s, 2)->queue.priority == FC_PRIORITY_PROD && job(s, 2)->queue.due_at == 50);
   put(s, &higher, FC_PHASE_CANCELLED);
-  assert_true(job(s, 2)->rank == FC_RANK_HIGH && job(s, 2)->due_at == 50);
+  assert_true(job(s, 2)->queue.priority == FC_PRIORITY_HIGH && job(s, 2)->queue.due_at == 50);
   put(s, &sooner, FC_PHASE_CANCELLED);
-  assert_true(job(s, 2)->due_at == 185 && job(s, 1)->due_at == 155);
+  assert_true(job(s, 2)->queue.due_at == 185 && job(s, 1)->queue.due_at == 155);
   put(s, &k_diamond[4], FC_PHASE_CANCELLED);
-  assert_true(job(s, 1)->rank == FC_RANK_STANDARD && isinf(job(s, 1)->due_at));
-  assert_true(job(s, 2)->rank == FC_RANK_STANDARD && job(s, 3)->rank == FC_RANK_STANDARD);
-  fc_table_cancel(s->table, id_of(4), 1000, 0, 0); /* told by a peer */
-  assert_int_equal(job(s, 2)->rank, FC_RANK_BEST_EFFORT);
-  assert_int_equal(job(s, 3)->rank, FC_RANK_STANDARD);
+  assert_true(job(s, 1)->queue.priority == FC_PRIORITY_STANDARD && isinf(job(s, 1)->queue.due_at));
+  assert_true(job(s, 2)->queue.priority == FC_PRIORITY_STANDARD && job(s, 3)->queue.priority == FC_PRIORITY_STANDARD);
+  fc_cluster_apply_cancellation(s->table, id_of(4), 1000, 0, 0); /* told by a peer */
+  assert_int_equal(job(s, 2)->queue.priority, FC_PRIORITY_BEST_EFFORT);
+  assert_int_equal(job(s, 3)->queue.priority, FC_PRIORITY_STANDARD);
   scene_free(s);
 }
 
@@ -532,20 +533,20 @@
   scene *s = scene_new();
   put_at(s, &k_diamond[0], FC_PHASE_ACCEPTED, true, 1);
   put_at(s, &k_diamond[1], FC_PHASE_ACCEPTED, true, 2);
-  const fc_demand_class *c = g_hash_table_lookup(s->table->demand.classes, "c");
-  assert_true(c->weight == 1);
+  const fc_arrival_class *job_class = g_hash_table_lookup(s->table->arrivals.classes, "c");
+  assert_true(job_class->weight == 1);
   put_at(s, &k_diamond[0], FC_PHASE_DONE, true, 50);
-  assert_true(job(s, 2)->queued_at == 50 && job(s, 2)->submitted_at == 2);
-  assert_true(c->weight > 1);
-  assert_int_equal(job(s, 2)->clear, ~0u);
+  assert_true(job(s, 2)->queue.entered_at == 50 && job(s, 2)->lifecycle.submitted_at == 2);
+  assert_true(job_class->weight > 1);
+  assert_int_equal(job(s, 2)->slices.resolved, ~0u);
   scene_free(s);
   /* Seen ready by one who reads everything anew, it may have been started before. */
   s = scene_new();
-  s->table->settled_latch = 0;
+  s->table->reconciliation.complete_in_term = 0;
   put_at(s, &k_diamond[1], FC_PHASE_ACCEPTED, false, 2);
   put_at(s, &k_diamond[0], FC_PHASE_DONE, false, 2);
-  assert_true(fc_job_ready(job(s, 2)));
-  assert_int_equal(job(s, 2)->clear, 0);
+  assert_true(fc_job_dependencies_met(job(s, 2)));
+  assert_int_equal(job(s, 2)->slices.resolved, 0);
   scene_free(s);
 }
 
@@ -555,11 +556,11 @@
   scene *s = scene_new();
   put(s, &k_diamond[0], FC_PHASE_ACCEPTED);
   put(s, &k_diamond[1], FC_PHASE_ACCEPTED);
-  static const stage plain = {2, FC_RANK_BEST_EFFORT, 20, 0, {0}};
+  static const stage plain = {2, FC_PRIORITY_BEST_EFFORT, 20, 0, {0}};
   put_at(s, &plain, FC_PHASE_ACCEPTED, true, 7); /* its owner knew before us */
-  assert_true(fc_job_ready(job(s, 2)) && job(s, 2)->queued_at == 7);
+  assert_true(fc_job_dependencies_met(job(s, 2)) && job(s, 2)->queue.entered_at == 7);
   assert_null(job(s, 2)->spec.awaits);
-  assert_false(fc_pipeline_awaited(s->table, id_of(1)));
+  assert_false(fc_dependencies_has_dependents(s->table, id_of(1)));
   scene_free(s);
 }
 
@@ -577,7 +578,7 @@
   assert_string_equal(g_array_index(plan, fc_decision, 0).job->spec.id, "job-000001");
   assert_string_equal(g_array_index(plan, fc_decision, 1).job->spec.id, "job-000006");
   g_array_free(plan, TRUE);
-  GPtrArray *open = fc_jobs_open(s->table);
+  GPtrArray *open = fc_cluster_open_jobs(s->table);
   assert_int_equal(open->len, 2);
   g_ptr_array_free(open, TRUE);
   scene_free(s);
@@ -594,24 +595,29 @@
 static void order_of_jobs(void **state) {
   (void)state;
   static const order_row rows[] = {
-      {"by rank", {1, FC_RANK_STANDARD, 9, 10, {0}}, {2, FC_RANK_HIGH, 9, 0, {0}}, 0, 5, false},
-      {"first come", {1, FC_RANK_HIGH, 9, 0, {0}}, {2, FC_RANK_HIGH, 9, 0, {0}}, 0, 5, true},
-      {"the sooner deadline", {1, FC_RANK_HIGH, 9, 90, {0}}, {2, FC_RANK_HIGH, 9, 50, {0}}, 0, 5, false},
-      {"the longer one of equal deadlines", {1, FC_RANK_HIGH, 9, 90, {0}}, {2, FC_RANK_HIGH, 30, 90, {0}}, 0, 0, false},
+      {"by rank", {1, FC_PRIORITY_STANDARD, 9, 10, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, false},
+      {"first come", {1, FC_PRIORITY_HIGH, 9, 0, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, true},
+      {"the sooner deadline", {1, FC_PRIORITY_HIGH, 9, 90, {0}}, {2, FC_PRIORITY_HIGH, 9, 50, {0}}, 0, 5, false},
+      {"the longer one of equal deadlines",
+       {1, FC_PRIORITY_HIGH, 9, 90, {0}},
+       {2, FC_PRIORITY_HIGH, 30, 90, {0}},
+       0,
+       0,
+       false},
       {"a deadline far away waits for what has none",
-       {1, FC_RANK_HIGH, 9, 90, {0}},
-       {2, FC_RANK_HIGH, 9, 0, {0}},
+       {1, FC_PRIORITY_HIGH, 9, 90, {0}},
+       {2, FC_PRIORITY_HIGH, 9, 0, {0}},
        0,
        5,
        false},
-      {"one that is close does not", {1, FC_RANK_HIGH, 9, 12, {0}}, {2, FC_RANK_HIGH, 9, 0, {0}}, 0, 5, true},
+      {"one that is close does not", {1, FC_PRIORITY_HIGH, 9, 12, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene *s = scene_new();
     const fc_job *a = put_at(s, &rows[i].a, FC_PHASE_ACCEPTED, true, rows[i].a_at);
     const fc_job *b = put_at(s, &rows[i].b, FC_PHASE_ACCEPTED, true, rows[i].b_at);
-    check_row(rows[i].name, (fc_job_by_importance(&a, &b) < 0) == rows[i].a_first);
-    check_row(rows[i].name, (fc_job_by_importance(&b, &a) > 0) == rows[i].a_first);
+    check_row(rows[i].name, (fc_job_compare_priority(&a, &b) < 0) == rows[i].a_first);
+    check_row(rows[i].name, (fc_job_compare_priority(&b, &a) > 0) == rows[i].a_first);
     scene_free(s);
   }
 }
@@ -626,11 +632,11 @@
   (void)state;
   scene *s = scene_new();
   for (unsigned k = 1; k <= LONG; k++) {
-    const stage st = {k, k == LONG ? FC_RANK_PROD : FC_RANK_STANDARD, 1, k == LONG ? 2.0 * LONG : 0, {k - 1}};
+    const stage st = {k, k == LONG ? FC_PRIORITY_PROD : FC_PRIORITY_STANDARD, 1, k == LONG ? 2.0 * LONG : 0, {k - 1}};
     put(s, &st, FC_PHASE_ACCEPTED);
   }
-  assert_true(job(s, 1)->rank == FC_RANK_PROD && job(s, 1)->due_at == 2.0 * LONG - (LONG - 1));
-  const stage first = {1, FC_RANK_STANDARD, 1, 0, {0}};
+  assert_true(job(s, 1)->queue.priority == FC_PRIORITY_PROD && job(s, 1)->queue.due_at == 2.0 * LONG - (LONG - 1));
+  const stage first = {1, FC_PRIORITY_STANDARD, 1, 0, {0}};
   put(s, &first, FC_PHASE_CANCELLED);
   for (unsigned k = 1; k <= LONG; k++) assert_int_equal(job(s, k)->phase, FC_PHASE_CANCELLED);
   scene_free(s);
@@ -640,14 +646,14 @@
 static void a_wide_fan(void **state) {
   (void)state;
   scene *s = scene_new();
-  const stage first = {1, FC_RANK_STANDARD, 1, 0, {0}};
+  const stage first = {1, FC_PRIORITY_STANDARD, 1, 0, {0}};
   put(s, &first, FC_PHASE_ACCEPTED);
   for (unsigned k = 2; k <= LONG; k++) {
-    const stage st = {k, FC_RANK_HIGH, 1, 1000.0 - k * 0.1, {1}};
+    const stage st = {k, FC_PRIORITY_HIGH, 1, 1000.0 - k * 0.1, {1}};
     put(s, &st, FC_PHASE_ACCEPTED);
   }
-  assert_true(job(s, 1)->rank == FC_RANK_HIGH);
-  assert_true(fabs(job(s, 1)->due_at - (1000.0 - LONG * 0.1 - 1)) < 1e-6);
+  assert_true(job(s, 1)->queue.priority == FC_PRIORITY_HIGH);
+  assert_true(fabs(job(s, 1)->queue.due_at - (1000.0 - LONG * 0.1 - 1)) < 1e-6);
   put(s, &first, FC_PHASE_DONE);
   for (unsigned k = 2; k <= LONG; k++) assert_true(fc_job_runnable(job(s, k)));
   scene_free(s);
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -3,12 +3,12 @@
 
 #include <math.h>
 
-#include "protocol/frame.h"
 #include "protocol/job_record.h"
 #include "protocol/json.h"
+#include "protocol/peer_frame.h"
 #include "protocol/records.h"
 #include "protocol/routes.h"
-#include "protocol/worker.h"
+#include "protocol/worker_api.h"
 
 static const char k_good[] =
     "{\"id\":\"job-000412\",\"squad\":\"train\",\"club\":\"vision\",\"play\":\"gang\",\"rank\":\"high\",\"runs\":16,"
@@ -57,13 +57,13 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     char *text = with(rows[i].from, rows[i].to);
-    fc_job_spec s;
+    fc_job_spec spec;
     char error[200] = "";
-    bool ok = fc_job_spec_parse(text, strlen(text), &s, error, sizeof error);
+    bool ok = fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error);
     check_row(rows[i].name, ok == (rows[i].error == NULL));
     if (ok) {
-      check_row(rows[i].name, strcmp(s.id, "job-000412") == 0);
-      fc_job_spec_clear(&s);
+      check_row(rows[i].name, strcmp(spec.id, "job-000412") == 0);
+      fc_job_spec_clear(&spec);
     } else {
       check_row(rows[i].name, g_str_has_prefix(error, rows[i].error));
     }
@@ -71,9 +71,9 @@
   }
   static const char *const not_objects[] = {"", "[]", "3", "\"x\"", "null", "{}", "{\"id\":"};
   for (size_t i = 0; i < G_N_ELEMENTS(not_objects); i++) {
-    fc_job_spec s;
+    fc_job_spec spec;
     char error[200];
-    assert_false(fc_job_spec_parse(not_objects[i], strlen(not_objects[i]), &s, error, sizeof error));
+    assert_false(fc_job_spec_parse(not_objects[i], strlen(not_objects[i]), &spec, error, sizeof error));
   }
 }
 
@@ -91,42 +91,43 @@
 
 static void job_records_round_trip(void **state) {
   (void)state;
-  fc_job_spec s;
+  fc_job_spec spec;
   char error[200];
-  assert_true(fc_job_spec_parse(k_good, strlen(k_good), &s, error, sizeof error));
-  const fc_job_record written = {.spec = s,
+  assert_true(fc_job_spec_parse(k_good, strlen(k_good), &spec, error, sizeof error));
+  const fc_job_record written = {.spec = spec,
                                  .origin = {.term = 6, .moved = 5, .last_move = {[2] = {9, 6}}},
                                  .phase = FC_PHASE_CANCELLED,
                                  .done = (char *)"0-3,7",
                                  .slices = 4,
                                  .handed = {[2] = (char *)"paddock-2"}};
   json_t *v = fc_job_record_encode(&written);
-  fc_job_record r;
-  assert_true(fc_job_record_decode(v, &r));
-  assert_int_equal(r.phase, FC_PHASE_CANCELLED);
-  assert_string_equal(r.done, "0-3,7");
-  assert_int_equal(r.slices, 4);
-  assert_string_equal(r.handed[2], "paddock-2");
-  assert_null(r.handed[0]);
-  assert_true(r.origin.term == 6 && r.origin.moved == 5);
-  assert_true(r.origin.last_move[2].term == 9 && r.origin.last_move[2].members == 6);
-  assert_true(r.origin.last_move[0].term == 0 && r.origin.last_move[0].members == 0);
-  assert_int_equal(r.spec.tasks, 16);
-  assert_true(r.spec.deadline_s == 900.0 && r.spec.zone == NULL && strcmp(r.spec.types[0], "g8") == 0);
-  fc_job_record_clear(&r);
+  fc_job_record record;
+  assert_true(fc_job_record_decode(v, &record));
+  assert_int_equal(record.phase, FC_PHASE_CANCELLED);
+  assert_string_equal(record.done, "0-3,7");
+  assert_int_equal(record.slices, 4);
+  assert_string_equal(record.handed[2], "paddock-2");
+  assert_null(record.handed[0]);
+  assert_true(record.origin.term == 6 && record.origin.moved == 5);
+  assert_true(record.origin.last_move[2].term == 9 && record.origin.last_move[2].members == 6);
+  assert_true(record.origin.last_move[0].term == 0 && record.origin.last_move[0].members == 0);
+  assert_int_equal(record.spec.tasks, 16);
+  assert_true(record.spec.deadline_s == 900.0 && record.spec.zone == NULL && strcmp(record.spec.types[0], "g8") == 0);
+  fc_job_record_clear(&record);
   json_t *moves = json_incref(json_object_get(v, "lastMove"));
   json_object_del(v, "lastMove"); /* written before there was such a field */
-  assert_true(fc_job_record_decode(v, &r));
-  assert_true(r.origin.moved == 5 && r.origin.last_move[2].term == 0 && r.origin.last_move[2].members == 0);
-  fc_job_record_clear(&r);
+  assert_true(fc_job_record_decode(v, &record));
+  assert_true(record.origin.moved == 5 && record.origin.last_move[2].term == 0 &&
+              record.origin.last_move[2].members == 0);
+  fc_job_record_clear(&record);
   json_object_set_new(moves, "4", json_pack("[ii]", 9, 6)); /* no slice of it */
   json_object_set_new(v, "lastMove", moves);
-  assert_false(fc_job_record_decode(v, &r));
+  assert_false(fc_job_record_decode(v, &record));
   json_object_del(v, "lastMove");
   json_object_set_new(v, "f", json_integer(2)); /* a format we don't know */
-  assert_false(fc_job_record_decode(v, &r));
+  assert_false(fc_job_record_decode(v, &record));
   json_decref(v);
-  fc_job_spec_clear(&s);
+  fc_job_spec_clear(&spec);
 }
 
 /* Only what nothing of it has to look at the rest for is split. */
@@ -139,18 +140,15 @@
     bool one_zone, spread;
     unsigned limit, slices;
   } rows[] = {
-      {"an array", FC_KIND_ARRAY, 12, false, false, 16, 4},
-      {"up to the limit", FC_KIND_ARRAY, 12, false, false, 2, 2},
-      {"too small", FC_KIND_ARRAY, 3, false, false, 16, 1},
-      {"all in one zone", FC_KIND_ARRAY, 12, true, false, 16, 1},
-      {"scattered", FC_KIND_ARRAY, 12, false, true, 16, 1},
-      {"a gang", FC_KIND_GANG, 12, false, false, 16, 1},
-      {"a service", FC_KIND_SERVICE, 12, false, false, 16, 1},
+      {"an array", FC_JOB_ARRAY, 12, false, false, 16, 4},    {"up to the limit", FC_JOB_ARRAY, 12, false, false, 2, 2},
+      {"too small", FC_JOB_ARRAY, 3, false, false, 16, 1},    {"all in one zone", FC_JOB_ARRAY, 12, true, false, 16, 1},
+      {"scattered", FC_JOB_ARRAY, 12, false, true, 16, 1},    {"a gang", FC_JOB_GANG, 12, false, false, 16, 1},
+      {"a service", FC_JOB_SERVICE, 12, false, false, 16, 1},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    const fc_job_spec s = {
+    const fc_job_spec spec = {
         .kind = rows[i].kind, .tasks = rows[i].tasks, .one_zone = rows[i].one_zone, .spread = rows[i].spread};
-    check_row(rows[i].name, fc_job_slices(&s, rows[i].limit) == rows[i].slices);
+    check_row(rows[i].name, fc_job_slices(&spec, rows[i].limit) == rows[i].slices);
   }
 }
 
@@ -211,13 +209,14 @@
       {"not JSON", "report", false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_worker_report r;
+    fc_heartbeat heartbeat;
     char error[200];
-    bool ok = fc_worker_report_parse(rows[i].text, strlen(rows[i].text), &r, error, sizeof error);
+    bool ok = fc_heartbeat_parse(rows[i].text, strlen(rows[i].text), &heartbeat, error, sizeof error);
     check_row(rows[i].name, ok == rows[i].good);
     if (!ok) continue;
-    check_row(rows[i].name, r.task_count == 1 && r.tasks[0].index == 3 && r.tasks[0].saved && r.notice_s < 0);
-    fc_worker_report_clear(&r);
+    check_row(rows[i].name, heartbeat.task_count == 1 && heartbeat.tasks[0].index == 3 && heartbeat.tasks[0].saved &&
+                                heartbeat.spot_notice_s < 0);
+    fc_heartbeat_clear(&heartbeat);
   }
 }
 
@@ -235,12 +234,12 @@
     for (unsigned k = 0; k < rows[i].tasks; k++)
       g_string_append_printf(s, "%s{\"run\":\"job-000001/%u\",\"kickoff\":1,\"status\":\"running\"}", k ? "," : "", k);
     g_string_append(s, "]}");
-    fc_worker_report r;
+    fc_heartbeat heartbeat;
     char error[200] = "";
-    bool ok = fc_worker_report_parse(s->str, s->len, &r, error, sizeof error);
+    bool ok = fc_heartbeat_parse(s->str, s->len, &heartbeat, error, sizeof error);
     check_row("large report", ok == rows[i].read);
-    check_row("large report", ok ? r.task_count == rows[i].tasks : strstr(error, "runs") != NULL);
-    if (ok) fc_worker_report_clear(&r);
+    check_row("large report", ok ? heartbeat.task_count == rows[i].tasks : strstr(error, "runs") != NULL);
+    if (ok) fc_heartbeat_clear(&heartbeat);
     g_string_free(s, TRUE);
   }
 }
@@ -248,19 +247,19 @@
 static void frames(void **state) {
   (void)state;
   fc_frame_task task = {.job = "job-000412", .index = 3, .attempt = 7, .state = FC_TASK_RUNNING};
-  fc_frame_machine machine = {.id = "vm-1", .settled = true, .tasks = &task, .task_count = 1};
-  fc_frame_cancel cancels[] = {{"job-000411", 77, 1500}, {"job-000410", 78, 0}};
-  fc_view v = {.sender = "paddock-1",
-               .boot = 5,
-               .term = 9,
-               .seq = 11,
-               .revision = 76,
-               .cancels = cancels,
-               .cancel_count = 2,
-               .machines = &machine,
-               .machine_count = 1};
+  fc_frame_machine machine = {.id = "vm-1", .reconciled = true, .tasks = &task, .task_count = 1};
+  fc_frame_cancellation cancels[] = {{"job-000411", 77, 1500}, {"job-000410", 78, 0}};
+  fc_view view = {.sender = "paddock-1",
+                  .incarnation = 5,
+                  .term = 9,
+                  .sequence = 11,
+                  .revision = 76,
+                  .cancellations = cancels,
+                  .cancellation_count = 2,
+                  .machines = &machine,
+                  .machine_count = 1};
   GByteArray *b = g_byte_array_new();
-  fc_view_encode(b, &v);
+  fc_view_encode(b, &view);
   fc_frame_type type;
   uint32_t len;
   assert_true(fc_frame_head(b->data, &type, &len));
@@ -268,17 +267,17 @@
   fc_view out;
   assert_true(fc_view_decode(b->data + FC_FRAME_HEAD, len, &out));
   assert_string_equal(out.machines[0].tasks[0].job, "job-000412");
-  assert_true(out.machines[0].settled && !out.machines[0].closed && out.term == 9);
+  assert_true(out.machines[0].reconciled && !out.machines[0].cordoned && out.term == 9);
   assert_int_equal(out.revision, 76);
-  assert_int_equal(out.cancel_count, 2);
-  assert_string_equal(out.cancels[1].job, "job-000410");
-  assert_true(out.cancels[0].revision == 77 && out.cancels[0].age_ms == 1500);
+  assert_int_equal(out.cancellation_count, 2);
+  assert_string_equal(out.cancellations[1].job, "job-000410");
+  assert_true(out.cancellations[0].revision == 77 && out.cancellations[0].age_ms == 1500);
   fc_view_clear(&out);
   /* A length at the bound is one of ours, one over is not. */
   uint8_t head[FC_FRAME_HEAD];
   memcpy(head, b->data, sizeof head);
   for (int over = -1; over <= 1; over++) {
-    guint32 n = GUINT32_TO_BE(FC_FRAME_MOST + (guint32)over);
+    guint32 n = GUINT32_TO_BE(FC_FRAME_MAX + (guint32)over);
     uint32_t read;
     memcpy(head + 4, &n, 4);
     assert_int_equal(fc_frame_head(head, &type, &read), over <= 0);
@@ -300,27 +299,32 @@
  * than a frame may pass on. */
 static void acknowledgements(void **state) {
   (void)state;
-  fc_frame_cancel *cancels = g_new0(fc_frame_cancel, FC_FRAME_CANCELS_MOST + 1);
-  for (size_t i = 0; i <= FC_FRAME_CANCELS_MOST; i++) g_snprintf(cancels[i].job, sizeof cancels[i].job, "j%zu", i);
-  fc_frame_kept kept = {.machine = "vm-1", .age_ms = 5, .hears = true, .session = 2, .seq = 9};
-  fc_frame_asked asked[] = {{"vm-2", 7, true}, {"vm-3", 1500, false}};
+  fc_frame_cancellation *cancels = g_new0(fc_frame_cancellation, FC_FRAME_CANCELLATIONS_MAX + 1);
+  for (size_t i = 0; i <= FC_FRAME_CANCELLATIONS_MAX; i++) g_snprintf(cancels[i].job, sizeof cancels[i].job, "j%zu", i);
+  fc_frame_lease_renewal kept = {.machine = "vm-1", .age_ms = 5, .bidirectional = true, .epoch = 2, .sequence = 9};
+  fc_frame_probe asked[] = {{"vm-2", 7, true}, {"vm-3", 1500, false}};
   static const struct {
     const char *name;
     size_t cancels;
     bool read;
   } rows[] = {{"none", 0, true},
               {"two", 2, true},
-              {"at the bound", FC_FRAME_CANCELS_MOST, true},
-              {"over it", FC_FRAME_CANCELS_MOST + 1, false}};
+              {"at the bound", FC_FRAME_CANCELLATIONS_MAX, true},
+              {"over it", FC_FRAME_CANCELLATIONS_MAX + 1, false}};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_ack a = {.sender = "paddock-1", .boot = 5, .term = 9, .seq = 11, .applied = true, .told_all = true};
+    fc_ack a = {.sender = "paddock-1",
+                .incarnation = 5,
+                .term = 9,
+                .sequence = 11,
+                .applied = true,
+                .cancellations_complete = true};
     a.revision = 80;
-    a.cancels = cancels;
-    a.cancel_count = rows[i].cancels;
-    a.kept = &kept;
-    a.kept_count = 1;
-    a.asked = asked;
-    a.asked_count = G_N_ELEMENTS(asked);
+    a.cancellations = cancels;
+    a.cancellation_count = rows[i].cancels;
+    a.renewals = &kept;
+    a.renewal_count = 1;
+    a.probes = asked;
+    a.probe_count = G_N_ELEMENTS(asked);
     GByteArray *b = g_byte_array_new();
     fc_ack_encode(b, &a);
     const uint8_t *p = b->data + FC_FRAME_HEAD;
@@ -328,11 +332,12 @@
     fc_ack out;
     check_row(rows[i].name, fc_ack_decode(p, len, &out) == rows[i].read);
     if (rows[i].read) {
-      check_row(rows[i].name, out.told_all && out.revision == 80 && out.cancel_count == rows[i].cancels);
-      check_row(rows[i].name, out.kept_count == 1 && strcmp(out.kept[0].machine, "vm-1") == 0);
-      check_row(rows[i].name, out.asked_count == 2 && strcmp(out.asked[1].machine, "vm-3") == 0);
-      check_row(rows[i].name, out.asked[0].answered && out.asked[0].age_ms == 7);
-      check_row(rows[i].name, !out.asked[1].answered && out.asked[1].age_ms == 1500);
+      check_row(rows[i].name,
+                out.cancellations_complete && out.revision == 80 && out.cancellation_count == rows[i].cancels);
+      check_row(rows[i].name, out.renewal_count == 1 && strcmp(out.renewals[0].machine, "vm-1") == 0);
+      check_row(rows[i].name, out.probe_count == 2 && strcmp(out.probes[1].machine, "vm-3") == 0);
+      check_row(rows[i].name, out.probes[0].answered && out.probes[0].age_ms == 7);
+      check_row(rows[i].name, !out.probes[1].answered && out.probes[1].age_ms == 1500);
       fc_ack_clear(&out);
     }
     for (uint32_t n = 0; n < MIN(len, 200); n++) {
@@ -379,7 +384,7 @@
       {"GET", "/api/jobs/job-000001/withdraw", FC_ROUTE_WRONG_METHOD, "POST"},
       {"POST", "/api/jobs/job-000001/other", FC_ROUTE_NONE, NULL},
       {"GET", "/api/jobs/", FC_ROUTE_NONE, NULL},
-      {"POST", "/checkin", FC_ROUTE_REPORT, NULL},
+      {"POST", "/checkin", FC_ROUTE_HEARTBEAT, NULL},
       {"GET", "/ready", FC_ROUTE_READY, NULL},
       {"GET", "/", FC_ROUTE_NONE, NULL},
   };
