--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -3,10 +3,10 @@
 
 #include <math.h>
 
-#include "scheduler/place.h"
-#include "scheduler/preempt.h"
-#include "scheduler/rent.h"
-#include "scheduler/share.h"
+#include "scheduler/bin_packing.h"
+#include "scheduler/capacity_planning.h"
+#include "scheduler/preemption.h"
+#include "scheduler/shard_balancing.h"
 #include "world.h"
 
 static fc_allowance unlimited(void) {
@@ -18,57 +18,58 @@
 static unsigned planned(const GArray *plan, const char *job, const char *machine, const char *zone) {
   unsigned n = 0;
   for (guint i = 0; i < plan->len; i++) {
-    const fc_decision *d = &g_array_index(plan, fc_decision, i);
-    n += (!job || strcmp(d->job->spec.id, job) == 0) && (!machine || strcmp(d->machine->id, machine) == 0) &&
-         (!zone || strcmp(d->machine->rec.zone, zone) == 0);
+    const fc_decision *decision = &g_array_index(plan, fc_decision, i);
+    n += (!job || strcmp(decision->job->spec.id, job) == 0) &&
+         (!machine || strcmp(decision->machine->id, machine) == 0) &&
+         (!zone || strcmp(decision->machine->record.zone, zone) == 0);
   }
   return n;
 }
 
-static GArray *round_of(fc_table *t) {
+static GArray *round_of(fc_cluster *cluster) {
   fc_allowance a = unlimited();
-  return fc_place_round(t, &a, 1);
+  return fc_place_round(cluster, &a, 1);
 }
 
 static void rank_then_lowest_share(void **state) {
   (void)state;
-  fc_settings s = world_settings();
-  fc_table *t = world_table(&s);
-  world_machine(t, "vm-1", "a", false);
-  world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-  world_job(t, "job-000002", "sweep", "standard", "blue", 4, 1, "");
-  world_job(t, "job-000003", "service", "prod", "red", 1, 1, "");
-  GArray *plan = round_of(t);
+  fc_settings settings = world_settings();
+  fc_cluster *cluster = world_table(&settings);
+  world_machine(cluster, "vm-1", "a", false);
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  world_job(cluster, "job-000002", "sweep", "standard", "blue", 4, 1, "");
+  world_job(cluster, "job-000003", "service", "prod", "red", 1, 1, "");
+  GArray *plan = round_of(cluster);
   assert_int_equal(plan->len, 4);
   assert_string_equal(g_array_index(plan, fc_decision, 0).job->spec.id, "job-000003");
   /* red already uses one, so blue gets two of the three left */
   assert_int_equal(planned(plan, "job-000002", NULL, NULL), 2);
   assert_int_equal(planned(plan, "job-000001", NULL, NULL), 1);
   g_array_free(plan, TRUE);
-  fc_table_free(t);
+  fc_cluster_free(cluster);
 }
 
 static void image_first_then_roomiest(void **state) {
   (void)state;
-  fc_settings s = world_settings();
-  fc_table *t = world_table(&s);
-  fc_machine *holder = world_machine(t, "vm-1", "a", false);
-  world_machine(t, "vm-2", "a", false);
-  fc_job *other = world_job(t, "job-000001", "service", "prod", "red", 1, 2, "");
-  fc_placement *p = fc_table_place(t, holder, other->spec.id, 0, 1, 0);
-  p->state = FC_TASK_RUNNING;
+  fc_settings settings = world_settings();
+  fc_cluster *cluster = world_table(&settings);
+  fc_machine *holder = world_machine(cluster, "vm-1", "a", false);
+  world_machine(cluster, "vm-2", "a", false);
+  fc_job *other = world_job(cluster, "job-000001", "service", "prod", "red", 1, 2, "");
+  fc_placement *placement = fc_cluster_add_placement(cluster, holder, other->spec.id, 0, 1, 0);
+  placement->status.state = FC_TASK_RUNNING;
   GRefString *image = g_ref_string_new_intern("img");
-  fc_machine_used_image(holder, image);
-  world_job(t, "job-000002", "sweep", "standard", "red", 1, 1, "");
-  GArray *plan = round_of(t);
+  fc_machine_touch_image(holder, image);
+  world_job(cluster, "job-000002", "sweep", "standard", "red", 1, 1, "");
+  GArray *plan = round_of(cluster);
   assert_int_equal(planned(plan, "job-000002", "vm-1", NULL), 1); /* fuller, but it has the image */
   g_array_free(plan, TRUE);
   g_ptr_array_set_size(holder->images, 0);
-  plan = round_of(t);
+  plan = round_of(cluster);
   assert_int_equal(planned(plan, "job-000002", "vm-2", NULL), 1);
   g_array_free(plan, TRUE);
   g_ref_string_release(image);
-  fc_table_free(t);
+  fc_cluster_free(cluster);
 }
 
 static void zones_types_kinds(void **state) {
@@ -92,17 +93,17 @@
       {"too large for a machine", "sweep", 1, 5, "", 0, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    world_machine(t, "vm-1", "a", false);
-    world_machine(t, "vm-2", "a", false);
-    world_machine(t, "vm-3", "b", false);
-    world_job(t, "job-000001", rows[i].kind, "standard", "red", rows[i].tasks, rows[i].gpus, rows[i].extra);
-    GArray *plan = round_of(t);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    world_machine(cluster, "vm-1", "a", false);
+    world_machine(cluster, "vm-2", "a", false);
+    world_machine(cluster, "vm-3", "b", false);
+    world_job(cluster, "job-000001", rows[i].kind, "standard", "red", rows[i].tasks, rows[i].gpus, rows[i].extra);
+    GArray *plan = round_of(cluster);
     check_row(rows[i].name, planned(plan, NULL, NULL, "a") == rows[i].expect_a);
     check_row(rows[i].name, planned(plan, NULL, NULL, "b") == rows[i].expect_b);
     g_array_free(plan, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -129,51 +130,51 @@
 static void never_placed(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_never_placed); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    fc_machine *m = world_machine(t, "vm-1", "a", k_never_placed[i].what == SPOT);
-    fc_job *j = world_job(t, "job-000001", "sweep", "standard", "red", 1, 1,
-                          k_never_placed[i].what == SPOT ? "\"loaners\":false" : "");
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", k_never_placed[i].what == SPOT);
+    fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1,
+                            k_never_placed[i].what == SPOT ? "\"loaners\":false" : "");
     fc_allowance a = unlimited();
     double now = 1;
     switch (k_never_placed[i].what) {
       case CLOSED:
-        m->closed = true;
+        fc_machine_cordon(machine);
         break;
       case UNSETTLED:
-        m->settled_term = 0;
+        machine->reconciled_term = 0;
         break;
       case NOT_OURS:
-        m->owner = -1;
+        machine->owner = -1;
         break;
       case SILENT:
         now = 8;
         break;
       case NOTICE:
-        m->notice_until = 100;
+        machine->drain.spot_notice_until = 100;
         break;
       case UNRECORDED:
-        m->announced = false;
+        machine->announced = false;
         break;
       case UNCLEAR:
-        j->clear = 0;
+        job->slices.resolved = 0;
         break;
       case OVER_LIMIT:
         a.gpus[0] = 0.5;
         break;
       case RUNNING:
-        fc_table_place(t, m, j->spec.id, 0, 1, 0)->state = FC_TASK_FETCHING;
+        fc_cluster_add_placement(cluster, machine, job->spec.id, 0, 1, 0)->status.state = FC_TASK_FETCHING;
         break;
       case CANCELLED:
-        j->phase = FC_PHASE_CANCELLED;
+        job->phase = FC_PHASE_CANCELLED;
         break;
       default:
         break;
     }
-    GArray *plan = fc_place_round(t, &a, now);
+    GArray *plan = fc_place_round(cluster, &a, now);
     check_row(k_never_placed[i].name, (plan->len == 1) == (k_never_placed[i].what == NONE));
     g_array_free(plan, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -192,22 +193,22 @@
       {"ordinary where not", "red", "service", 8, "\"loaners\":false", 0, 2},
       {"not beyond the limit", "blue", "sweep", 100, "", 4, 0},
       {"a large array at once", "red", "sweep", 150, "", 38, 0},
-      {"the bound", "red", "sweep", FC_MISSING_MOST, "", FC_MISSING_MOST / 4, 0},
-      {"one over it: the rest follows", "red", "sweep", FC_MISSING_MOST + 1, "", FC_MISSING_MOST / 4, 0},
+      {"the bound", "red", "sweep", FC_PENDING_TASKS_MAX, "", FC_PENDING_TASKS_MAX / 4, 0},
+      {"one over it: the rest follows", "red", "sweep", FC_PENDING_TASKS_MAX + 1, "", FC_PENDING_TASKS_MAX / 4, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    world_job(t, "job-000001", rows[i].kind, "standard", rows[i].team, rows[i].tasks, 1, rows[i].extra);
-    GArray *wants = fc_rent_wants(t, NULL, NULL, 1e6);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    world_job(cluster, "job-000001", rows[i].kind, "standard", rows[i].team, rows[i].tasks, 1, rows[i].extra);
+    GArray *wants = fc_scale_out_plan(cluster, NULL, NULL, 1e6);
     unsigned spot = 0, ordinary = 0;
     for (guint k = 0; k < wants->len; k++) {
-      const fc_want *w = &g_array_index(wants, fc_want, k);
-      *(w->spot ? &spot : &ordinary) += w->count;
+      const fc_rental_request *request = &g_array_index(wants, fc_rental_request, k);
+      *(request->spot ? &spot : &ordinary) += request->count;
     }
     check_row(rows[i].name, spot == rows[i].expect_spot && ordinary == rows[i].expect_ordinary);
     g_array_free(wants, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -225,21 +226,21 @@
       {"the owner was only dealt", 2, true, false, false, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    fc_job *j = world_job(t, "job-000001", "sweep", "standard", "red", 1, 1, "");
-    if (!rows[i].recorded_ours) g_strlcpy(m->rec.owner, "paddock-9", sizeof m->rec.owner);
-    fc_term next = t->term;
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
+    if (!rows[i].recorded_ours) g_strlcpy(machine->record.owner, "paddock-9", sizeof machine->record.owner);
+    fc_term next = cluster->membership.term;
     next.number = rows[i].number;
-    fc_table_set_term(t, &next, 9, rows[i].continuous, 1);
-    check_row(rows[i].name, (m->settled_term == next.number) == rows[i].machine_settled);
-    check_row(rows[i].name, (j->clear & 1) == rows[i].job_clear);
+    fc_cluster_apply_term(cluster, &next, 9, rows[i].continuous, 1);
+    check_row(rows[i].name, (machine->reconciled_term == next.number) == rows[i].machine_settled);
+    check_row(rows[i].name, (job->slices.resolved & 1) == rows[i].job_clear);
     /* Everything settled: nothing can be anywhere that we do not know of. */
-    check_row(rows[i].name, fc_table_check_settled(t) == rows[i].machine_settled);
-    m->settled_term = next.number;
-    check_row(rows[i].name, fc_table_check_settled(t) && j->clear);
-    fc_table_free(t);
+    check_row(rows[i].name, fc_cluster_update_reconciled(cluster) == rows[i].machine_settled);
+    machine->reconciled_term = next.number;
+    check_row(rows[i].name, fc_cluster_update_reconciled(cluster) && job->slices.resolved);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -258,14 +259,14 @@
       {"its address not recorded: nothing was ever started on it", false, 0, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    t->settled_latch = 0;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    m->announced = rows[i].announced;
-    m->settled_term = rows[i].settled;
-    check_row(rows[i].name, fc_table_check_settled(t) == rows[i].latches);
-    fc_table_free(t);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    cluster->reconciliation.complete_in_term = 0;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    machine->announced = rows[i].announced;
+    machine->reconciled_term = rows[i].settled;
+    check_row(rows[i].name, fc_cluster_update_reconciled(cluster) == rows[i].latches);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -286,28 +287,29 @@
       {"part of a gang", "gang", "standard", "red", 8, "service", "prod", 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    s.teams[1].gpus = rows[i].blue_guarantee;
-    fc_table *t = world_table(&s);
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    m->heard_at = 90;
-    fc_job *old = world_job(t, "job-000001", rows[i].victim_kind, rows[i].victim_rank, rows[i].victim_team, 4, 1, "");
+    fc_settings settings = world_settings();
+    settings.teams[1].gpus = rows[i].blue_guarantee;
+    fc_cluster *cluster = world_table(&settings);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    machine->agent.heard_at = 90;
+    fc_job *old =
+        world_job(cluster, "job-000001", rows[i].victim_kind, rows[i].victim_rank, rows[i].victim_team, 4, 1, "");
     for (uint32_t k = 0; k < 4; k++) {
-      fc_placement *p = fc_table_place(t, m, old->spec.id, k, 1, 10);
-      p->state = FC_TASK_RUNNING;
-      p->running_since = 50 - k; /* the first has run the shortest */
+      fc_placement *placement = fc_cluster_add_placement(cluster, machine, old->spec.id, k, 1, 10);
+      placement->status.state = FC_TASK_RUNNING;
+      placement->status.running_since = 50 - k; /* the first has run the shortest */
     }
-    world_job(t, "job-000002", rows[i].kind, rows[i].rank, "red", 1, 1, "");
+    world_job(cluster, "job-000002", rows[i].kind, rows[i].rank, "red", 1, 1, "");
     fc_allowance a = unlimited();
-    GPtrArray *stops = fc_preempt_round(t, &a, 90);
+    GPtrArray *stops = fc_preempt_round(cluster, &a, 90);
     check_row(rows[i].name, stops->len == rows[i].expect);
     if (stops->len) check_row(rows[i].name, ((fc_placement *)stops->pdata[0])->index == 0);
     g_ptr_array_free(stops, TRUE);
     /* What is being stopped already makes room enough. */
-    stops = fc_preempt_round(t, &a, 90);
+    stops = fc_preempt_round(cluster, &a, 90);
     check_row(rows[i].name, stops->len == 0);
     g_ptr_array_free(stops, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -332,28 +334,28 @@
       {"a gang is not", false, false, "gang", "standard", 0, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
     fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
-    t->term = term;
-    world_deal(t);
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    fc_machine *n = world_machine(t, "vm-2", "a", false);
-    m->heard_at = n->heard_at = 90;
+    cluster->membership.term = term;
+    world_deal(cluster);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_machine *n = world_machine(cluster, "vm-2", "a", false);
+    machine->agent.heard_at = n->agent.heard_at = 90;
     if (!rows[i].second_ours) n->owner = 1;
     if (rows[i].kind) {
-      fc_job *old = world_job(t, "job-000001", rows[i].kind, rows[i].rank, "red", 1, 1, "");
-      fc_table_place(t, m, old->spec.id, 0, 1, 10)->state = FC_TASK_RUNNING;
+      fc_job *old = world_job(cluster, "job-000001", rows[i].kind, rows[i].rank, "red", 1, 1, "");
+      fc_cluster_add_placement(cluster, machine, old->spec.id, 0, 1, 10)->status.state = FC_TASK_RUNNING;
     }
-    fc_job *gang = world_job(t, "job-000002", "gang", "high", "red", 2, 4, "\"samePlace\":true");
-    gang->handed[0] = g_strdup(rows[i].gang_ours ? "paddock-0" : "paddock-1");
-    fc_job_deal(t, gang);
-    fc_told told = {.fit = {true, true}};
-    GArray *loans = fc_share_loans(t, &told, 90);
+    fc_job *gang = world_job(cluster, "job-000002", "gang", "high", "red", 2, 4, "\"samePlace\":true");
+    gang->record.handed_to[0] = g_strdup(rows[i].gang_ours ? "paddock-0" : "paddock-1");
+    fc_cluster_assign_slices(cluster, gang);
+    fc_peer_progress told = {.fit = {true, true}};
+    GArray *loans = fc_plan_machine_transfers(cluster, &told, 90);
     check_row(rows[i].name, loans->len == rows[i].loans);
-    if (loans->len) check_row(rows[i].name, g_array_index(loans, fc_loan, 0).clear == rows[i].clear);
+    if (loans->len) check_row(rows[i].name, g_array_index(loans, fc_machine_transfer, 0).clear == rows[i].clear);
     g_array_free(loans, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -388,35 +390,36 @@
       {"never handed over: the rest says nothing", true, false, 5, 6, 0, false, false, 7, 1},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    fc_machine *m = world_machine(t, "vm-1", "a", false), *n = world_machine(t, "vm-2", "a", false);
-    fc_job *j = world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    j->origin = (fc_job_origin){
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false), *n = world_machine(cluster, "vm-2", "a", false);
+    fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    job->record.origin = (fc_job_origin){
         .term = rows[i].accepted, .moved = rows[i].moved, .last_move = {{rows[i].moved_in, rows[i].homes}}};
-    j->handed[0] = g_strdup(rows[i].other_owner ? "paddock-1" : "paddock-0");
-    g_strlcpy(n->rec.owner, "paddock-1", sizeof n->rec.owner);
+    job->record.handed_to[0] = g_strdup(rows[i].other_owner ? "paddock-1" : "paddock-0");
+    g_strlcpy(n->record.owner, "paddock-1", sizeof n->record.owner);
     fc_term term = {
         .number = 10, .names_since = rows[i].names_since, .members = {{"paddock-0", 3}, {"paddock-1", 4}}, .count = 2};
-    fc_table_set_term(t, &term, 20, false, 5);
-    assert_int_equal(j->clear & 1, 0);
-    if (rows[i].ours_settled) m->settled_term = 10;
-    if (rows[i].theirs_settled) n->settled_term = 10;
-    check_row(rows[i].name, fc_table_check_settled(t) == (rows[i].ours_settled && rows[i].theirs_settled));
-    check_row(rows[i].name, (j->clear & 1) == rows[i].clear);
+    fc_cluster_apply_term(cluster, &term, 20, false, 5);
+    assert_int_equal(job->slices.resolved & 1, 0);
+    if (rows[i].ours_settled) machine->reconciled_term = 10;
+    if (rows[i].theirs_settled) n->reconciled_term = 10;
+    check_row(rows[i].name, fc_cluster_update_reconciled(cluster) == (rows[i].ours_settled && rows[i].theirs_settled));
+    check_row(rows[i].name, (job->slices.resolved & 1) == rows[i].clear);
     /* Read anew, after a gap in the changes, it is as clear as before. */
-    fc_job_record r = {.phase = FC_PHASE_ACCEPTED, .done = (char *)"", .slices = 1, .origin = j->origin};
+    fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .done = (char *)"", .slices = 1, .origin = job->record.origin};
     char error[200];
     static const char text[] =
         "{\"id\":\"job-000002\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":1,"
         "\"cpus\":1,\"gpus\":1,\"memGb\":1,\"kit\":\"img\",\"pullGb\":1,\"builds\":null,\"ground\":null,"
         "\"samePlace\":false,\"scatter\":false,\"loaners\":true,\"expectS\":1,\"markS\":0,\"stowS\":0,\"whistleS\":"
         "null}";
-    assert_true(fc_job_spec_parse(text, strlen(text), &r.spec, error, sizeof error));
-    r.handed[0] = j->handed[0];
-    check_row(rows[i].name, (fc_table_put_job(t, "job-000002", &r, 8, false, 6)->clear & 1) == rows[i].clear);
-    fc_job_spec_clear(&r.spec);
-    fc_table_free(t);
+    assert_true(fc_job_spec_parse(text, strlen(text), &record.spec, error, sizeof error));
+    record.handed[0] = job->record.handed_to[0];
+    check_row(rows[i].name, (fc_cluster_apply_job(cluster, "job-000002", &record, 8, false, 6)->slices.resolved & 1) ==
+                                rows[i].clear);
+    fc_job_spec_clear(&record.spec);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -445,44 +448,45 @@
       {"a task runs, told in an earlier term", true, true, false, true, 0, false, NOT_THERE, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
     fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
-    t->term = term;
-    world_deal(t);
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    fc_machine *n = world_machine(t, "vm-2", "a", false);
-    m->heard_at = 90;
+    cluster->membership.term = term;
+    world_deal(cluster);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_machine *n = world_machine(cluster, "vm-2", "a", false);
+    machine->agent.heard_at = 90;
     n->owner = 1;
-    fc_job *full = world_job(t, "job-000001", "service", "prod", "red", 1, 3, "");
-    fc_table_place(t, m, full->spec.id, 0, 1, 10)->state = FC_TASK_RUNNING;
-    fc_job *j = world_job(t, "job-000002", "sweep", "standard", "red", 3, 1, "");
-    j->handed[0] = g_strdup("paddock-0");
-    fc_job_deal(t, j);
-    j->clear = rows[i].clear ? 1 : 0;
-    if (!rows[i].room_here || rows[i].running) fc_table_place(t, m, j->spec.id, 0, 2, 10)->state = FC_TASK_RUNNING;
+    fc_job *full = world_job(cluster, "job-000001", "service", "prod", "red", 1, 3, "");
+    fc_cluster_add_placement(cluster, machine, full->spec.id, 0, 1, 10)->status.state = FC_TASK_RUNNING;
+    fc_job *job = world_job(cluster, "job-000002", "sweep", "standard", "red", 3, 1, "");
+    job->record.handed_to[0] = g_strdup("paddock-0");
+    fc_cluster_assign_slices(cluster, job);
+    job->slices.resolved = rows[i].clear ? 1 : 0;
+    if (!rows[i].room_here || rows[i].running)
+      fc_cluster_add_placement(cluster, machine, job->spec.id, 0, 2, 10)->status.state = FC_TASK_RUNNING;
     if (!rows[i].running && !rows[i].room_here) {
       /* full with something else instead */
-      fc_table_unplace(t, fc_machine_find(m, j->spec.id, 0, 2));
-      fc_table_place(t, m, full->spec.id, 9, 3, 10)->state = FC_TASK_RUNNING;
+      fc_placement_remove(cluster, fc_machine_find_placement(machine, job->spec.id, 0, 2));
+      fc_cluster_add_placement(cluster, machine, full->spec.id, 9, 3, 10)->status.state = FC_TASK_RUNNING;
       full->spec.gpus = 2;
     }
-    if (rows[i].theirs) fc_table_place(t, n, j->spec.id, 1, 4, 10)->state = FC_TASK_RUNNING;
-    if (rows[i].theirs == THERE_UNSETTLED) n->settled_term = 0;
-    if (rows[i].ours_unsettled) m->settled_term = 0;
-    fc_told told = {.fit = {true, !rows[i].away}};
+    if (rows[i].theirs) fc_cluster_add_placement(cluster, n, job->spec.id, 1, 4, 10)->status.state = FC_TASK_RUNNING;
+    if (rows[i].theirs == THERE_UNSETTLED) n->reconciled_term = 0;
+    if (rows[i].ours_unsettled) machine->reconciled_term = 0;
+    fc_peer_progress told = {.fit = {true, !rows[i].away}};
     if (rows[i].told) {
       told.view[1] = 100;
       told.revision[1] = 100;
     }
-    GArray *plan = fc_share_handovers(t, &told, 90);
+    GArray *plan = fc_plan_handovers(cluster, &told, 90);
     check_row(rows[i].name, plan->len == rows[i].expect);
     if (plan->len) {
-      const fc_handover *h = &g_array_index(plan, fc_handover, 0);
-      check_row(rows[i].name, h->to == 1 && h->homes == (rows[i].running ? 3 : 2));
+      const fc_handover *handover = &g_array_index(plan, fc_handover, 0);
+      check_row(rows[i].name, handover->to == 1 && handover->homes == (rows[i].running ? 3 : 2));
     }
     g_array_free(plan, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -496,32 +500,32 @@
   } rows[] = {
       {"they can start, and go first", 4, 0}, {"at the limit", 16, 1}, {"below it, by less than a task", 15.5, 1}};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
     fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
-    t->term = term;
-    world_deal(t);
-    fc_machine *m = world_machine(t, "vm-1", "a", false), *n = world_machine(t, "vm-2", "a", false),
-               *o = world_machine(t, "vm-3", "a", false);
-    m->heard_at = 90;
+    cluster->membership.term = term;
+    world_deal(cluster);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false), *n = world_machine(cluster, "vm-2", "a", false),
+               *o = world_machine(cluster, "vm-3", "a", false);
+    machine->agent.heard_at = 90;
     n->owner = o->owner = 1;
-    fc_job *full = world_job(t, "job-000001", "service", "prod", "red", 1, 4, "");
-    fc_table_place(t, m, full->spec.id, 0, 1, 10)->state = FC_TASK_RUNNING;
-    fc_job *use = world_job(t, "job-000002", "service", "prod", "blue", 1, 4, "");
-    fc_table_place(t, o, use->spec.id, 0, 1, 10)->state = FC_TASK_RUNNING;
+    fc_job *full = world_job(cluster, "job-000001", "service", "prod", "red", 1, 4, "");
+    fc_cluster_add_placement(cluster, machine, full->spec.id, 0, 1, 10)->status.state = FC_TASK_RUNNING;
+    fc_job *use = world_job(cluster, "job-000002", "service", "prod", "blue", 1, 4, "");
+    fc_cluster_add_placement(cluster, o, use->spec.id, 0, 1, 10)->status.state = FC_TASK_RUNNING;
     use->spec.gpus = rows[i].used;
-    fc_job *theirs = world_job(t, "job-000003", "sweep", "high", "blue", 8, 1, "");
-    theirs->handed[0] = g_strdup("paddock-1");
-    fc_job *ours = world_job(t, "job-000004", "sweep", "standard", "red", 2, 1, "");
-    ours->handed[0] = g_strdup("paddock-0");
-    world_deal(t);
-    ours->clear = 1;
-    fc_told told = {.fit = {true, true}};
-    GArray *plan = fc_share_handovers(t, &told, 90);
+    fc_job *theirs = world_job(cluster, "job-000003", "sweep", "high", "blue", 8, 1, "");
+    theirs->record.handed_to[0] = g_strdup("paddock-1");
+    fc_job *ours = world_job(cluster, "job-000004", "sweep", "standard", "red", 2, 1, "");
+    ours->record.handed_to[0] = g_strdup("paddock-0");
+    world_deal(cluster);
+    ours->slices.resolved = 1;
+    fc_peer_progress told = {.fit = {true, true}};
+    GArray *plan = fc_plan_handovers(cluster, &told, 90);
     check_row(rows[i].name, plan->len == rows[i].expect);
     if (plan->len) check_row(rows[i].name, g_array_index(plan, fc_handover, 0).job == ours);
     g_array_free(plan, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -547,29 +551,31 @@
 static void handing_over_with_a_mate_elsewhere(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_mates); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    t->term = (fc_term){
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    cluster->membership.term = (fc_term){
         .number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}, {"paddock-2", 1}}, .count = 3};
-    fc_machine *m = world_machine(t, "vm-1", "a", false), *n = world_machine(t, "vm-2", "a", false);
-    fc_machine *o = world_machine(t, "vm-3", "a", false);
-    m->heard_at = 90;
+    fc_machine *m = world_machine(cluster, "vm-1", "a", false), *n = world_machine(cluster, "vm-2", "a", false);
+    fc_machine *o = world_machine(cluster, "vm-3", "a", false);
+    m->agent.heard_at = 90;
     n->owner = 1;
     o->owner = 2;
-    fc_job *full = world_job(t, "job-000001", "service", "prod", "red", 2, 4, "");
-    fc_table_place(t, m, full->spec.id, 0, 1, 10)->state = FC_TASK_RUNNING;
-    fc_job *j = world_job(t, "job-000002", k_mates[i].mate_gang ? "gang" : "service", "standard", "red", 2, 1, "");
-    j->handed[0] = g_strdup("paddock-0");
-    fc_job_deal(t, j);
-    j->clear = 1;
-    fc_machine *at = k_mates[i].mate_on == 1 ? n : o;
-    fc_table_place(t, at, j->spec.id, 0, fc_attempt(k_mates[i].started_in, 1), 10)->state = FC_TASK_RUNNING;
-    if (k_mates[i].mate_on == 2) o->remote_closed = true; /* no room but at the other */
-    if (!k_mates[i].settled) at->settled_term = 4;
-    fc_machine *spare = world_machine(t, "vm-4", "a", false); /* room at the receiver in any case */
+    fc_job *full = world_job(cluster, "job-000001", "service", "prod", "red", 2, 4, "");
+    fc_cluster_add_placement(cluster, m, full->spec.id, 0, 1, 10)->status.state = FC_TASK_RUNNING;
+    fc_job *job =
+        world_job(cluster, "job-000002", k_mates[i].mate_gang ? "gang" : "service", "standard", "red", 2, 1, "");
+    job->record.handed_to[0] = g_strdup("paddock-0");
+    fc_cluster_assign_slices(cluster, job);
+    job->slices.resolved = 1;
+    fc_machine *machine = k_mates[i].mate_on == 1 ? n : o;
+    fc_cluster_add_placement(cluster, machine, job->spec.id, 0, fc_attempt(k_mates[i].started_in, 1), 10)
+        ->status.state = FC_TASK_RUNNING;
+    if (k_mates[i].mate_on == 2) o->drain.owner_cordoned = true; /* no room but at the other */
+    if (!k_mates[i].settled) machine->reconciled_term = 4;
+    fc_machine *spare = world_machine(cluster, "vm-4", "a", false); /* room at the receiver in any case */
     spare->owner = 1;
-    fc_told told = {.fit = {true, true, true}};
-    GArray *plan = fc_share_handovers(t, &told, 90);
+    fc_peer_progress told = {.fit = {true, true, true}};
+    GArray *plan = fc_plan_handovers(cluster, &told, 90);
     check_row(k_mates[i].name, plan->len == k_mates[i].expect);
     if (plan->len) {
       check_row(k_mates[i].name, g_array_index(plan, fc_handover, 0).to == 1);
@@ -577,21 +583,21 @@
     }
     g_array_free(plan, TRUE);
     /* What whoever gets it makes of it, by its record, before and after all is settled. */
-    t->self = 1;
-    t->term_version = 1;
-    o->settled_term = 4;
-    j->clear = 0;
-    fc_job_record r = {.spec = j->spec,
-                       .origin = {.moved = 1, .unseen = k_mates[i].unseen},
-                       .phase = FC_PHASE_ACCEPTED,
-                       .done = (char *)"",
-                       .slices = 1};
-    r.handed[0] = (char *)"paddock-1";
-    (void)fc_table_put_job(t, "job-000002", &r, 30, true, 91);
-    check_row(k_mates[i].name, (j->clear & 1) == !k_mates[i].unseen);
-    n->settled_term = o->settled_term = 5;
-    check_row(k_mates[i].name, fc_table_check_settled(t) && (j->clear & 1));
-    fc_table_free(t);
+    cluster->membership.self = 1;
+    cluster->membership.term_version = 1;
+    o->reconciled_term = 4;
+    job->slices.resolved = 0;
+    fc_job_record record = {.spec = job->spec,
+                            .origin = {.moved = 1, .unseen = k_mates[i].unseen},
+                            .phase = FC_PHASE_ACCEPTED,
+                            .done = (char *)"",
+                            .slices = 1};
+    record.handed[0] = (char *)"paddock-1";
+    (void)fc_cluster_apply_job(cluster, "job-000002", &record, 30, true, 91);
+    check_row(k_mates[i].name, (job->slices.resolved & 1) == !k_mates[i].unseen);
+    n->reconciled_term = o->reconciled_term = 5;
+    check_row(k_mates[i].name, fc_cluster_update_reconciled(cluster) && (job->slices.resolved & 1));
+    fc_cluster_free(cluster);
   }
 }
 
@@ -609,26 +615,26 @@
       {"both away: as dealt", true, true, false, false, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
     fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
-    t->term = term;
-    world_deal(t);
-    world_machine(t, "vm-1", rows[i].holds_0 ? "b" : "a", false)->owner = 0;
-    world_machine(t, "vm-2", rows[i].holds_1 ? "b" : "a", false)->owner = 1;
+    cluster->membership.term = term;
+    world_deal(cluster);
+    world_machine(cluster, "vm-1", rows[i].holds_0 ? "b" : "a", false)->owner = 0;
+    world_machine(cluster, "vm-2", rows[i].holds_1 ? "b" : "a", false)->owner = 1;
     bool fit[] = {rows[i].fit_0, rows[i].fit_1}, got[2] = {false, false};
     for (int k = 0; k < 40; k++) {
       char id[32], *handed[1] = {NULL};
       g_snprintf(id, sizeof id, "job-%06d", k);
-      fc_job *j = world_job(t, id, "gang", "high", "red", 2, 1, "\"ground\":\"b\"");
-      fc_share_deal(t, fit, &j->spec, 1, handed);
-      g_free(j->handed[0]);
-      j->handed[0] = g_strdup(handed[0]);
-      fc_job_deal(t, j);
-      got[fc_job_owner(j, 0)] = true;
+      fc_job *job = world_job(cluster, id, "gang", "high", "red", 2, 1, "\"ground\":\"b\"");
+      fc_place_new_job_slices(cluster, fit, &job->spec, 1, handed);
+      g_free(job->record.handed_to[0]);
+      job->record.handed_to[0] = g_strdup(handed[0]);
+      fc_cluster_assign_slices(cluster, job);
+      got[fc_job_slice_owner(job, 0)] = true;
     }
     check_row(rows[i].name, got[0] == rows[i].may_0 && got[1] == rows[i].may_1);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
@@ -646,41 +652,43 @@
       {"none fits", 14, 0, ""},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    fc_table *t = world_table(&s);
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    fc_job *big = world_job(t, "job-000001", "gang", "high", "blue", 3, 4, "");
-    fc_job *small = world_job(t, "job-000002", "gang", "high", "blue", 2, 4, "");
-    fc_job *service = world_job(t, "job-000003", "service", "prod", "blue", 20, 1, "");
-    fc_job *array = world_job(t, "job-000004", "sweep", "standard", "blue", 20, 1, "");
-    fc_job *other = world_job(t, "job-000005", "sweep", "standard", "red", 2, 1, "");
-    fc_job *equal = world_job(t, "job-000006", "sweep", "high", "blue", 2, 1, "");
-    fc_job *higher = world_job(t, "job-000007", "sweep", "prod", "blue", 2, 1, "");
-    for (unsigned k = 0; k < rows[i].services; k++) fc_table_place(t, m, service->spec.id, k, 1, 0);
-    for (unsigned k = 0; k < rows[i].arrays; k++) fc_table_place(t, m, array->spec.id, k, 1, 0);
+    fc_settings settings = world_settings();
+    fc_cluster *cluster = world_table(&settings);
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_job *big = world_job(cluster, "job-000001", "gang", "high", "blue", 3, 4, "");
+    fc_job *small = world_job(cluster, "job-000002", "gang", "high", "blue", 2, 4, "");
+    fc_job *service = world_job(cluster, "job-000003", "service", "prod", "blue", 20, 1, "");
+    fc_job *array = world_job(cluster, "job-000004", "sweep", "standard", "blue", 20, 1, "");
+    fc_job *other = world_job(cluster, "job-000005", "sweep", "standard", "red", 2, 1, "");
+    fc_job *equal = world_job(cluster, "job-000006", "sweep", "high", "blue", 2, 1, "");
+    fc_job *higher = world_job(cluster, "job-000007", "sweep", "prod", "blue", 2, 1, "");
+    for (unsigned k = 0; k < rows[i].services; k++)
+      fc_cluster_add_placement(cluster, machine, service->spec.id, k, 1, 0);
+    for (unsigned k = 0; k < rows[i].arrays; k++) fc_cluster_add_placement(cluster, machine, array->spec.id, k, 1, 0);
     const fc_job *turns[FC_TEAMS_MAX];
-    fc_gang_turns(t, turns);
+    fc_gang_precedence(cluster, turns);
     const fc_job *turn = turns[1];
     check_row(rows[i].name, strcmp(turn ? turn->spec.id : "", rows[i].turn) == 0);
     assert_null(turns[0]); /* a team without a limit: no turns */
     if (!turn) {
-      fc_table_free(t);
+      fc_cluster_free(cluster);
       continue;
     }
     /* The others of the team leave the limit to it; not its services, and not
      * other teams' work. */
-    check_row(rows[i].name, fc_gang_before(t, turn, turn == big ? small : big, 10));
-    check_row(rows[i].name, fc_gang_before(t, turn, array, 10) && fc_gang_before(t, turn, equal, 10));
-    check_row(rows[i].name, !fc_gang_before(t, turn, higher, 10));
-    check_row(rows[i].name, !fc_gang_before(t, turn, service, 10) && !fc_gang_before(t, turn, other, 10));
+    check_row(rows[i].name, fc_gang_precedes(cluster, turn, turn == big ? small : big, 10));
+    check_row(rows[i].name, fc_gang_precedes(cluster, turn, array, 10) && fc_gang_precedes(cluster, turn, equal, 10));
+    check_row(rows[i].name, !fc_gang_precedes(cluster, turn, higher, 10));
+    check_row(rows[i].name,
+              !fc_gang_precedes(cluster, turn, service, 10) && !fc_gang_precedes(cluster, turn, other, 10));
     /* Just as many arrays are stopped for it as it takes, and not at once. */
     GPtrArray *stops = g_ptr_array_new();
-    fc_preempt_for_limit(t, stops, 1);
+    fc_preempt_for_limit(cluster, stops, 1);
     check_row(rows[i].name, stops->len == 0);
-    fc_preempt_for_limit(t, stops, 30);
+    fc_preempt_for_limit(cluster, stops, 30);
     check_row(rows[i].name, stops->len == (rows[i].arrays ? 8 : 0)); /* 12 + 12 - 16 */
     g_ptr_array_free(stops, TRUE);
-    fc_table_free(t);
+    fc_cluster_free(cluster);
   }
 }
 
--- a/tests/test_views.c
+++ b/tests/test_views.c
@@ -12,12 +12,12 @@
 } side;
 
 /* One of two controllers in term 5; its only peer is the other. */
-static const fc_commit_limits k_limits = {.txn_ops = 8,
-                                          .value_bytes = 8192,
-                                          .writes_per_s = 10,
-                                          .lowest_writes_per_s = 10,
-                                          .requests_per_s = 10,
-                                          .answer_s = 1};
+static const fc_group_commit_limits k_limits = {.txn_ops = 8,
+                                                .value_bytes = 8192,
+                                                .writes_per_s = 10,
+                                                .lowest_writes_per_s = 10,
+                                                .requests_per_s = 10,
+                                                .answer_s = 1};
 
 static side *side_new(const char *name, const char *other, uint64_t boot) {
   side *s = g_new0(side, 1);
@@ -25,20 +25,20 @@
   s->settings.name = (char *)name;
   s->settings.peer_count = 1;
   s->settings.peers[0].name = (char *)other;
-  fc_controller *c = &s->c;
-  c->settings = &s->settings;
-  c->peers[0].settings = &s->settings.peers[0];
-  c->table = world_table(&s->settings);
-  c->cancels = fc_cancels_new();
-  c->commit = fc_commit_new(NULL, &k_limits);
-  fc_table_set_term(c->table, &k_term, 9, false, 0);
-  c->boot = boot;
+  fc_controller *controller = &s->c;
+  controller->settings = &s->settings;
+  controller->peers[0].settings = &s->settings.peers[0];
+  controller->table = world_table(&s->settings);
+  controller->cancels = fc_cancellation_log_new();
+  controller->commit = fc_group_commit_new(NULL, &k_limits);
+  fc_cluster_apply_term(controller->table, &k_term, 9, false, 0);
+  controller->incarnation = boot;
   return s;
 }
 
 static void side_free(side *s) {
-  fc_table_free(s->c.table);
-  fc_cancels_free(s->c.cancels);
+  fc_cluster_free(s->c.table);
+  fc_cancellation_log_free(s->c.cancels);
   g_free(s->c.commit);
   g_free(s);
 }
@@ -49,11 +49,12 @@
     char id[32], job[32];
     g_snprintf(id, sizeof id, "vm-%06u", i);
     g_snprintf(job, sizeof job, "job-%06u", i);
-    fc_machine *m = world_machine(a->c.table, id, i % 2 ? "a" : "b", false);
+    fc_machine *machine = world_machine(a->c.table, id, i % 2 ? "a" : "b", false);
     fc_machine *n = world_machine(b->c.table, id, i % 2 ? "a" : "b", false);
-    n->settled_term = 0;
+    n->reconciled_term = 0;
     for (unsigned k = 0; k < tasks; k++)
-      fc_table_place(a->c.table, m, job, k, fc_attempt(5, i * tasks + k), 1)->state = FC_TASK_RUNNING;
+      fc_cluster_add_placement(a->c.table, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
+          FC_TASK_RUNNING;
   }
 }
 
@@ -75,17 +76,17 @@
 static fc_view_fate deliver(side *to, const GPtrArray *frames, guint piece) {
   gsize len;
   const uint8_t *p = g_bytes_get_data(frames->pdata[piece], &len);
-  fc_view v;
-  assert_true(fc_view_decode(p, len, &v));
-  fc_view_fate fate = fc_view_take(&to->c, &v);
-  fc_view_clear(&v);
+  fc_view view;
+  assert_true(fc_view_decode(p, len, &view));
+  fc_view_fate fate = fc_view_take(&to->c, &view);
+  fc_view_clear(&view);
   return fate;
 }
 
 /* The sender learns that the view was applied, at this state of the other's table. */
 static void acked(side *from, uint64_t seq, uint64_t revision) {
-  from->c.peers[0].acked_seq = seq;
-  from->c.peers[0].acked_view = from->c.table->view;
+  from->c.peers[0].acked_sequence = seq;
+  from->c.peers[0].acked_view = from->c.table->view_number;
   from->c.peers[0].acked_revision = revision;
 }
 
@@ -116,20 +117,20 @@
     }
     assert_true(whole->len >= bytes / (2 * FC_PIECE_BYTES));
     assert_int_equal(held(b), sizes[i] * 4);
-    assert_int_equal(b->c.peers[0].view_seq, 1);
+    assert_int_equal(b->c.peers[0].view_sequence, 1);
     g_ptr_array_free(whole, TRUE);
     acked(a, 1, 100);
     uint64_t told = a->c.counts.shown;
     assert_int_equal(told, sizes[i]);
-    fc_machine *m = fc_table_machine(a->c.table, "vm-000000");
-    if (m) ((fc_placement *)m->placements->pdata[0])->state = FC_TASK_SAVING;
+    fc_machine *machine = fc_cluster_find_machine(a->c.table, "vm-000000");
+    if (machine) ((fc_placement *)machine->placements->pdata[0])->status.state = FC_TASK_SAVING;
     GPtrArray *news = frames_of(a, 2);
     assert_int_equal(news->len, 1);
-    assert_int_equal(a->c.counts.shown - told, m ? 1 : 0);
+    assert_int_equal(a->c.counts.shown - told, machine ? 1 : 0);
     assert_int_equal(deliver(b, news, 0), FC_VIEW_TAKEN);
-    if (m) {
-      const fc_machine *n = fc_table_machine(b->c.table, "vm-000000");
-      assert_int_equal(((fc_placement *)n->placements->pdata[0])->state, FC_TASK_SAVING);
+    if (machine) {
+      const fc_machine *n = fc_cluster_find_machine(b->c.table, "vm-000000");
+      assert_int_equal(((fc_placement *)n->placements->pdata[0])->status.state, FC_TASK_SAVING);
     }
     g_ptr_array_free(news, TRUE);
     side_free(a);
@@ -168,7 +169,7 @@
       closed = fate == FC_VIEW_BROKEN;
     }
     check_row(rows[i].name, fate == rows[i].last);
-    check_row(rows[i].name, (b->c.peers[0].view_seq == 2) == rows[i].holds);
+    check_row(rows[i].name, (b->c.peers[0].view_sequence == 2) == rows[i].holds);
     g_ptr_array_free(first, TRUE);
     g_ptr_array_free(second, TRUE);
     side_free(a);
@@ -194,19 +195,19 @@
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 10, 1);
     GPtrArray *first = frames_of(a, 1);
-    fc_machine *known = fc_table_machine(b->c.table, "vm-000003");
+    fc_machine *known = fc_cluster_find_machine(b->c.table, "vm-000003");
     if (rows[i].knows_late) known->owner = 1;
     if (!rows[i].missed) assert_int_equal(deliver(b, first, 0), FC_VIEW_TAKEN);
-    fc_machine *m = fc_table_machine(a->c.table, "vm-000003");
-    m->version = 50;
+    fc_machine *machine = fc_cluster_find_machine(a->c.table, "vm-000003");
+    machine->record_version = 50;
     acked(a, 1, rows[i].knows_late ? 49 : 50);
-    if (!rows[i].knows_late) fc_table_unplace(a->c.table, m->placements->pdata[0]);
+    if (!rows[i].knows_late) fc_placement_remove(a->c.table, machine->placements->pdata[0]);
     known->owner = 0;
     GPtrArray *second = frames_of(a, 2);
     fc_term next = k_term;
-    if (rows[i].other_life) next.members[0].boot = 7;
+    if (rows[i].other_life) next.members[0].incarnation = 7;
     if (rows[i].other_term) next.number++;
-    if (rows[i].other_life || rows[i].other_term) fc_table_set_term(b->c.table, &next, 10, true, 2);
+    if (rows[i].other_life || rows[i].other_term) fc_cluster_apply_term(b->c.table, &next, 10, true, 2);
     check_row(rows[i].name, deliver(b, second, 0) == rows[i].fate);
     if (rows[i].fate == FC_VIEW_TAKEN) {
       check_row(rows[i].name, known->placements->len == (rows[i].knows_late ? 1 : 0));
@@ -228,20 +229,21 @@
     unsigned tasks;
     bool told;
   } rows[] = {
-      {"one under", FC_FRAME_TASKS_MOST - 1, true},
-      {"at the bound", FC_FRAME_TASKS_MOST, true},
-      {"one over", FC_FRAME_TASKS_MOST + 1, false},
+      {"one under", FC_FRAME_TASKS_MAX - 1, true},
+      {"at the bound", FC_FRAME_TASKS_MAX, true},
+      {"one over", FC_FRAME_TASKS_MAX + 1, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 2, 1);
-    fc_machine *m = fc_table_machine(a->c.table, "vm-000000");
+    fc_machine *machine = fc_cluster_find_machine(a->c.table, "vm-000000");
     for (unsigned k = 1; k < rows[i].tasks; k++)
-      fc_table_place(a->c.table, m, "job-000000", k, fc_attempt(5, 100 + k), 1)->state = FC_TASK_RUNNING;
+      fc_cluster_add_placement(a->c.table, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
+          FC_TASK_RUNNING;
     GPtrArray *frames = frames_of(a, 1);
     for (guint k = 0; k < frames->len; k++) check_row(rows[i].name, deliver(b, frames, k) == FC_VIEW_TAKEN);
     check_row(rows[i].name, held(b) == (rows[i].told ? rows[i].tasks + 1 : 1));
-    check_row(rows[i].name, (fc_table_machine(b->c.table, "vm-000000")->settled_term == 5) == rows[i].told);
+    check_row(rows[i].name, (fc_cluster_find_machine(b->c.table, "vm-000000")->reconciled_term == 5) == rows[i].told);
     g_ptr_array_free(frames, TRUE);
     side_free(a);
     side_free(b);
@@ -260,19 +262,20 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 2000, 3);
-    assert_true(fc_cancels_note(a->c.cancels, "job-000020", 20, 0));
-    assert_true(fc_cancels_note(a->c.cancels, "job-000021", 21, 0));
+    assert_true(fc_cancellation_log_add(a->c.cancels, "job-000020", 20, 0));
+    assert_true(fc_cancellation_log_add(a->c.cancels, "job-000021", 21, 0));
     a->c.peers[0].revision = rows[i].read;
     GPtrArray *frames = frames_of(a, 1);
     assert_true(frames->len > 1);
     for (guint k = 0; k < frames->len; k++) {
       gsize len;
       const uint8_t *p = g_bytes_get_data(frames->pdata[k], &len);
-      fc_view v;
-      assert_true(fc_view_decode(p, len, &v));
-      check_row(rows[i].name, v.cancel_count == (k == 0 ? rows[i].told : 0));
-      if (v.cancel_count) check_row(rows[i].name, v.cancels[v.cancel_count - 1].revision == 21);
-      fc_view_clear(&v);
+      fc_view view;
+      assert_true(fc_view_decode(p, len, &view));
+      check_row(rows[i].name, view.cancellation_count == (k == 0 ? rows[i].told : 0));
+      if (view.cancellation_count)
+        check_row(rows[i].name, view.cancellations[view.cancellation_count - 1].revision == 21);
+      fc_view_clear(&view);
     }
     g_ptr_array_free(frames, TRUE);
     side_free(a);
@@ -301,10 +304,10 @@
       {"a whole core, far behind", 1, 2, 5, 0.4, 0.4},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    s.cpu = rows[i].cpu;
-    s.peer_count = rows[i].peers;
-    double spacing = fc_view_spacing(&s, rows[i].lag_s) / s.report_s;
+    fc_settings settings = world_settings();
+    settings.cpu = rows[i].cpu;
+    settings.peer_count = rows[i].peers;
+    double spacing = fc_view_spacing(&settings, rows[i].lag_s) / settings.heartbeat_s;
     check_row(rows[i].name, spacing >= rows[i].least - 1e-9 && spacing <= rows[i].most + 1e-9);
   }
 }
@@ -319,9 +322,9 @@
   } rows[] = {
       {"a whole core", 1, 1000}, {"a twelfth of one", 0.08, 400}, {"a fortieth", 0.024, 120}, {"less", 0.005, 100}};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings s = world_settings();
-    s.cpu = rows[i].cpu;
-    check_row(rows[i].name, fc_watch_page_rows(&s) == rows[i].rows);
+    fc_settings settings = world_settings();
+    settings.cpu = rows[i].cpu;
+    check_row(rows[i].name, fc_watch_page_rows(&settings) == rows[i].rows);
   }
 }
 
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -2,7 +2,7 @@
 #include "check.h"
 
 #include "controller/controller.h"
-#include "scheduler/place.h"
+#include "scheduler/bin_packing.h"
 #include "transport/routine.h"
 #include "world.h"
 
@@ -18,27 +18,27 @@
   b->settings = world_settings();
   b->settings.peer_count = 1;
   b->settings.peers[0].name = "paddock-1";
-  fc_controller *c = &b->c;
-  c->settings = &b->settings;
-  c->peers[0].settings = &b->settings.peers[0];
-  c->table = world_table(&b->settings);
+  fc_controller *controller = &b->c;
+  controller->settings = &b->settings;
+  controller->peers[0].settings = &b->settings.peers[0];
+  controller->table = world_table(&b->settings);
   fc_term term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
-  fc_table_set_term(c->table, &term, 9, false, 0);
-  c->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  c->boot = 1;
-  c->loaded = true;
+  fc_cluster_apply_term(controller->table, &term, 9, false, 0);
+  controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  controller->incarnation = 1;
+  controller->loaded = true;
   double now = fc_now();
-  c->peers[0].heard_at = now;
-  c->peer_of[0] = -1;
-  fc_authority_init(&c->authority, 7, 14, 34, 2, 1);
-  fc_authority_renewed(&c->authority, now);
-  fc_authority_fresh(&c->authority, now);
+  controller->peers[0].heard_at = now;
+  controller->peer_of[0] = -1;
+  fc_leader_lease_init(&controller->authority, 7, 14, 34, 2, 1);
+  fc_leader_lease_renewed(&controller->authority, now);
+  fc_leader_lease_read_fresh(&controller->authority, now);
   return b;
 }
 
 static void bench_free(bench *b) {
   g_hash_table_destroy(b->c.recording);
-  fc_table_free(b->c.table);
+  fc_cluster_free(b->c.table);
   g_free(b);
 }
 
@@ -80,16 +80,16 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
-    m->owner = rows[i].owner;
-    m->reported = false;
-    if (!rows[i].lease) fc_authority_lost(&b->c.authority);
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    machine->owner = rows[i].owner;
+    machine->agent.reported = false;
+    if (!rows[i].lease) fc_leader_lease_lost(&b->c.authority);
     if (!rows[i].owner_heard) b->c.peers[0].heard_at = -1e9;
     GString *out = g_string_new(NULL);
     check_row(rows[i].name, report(b, 1, 1, rows[i].token, "", out) == rows[i].status);
     check_row(rows[i].name, says(out, rows[i].text));
     /* Who keeps a machine of another remembers it: its owner must be told. */
-    check_row(rows[i].name, (m->answered_at > 0) == (rows[i].status == 200));
+    check_row(rows[i].name, (machine->lease.answered_at > 0) == (rows[i].status == 200));
     g_string_free(out, TRUE);
     bench_free(b);
   }
@@ -110,21 +110,22 @@
 static void fenced_before_commanded(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_table *t = b->c.table;
-  fc_machine *m = world_machine(t, "vm-1", "a", false);
-  m->settled_term = 0;
-  m->reported = false;
-  world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-  fc_table_place(t, m, "job-000001", 3, 9, 0)->sent = true; /* what an earlier life may have sent */
+  fc_cluster *cluster = b->c.table;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  machine->reconciled_term = 0;
+  machine->agent.reported = false;
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_cluster_add_placement(cluster, machine, "job-000001", 3, 9, 0)->start.sent =
+      true; /* what an earlier life may have sent */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 4, RUNNING(0), out), 200);
   assert_true(says(out, "\"calls\":[]"));
-  assert_int_equal(m->settled_term, 0);
+  assert_int_equal(machine->reconciled_term, 0);
   assert_int_equal(report(b, 1, 2, 5, RUNNING(0), out), 200);
-  assert_int_equal(m->settled_term, 5);
+  assert_int_equal(machine->reconciled_term, 5);
   /* The list is now all there is: what was only thought to be there is gone. */
-  assert_int_equal(m->placements->len, 1);
-  assert_int_equal(((fc_placement *)m->placements->pdata[0])->index, 0);
+  assert_int_equal(machine->placements->len, 1);
+  assert_int_equal(((fc_placement *)machine->placements->pdata[0])->index, 0);
   g_string_free(out, TRUE);
   bench_free(b);
 }
@@ -146,14 +147,14 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_table *t = b->c.table;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_cluster *cluster = b->c.table;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
-    m->reported = false;
+    machine->agent.reported = false;
     assert_int_equal(report(b, 2, 10, 5, RUNNING(0), out), 200);
     check_row(rows[i].name, report(b, rows[i].session, rows[i].seq, 5, rows[i].runs, out) == rows[i].status);
-    check_row(rows[i].name, m->placements->len == rows[i].left);
+    check_row(rows[i].name, machine->placements->len == rows[i].left);
     g_string_free(out, TRUE);
     bench_free(b);
   }
@@ -164,24 +165,24 @@
 static void starts(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_table *t = b->c.table;
-  fc_machine *m = world_machine(t, "vm-1", "a", false);
-  world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-  fc_placement *p = fc_table_place(t, m, "job-000001", 0, 1, 0);
+  fc_cluster *cluster = b->c.table;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   GString *out = g_string_new(NULL);
   report(b, 1, 1, 5, "", out);
   assert_true(says(out, "start"));
   report(b, 1, 2, 5, "", out); /* not carried out: sent again */
   assert_true(says(out, "start"));
-  assert_int_equal(m->placements->len, 1);
-  p->stopping = true; /* not wanted any more: the next report decides */
-  p->stray = FC_STRAY_LOST;
-  p->stray_token = 5;
+  assert_int_equal(machine->placements->len, 1);
+  placement->stop.requested = true; /* not wanted any more: the next report decides */
+  placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
+  placement->start.direct_token = 5;
   report(b, 1, 3, 5, "", out);
-  assert_int_equal(m->placements->len, 1); /* a direct copy may still arrive */
-  p->stray = FC_STRAY_NONE;
+  assert_int_equal(machine->placements->len, 1); /* a direct copy may still arrive */
+  placement->start.direct = FC_DIRECT_START_NONE;
   report(b, 1, 4, 5, "", out);
-  assert_int_equal(m->placements->len, 0);
+  assert_int_equal(machine->placements->len, 0);
   g_string_free(out, TRUE);
   bench_free(b);
 }
@@ -205,18 +206,18 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
-    m->session = m->seq = 1;
-    m->seen_token = rows[i].seen_token;
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    machine->agent.epoch = machine->agent.sequence = 1;
+    machine->agent.fencing_token = rows[i].seen_token;
     world_job(b->c.table, "job-000001", "sweep", "standard", "red", 4, 1, "");
     /* It has been seen and has ended without its work: to be cleared, or not yet. */
-    fc_placement *p = fc_table_place(b->c.table, m, "job-000001", 0, 1, 0);
-    p->sent = p->reported = true;
-    p->stray = FC_STRAY_LOST;
-    p->stray_token = rows[i].sent_token;
+    fc_placement *placement = fc_cluster_add_placement(b->c.table, machine, "job-000001", 0, 1, 0);
+    placement->start.sent = placement->status.reported = true;
+    placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
+    placement->start.direct_token = rows[i].sent_token;
     GString *out = g_string_new(NULL);
     report(b, rows[i].session, rows[i].seq, rows[i].token, EXITED(0, "stopped"), out);
-    check_row(rows[i].name, (p->stray == FC_STRAY_LOST) == rows[i].may_arrive);
+    check_row(rows[i].name, (placement->start.direct == FC_DIRECT_START_UNACKNOWLEDGED) == rows[i].may_arrive);
     check_row(rows[i].name, says(out, "clear") == !rows[i].may_arrive);
     g_string_free(out, TRUE);
     bench_free(b);
@@ -244,23 +245,23 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
-    m->session = 1;
-    m->seq = 3;
-    m->seen_token = 5;
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    machine->agent.epoch = 1;
+    machine->agent.sequence = 3;
+    machine->agent.fencing_token = 5;
     world_job(b->c.table, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *p = fc_table_place(b->c.table, m, "job-000001", 0, 1, 0);
+    fc_placement *placement = fc_cluster_add_placement(b->c.table, machine, "job-000001", 0, 1, 0);
     double now = fc_now();
-    p->sent = true;
-    p->sent_seq = rows[i].sent_seq;
-    p->sent_at = now - rows[i].sent_s;
-    p->stray = rows[i].stray ? FC_STRAY_LOST : FC_STRAY_NONE;
-    p->stray_token = 5;
-    p->stopping = rows[i].stopping;
-    fc_worker_report r = {.machine = "vm-1", .session = 1, .seq = 4, .token = 5, .notice_s = -1};
-    fc_workers_called(&b->c, m, &r, now - rows[i].asked_s);
-    check_row(rows[i].name, m->placements->len == (rows[i].left ? 1 : 0));
-    if (rows[i].left) check_row(rows[i].name, p->sent == rows[i].sent);
+    placement->start.sent = true;
+    placement->start.heartbeat_sequence = rows[i].sent_seq;
+    placement->start.sent_at = now - rows[i].sent_s;
+    placement->start.direct = rows[i].stray ? FC_DIRECT_START_UNACKNOWLEDGED : FC_DIRECT_START_NONE;
+    placement->start.direct_token = 5;
+    placement->stop.requested = rows[i].stopping;
+    fc_heartbeat heartbeat = {.machine = "vm-1", .epoch = 1, .sequence = 4, .fencing_token = 5, .spot_notice_s = -1};
+    fc_workers_called(&b->c, machine, &heartbeat, now - rows[i].asked_s);
+    check_row(rows[i].name, machine->placements->len == (rows[i].left ? 1 : 0));
+    if (rows[i].left) check_row(rows[i].name, placement->start.sent == rows[i].sent);
     bench_free(b);
   }
 }
@@ -291,22 +292,23 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_table *t = b->c.table;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    fc_job *j = NULL;
-    if (rows[i].cancelled != TOLD_UNKNOWN) j = world_job(t, "job-000001", "sweep", "standard", "red", 1, 1, "");
-    fc_placement *p = rows[i].owner ? fc_table_place(t, m, "job-000001", 0, 1, fc_now()) : NULL;
-    if (p && rows[i].running) p->sent = p->reported = true;
-    if (p && rows[i].stopping > 0) {
-      p->stopping = true;
-      p->grace_s = rows[i].stopping;
+    fc_cluster *cluster = b->c.table;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_job *job = NULL;
+    if (rows[i].cancelled != TOLD_UNKNOWN) job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
+    fc_placement *placement =
+        rows[i].owner ? fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, fc_now()) : NULL;
+    if (placement && rows[i].running) placement->start.sent = placement->status.reported = true;
+    if (placement && rows[i].stopping > 0) {
+      placement->stop.requested = true;
+      placement->stop.grace_s = rows[i].stopping;
     }
     if (!rows[i].owner) {
-      m->owner = 1;
+      machine->owner = 1;
       b->c.peers[0].heard_at = -1e9;
     }
-    if (rows[i].cancelled == READ) j->phase = FC_PHASE_CANCELLED;
-    if (rows[i].cancelled >= TOLD) fc_table_cancel(t, "job-000001", 99, fc_now(), fc_now());
+    if (rows[i].cancelled == READ) job->phase = FC_PHASE_CANCELLED;
+    if (rows[i].cancelled >= TOLD) fc_cluster_apply_cancellation(cluster, "job-000001", 99, fc_now(), fc_now());
     GString *out = g_string_new(NULL);
     check_row(rows[i].name, report(b, 1, 1, 5, rows[i].running ? RUNNING(0) : "", out) == 200);
     check_row(rows[i].name, says(out, rows[i].says) && !says(out, rows[i].says_not));
@@ -328,19 +330,19 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_table *t = b->c.table;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    fc_job *j = world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    if (rows[i].done_recorded) j->done[0] = 1;
+    fc_cluster *cluster = b->c.table;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
     /* Somebody is at the writing already: the report itself must not wait. */
     g_hash_table_insert(b->c.recording, g_strdup("job-000001"), g_new0(fc_cond, 1));
-    fc_placement *p = fc_table_place(t, m, "job-000001", 0, 1, 0);
-    p->sent = p->reported = true;
-    p->stray = rows[i].stray ? FC_STRAY_LOST : FC_STRAY_NONE;
-    p->stray_token = 5;
+    fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+    placement->start.sent = placement->status.reported = true;
+    placement->start.direct = rows[i].stray ? FC_DIRECT_START_UNACKNOWLEDGED : FC_DIRECT_START_NONE;
+    placement->start.direct_token = 5;
     GString *out = g_string_new(NULL);
-    m->seen_token = 5;
-    m->session = 1;
+    machine->agent.fencing_token = 5;
+    machine->agent.epoch = 1;
     check_row(rows[i].name, report(b, 1, 1, 5, rows[i].runs, out) == 200);
     check_row(rows[i].name, says(out, "clear") == rows[i].cleared);
     g_string_free(out, TRUE);
@@ -364,18 +366,18 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_table *t = b->c.table;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_cluster *cluster = b->c.table;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
     assert_int_equal(report(b, 2, 10, 5, RUNNING(0), out), 200);
-    fc_placement *p = fc_table_place(t, m, "job-000001", 1, 2, 0);
-    double answered = m->answered_at = m->heard_at = m->heard_at - 3;
+    fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 1, 2, 0);
+    double answered = machine->lease.answered_at = machine->agent.heard_at = machine->agent.heard_at - 3;
     check_row(rows[i].name, report(b, rows[i].session, rows[i].seq, rows[i].token, RUNNING(3), out) == rows[i].status);
-    check_row(rows[i].name, !says(out, "start") && !p->sent);
-    check_row(rows[i].name, m->placements->len == 2 && m->seq == 10);
-    check_row(rows[i].name, m->answered_at == answered); /* the lease's end is where it was */
-    check_row(rows[i].name, m->probe);                   /* the machine itself is asked */
+    check_row(rows[i].name, !says(out, "start") && !placement->start.sent);
+    check_row(rows[i].name, machine->placements->len == 2 && machine->agent.sequence == 10);
+    check_row(rows[i].name, machine->lease.answered_at == answered); /* the lease's end is where it was */
+    check_row(rows[i].name, machine->probe.wanted);                  /* the machine itself is asked */
     g_string_free(out, TRUE);
     bench_free(b);
   }
@@ -385,20 +387,20 @@
 static void late_copy_after_the_machine_moved(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_table *t = b->c.table;
-  fc_machine *m = world_machine(t, "vm-1", "a", false);
-  m->owner = 1;
+  fc_cluster *cluster = b->c.table;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  machine->owner = 1;
   b->c.peers[0].heard_at = -1e9; /* we keep it for its owner */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 20, 5, "", out), 200);
-  double answered = m->answered_at;
+  double answered = machine->lease.answered_at;
   assert_int_equal(report(b, 1, 19, 5, "", out), 503); /* nobody waits for this answer */
-  assert_true(m->answered_at == answered);
-  fc_table_derive_owner(t, m, 1);
-  assert_int_equal(m->owner, 0);
+  assert_true(machine->lease.answered_at == answered);
+  fc_cluster_assign_machine(cluster, machine, 1);
+  assert_int_equal(machine->owner, 0);
   (void)report(b, 1, 18, 5, RUNNING(0), out);
-  assert_int_equal(m->placements->len, 0);
-  assert_true(m->settled_term != t->term.number);
+  assert_int_equal(machine->placements->len, 0);
+  assert_true(machine->reconciled_term != cluster->membership.term.number);
   g_string_free(out, TRUE);
   bench_free(b);
 }
@@ -425,20 +427,20 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_table *t = b->c.table;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    m->answered_at = fc_now() - rows[i].since_answer;
-    m->answered_on = rows[i].before;
+    fc_cluster *cluster = b->c.table;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    machine->lease.answered_at = fc_now() - rows[i].since_answer;
+    machine->lease.connection = rows[i].before;
     b->connection = rows[i].now;
-    b->settings.report_s = rows[i].report_s;
-    if (rows[i].deaf_for >= 0) m->deaf_since = fc_now() - rows[i].deaf_for;
+    b->settings.heartbeat_s = rows[i].report_s;
+    if (rows[i].deaf_for >= 0) machine->reachability.unidirectional_since = fc_now() - rows[i].deaf_for;
     GString *out = g_string_new(NULL);
     assert_int_equal(report(b, 1, 1, 5, "", out), 200);
-    double now = m->heard_at;
-    check_row(rows[i].name, (m->deaf_since != 0) == rows[i].in_doubt);
-    check_row(rows[i].name, fc_machine_usable(t, m, now) == rows[i].usable);
+    double now = machine->agent.heard_at;
+    check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].in_doubt);
+    check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
     /* In doubt it is asked directly, and an answer clears it (fc_workers_doubt). */
-    check_row(rows[i].name, fc_workers_doubt(&b->c, m) == !rows[i].usable);
+    check_row(rows[i].name, fc_workers_doubt(&b->c, machine) == !rows[i].usable);
     g_string_free(out, TRUE);
     bench_free(b);
   }
@@ -449,20 +451,20 @@
 static void machine_started_anew(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_table *t = b->c.table;
-  fc_machine *m = world_machine(t, "vm-1", "a", false);
-  world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-  m->reborn = true;
-  m->session = 1;
-  m->seq = 3;
-  m->seen_token = 5;
-  fc_placement *p = fc_table_place(t, m, "job-000001", 0, 1, 0);
-  p->sent = p->reported = true;
+  fc_cluster *cluster = b->c.table;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  machine->agent.restarted = true;
+  machine->agent.epoch = 1;
+  machine->agent.sequence = 3;
+  machine->agent.fencing_token = 5;
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+  placement->start.sent = placement->status.reported = true;
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 90, 5, "", out), 200);
-  assert_int_equal(m->placements->len, 1);
-  assert_int_equal(m->seq, 3);
-  assert_true(m->probe);
+  assert_int_equal(machine->placements->len, 1);
+  assert_int_equal(machine->agent.sequence, 3);
+  assert_true(machine->probe.wanted);
   g_string_free(out, TRUE);
   bench_free(b);
 }
@@ -491,25 +493,25 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_table *t = b->c.table;
-    fc_machine *m = world_machine(t, "vm-1", "a", false);
-    world_job(t, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_table_place(t, m, "job-000001", 0, 1, 0)->sent = true;
+    fc_cluster *cluster = b->c.table;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0)->start.sent = true;
     double now = fc_now();
-    b->c.peers[0].covered_at = now + 100;
-    b->c.term_since = m->owned_since = now - 100;
-    m->answered_at = now - rows[i].answered;
-    m->session_from = now - rows[i].session;
-    m->reported = true;
-    m->session = 1;
-    m->seq = 9;
-    b->c.fresh_sent = now - rows[i].read;
-    if (rows[i].alone) t->term.count = 1;
-    fc_frame_kept k = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].kept * 1000), .session = 1};
-    k.seq = rows[i].kept_seq;
-    if (k.seq) fc_workers_kept(&b->c, &k, now);
+    b->c.peers[0].renewals_known_until = now + 100;
+    b->c.term_since = machine->owned_since = now - 100;
+    machine->lease.answered_at = now - rows[i].answered;
+    machine->agent.epoch_began_at = now - rows[i].session;
+    machine->agent.reported = true;
+    machine->agent.epoch = 1;
+    machine->agent.sequence = 9;
+    b->c.kv_read_at = now - rows[i].read;
+    if (rows[i].alone) cluster->membership.term.count = 1;
+    fc_frame_lease_renewal k = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].kept * 1000), .epoch = 1};
+    k.sequence = rows[i].kept_seq;
+    if (k.sequence) fc_workers_kept(&b->c, &k, now);
     fc_workers_expire(&b->c);
-    check_row(rows[i].name, (m->placements->len == 0) == rows[i].over);
+    check_row(rows[i].name, (machine->placements->len == 0) == rows[i].over);
     bench_free(b);
   }
 }
@@ -536,17 +538,17 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
-    m->owner = rows[i].owner;
-    m->reported = true;
-    m->session = 2;
-    m->seq = 9;
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    machine->owner = rows[i].owner;
+    machine->agent.reported = true;
+    machine->agent.epoch = 2;
+    machine->agent.sequence = 9;
     double now = fc_now();
-    m->proved_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
-    fc_frame_kept k = {.machine = "vm-1", .session = rows[i].session, .seq = rows[i].seq};
+    machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
+    fc_frame_lease_renewal k = {.machine = "vm-1", .epoch = rows[i].session, .sequence = rows[i].seq};
     k.age_ms = (uint32_t)(rows[i].answered_s * 1000);
     fc_workers_kept(&b->c, &k, now);
-    check_row(rows[i].name, m->probe == rows[i].asks);
+    check_row(rows[i].name, machine->probe.wanted == rows[i].asks);
     bench_free(b);
   }
 }
@@ -555,16 +557,16 @@
 static void settled_is_news(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_table *t = b->c.table;
-  fc_machine *m = world_machine(t, "vm-1", "a", false);
-  m->settled_term = 0;
-  fc_placement *p = fc_table_place(t, m, "job-000001", 0, 1, 0);
-  p->sent = true;
-  t->view = 7; /* views that showed the machine as not settled */
+  fc_cluster *cluster = b->c.table;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  machine->reconciled_term = 0;
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+  placement->start.sent = true;
+  cluster->view_number = 7; /* views that showed the machine as not settled */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 5, RUNNING(0), out), 200);
-  assert_int_equal(m->settled_term, 5);
-  assert_int_equal(p->told, 8);
+  assert_int_equal(machine->reconciled_term, 5);
+  assert_int_equal(placement->first_view, 8);
   g_string_free(out, TRUE);
   bench_free(b);
 }
@@ -587,12 +589,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
-    if (!rows[i].settled) m->settled_term = 0;
-    m->probe = rows[i].probe;
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    if (!rows[i].settled) machine->reconciled_term = 0;
+    machine->probe.wanted = rows[i].probe;
     b->settings.fd_limit = rows[i].limit;
-    b->c.pushing = rows[i].under_way;
-    check_row(rows[i].name, fc_workers_may_push(&b->c, m) == rows[i].may);
+    b->c.worker_calls = rows[i].under_way;
+    check_row(rows[i].name, fc_workers_may_push(&b->c, machine) == rows[i].may);
     bench_free(b);
   }
 }
@@ -627,19 +629,19 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
     double now = fc_now();
     b->c.peer_of[0] = -1;
     b->c.peer_of[1] = 0;
     b->c.ended_at = now - rows[i].ended;
-    m->asked_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
-    m->asked_answered = rows[i].answered;
-    fc_frame_asked a = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
+    machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
+    machine->probe.answered = rows[i].answered;
+    fc_frame_probe a = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
     if (rows[i].theirs >= 0) fc_workers_asked(&b->c, 0, &a, now - rows[i].view, now);
     a.age_ms = (uint32_t)(rows[i].again * 1000);
     a.answered = false;
     if (rows[i].again > 0) fc_workers_asked(&b->c, 0, &a, now, now);
-    check_row(rows[i].name, fc_workers_unreachable(&b->c, m) == rows[i].unreachable);
+    check_row(rows[i].name, fc_workers_unreachable(&b->c, machine) == rows[i].unreachable);
     bench_free(b);
   }
 }
@@ -669,21 +671,21 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *m = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
     double now = fc_now();
     b->settings.fd_limit = 800;
-    b->c.pushing = rows[i].under_way;
+    b->c.worker_calls = rows[i].under_way;
     b->c.ended_at = now - rows[i].ended;
     b->c.term_since = now - rows[i].term;
-    m->owner = rows[i].owner;
-    m->announced = rows[i].announced;
-    m->remote_mute = rows[i].mute;
-    m->asked_at = now - rows[i].asked;
-    m->settled_term = rows[i].settled ? 5 : 0;
-    g_strlcpy(m->rec.endpoint, "10.1.0.2:9000", sizeof m->rec.endpoint);
-    fc_workers_ask(&b->c, m);
-    check_row(rows[i].name, m->asking == rows[i].asks);
-    check_row(rows[i].name, b->c.pushing == rows[i].under_way + rows[i].asks);
+    machine->owner = rows[i].owner;
+    machine->announced = rows[i].announced;
+    machine->reachability.owner_suspects = rows[i].mute;
+    machine->probe.sent_at = now - rows[i].asked;
+    machine->reconciled_term = rows[i].settled ? 5 : 0;
+    g_strlcpy(machine->record.endpoint, "10.1.0.2:9000", sizeof machine->record.endpoint);
+    fc_workers_ask(&b->c, machine);
+    check_row(rows[i].name, machine->probe.in_flight == rows[i].asks);
+    check_row(rows[i].name, b->c.worker_calls == rows[i].under_way + rows[i].asks);
     bench_free(b);
   }
 }
@@ -692,10 +694,10 @@
 static void contradicting_report(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_machine *m = world_machine(b->c.table, "vm-1", "b", false); /* it will say zone a */
+  fc_machine *machine = world_machine(b->c.table, "vm-1", "b", false); /* it will say zone a */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 5, "", out), 503);
-  assert_int_equal(m->seq, 0);
+  assert_int_equal(machine->agent.sequence, 0);
   g_string_free(out, TRUE);
   bench_free(b);
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -4,70 +4,70 @@
 
 #include "check.h"
 
-#include "bookkeeping/table.h"
+#include "bookkeeping/cluster.h"
 
 static inline fc_settings world_settings(void) {
-  fc_settings s = {.name = "paddock-0", .zone = "a", .zone_count = 2, .team_count = 2};
-  fc_operator_defaults(&s.op);
-  s.zones[0] = "a";
-  s.zones[1] = "b";
-  s.teams[0] = (fc_team_settings){.name = "red", .gpus = 8};
-  s.teams[1] = (fc_team_settings){.name = "blue", .gpus = 8, .gpus_max = 16};
-  s.report_s = 2;
-  s.lease_s = 14;
-  s.cancel_s = 34;
-  s.gang_peer_s = 5;
-  s.gang_wait_s = 40;
-  s.cpu = 0.08;
-  s.state_value_kb = 8;
-  return s;
+  fc_settings settings = {.name = "paddock-0", .zone = "a", .zone_count = 2, .team_count = 2};
+  fc_operator_defaults(&settings.op);
+  settings.zones[0] = "a";
+  settings.zones[1] = "b";
+  settings.teams[0] = (fc_team_settings){.name = "red", .gpus = 8};
+  settings.teams[1] = (fc_team_settings){.name = "blue", .gpus = 8, .gpus_max = 16};
+  settings.heartbeat_s = 2;
+  settings.lease_s = 14;
+  settings.cancel_s = 34;
+  settings.gang_peer_s = 5;
+  settings.gang_wait_s = 40;
+  settings.cpu = 0.08;
+  settings.state_value_kb = 8;
+  return settings;
 }
 
-static inline fc_table *world_table(const fc_settings *s) {
-  fc_table *t = fc_table_new(s);
-  fc_machine_type *mt = g_new0(fc_machine_type, 1);
-  *mt = (fc_machine_type){.name = g_strdup("g4"),
-                          .cpus = 40,
-                          .gpus = 4,
-                          .memory_gb = 400,
-                          .price = 10,
-                          .spot_price = 3,
-                          .boot_s = 60,
-                          .fetch_gb_per_s = 0.5};
-  mt->zones = g_strsplit("a b", " ", -1);
-  g_ptr_array_add(t->types, mt);
+static inline fc_cluster *world_table(const fc_settings *settings) {
+  fc_cluster *cluster = fc_cluster_new(settings);
+  fc_machine_type *machine_type = g_new0(fc_machine_type, 1);
+  *machine_type = (fc_machine_type){.name = g_strdup("g4"),
+                                    .cpus = 40,
+                                    .gpus = 4,
+                                    .memory_gb = 400,
+                                    .price = 10,
+                                    .spot_price = 3,
+                                    .boot_s = 60,
+                                    .fetch_gb_per_s = 0.5};
+  machine_type->zones = g_strsplit("a b", " ", -1);
+  g_ptr_array_add(cluster->machine_types, machine_type);
   fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}}, .count = 1};
-  fc_table_set_term(t, &term, 1, false, 0);
-  t->settled_latch = 1;
-  return t;
+  fc_cluster_apply_term(cluster, &term, 1, false, 0);
+  cluster->reconciliation.complete_in_term = 1;
+  return cluster;
 }
 
-static inline fc_machine *world_machine(fc_table *t, const char *id, const char *zone, bool spot) {
-  fc_machine *m = fc_table_machine_add(t, id, 0);
-  g_strlcpy(m->rec.type, "g4", sizeof m->rec.type);
-  g_strlcpy(m->rec.zone, zone, sizeof m->rec.zone);
-  g_strlcpy(m->rec.owner, "paddock-0", sizeof m->rec.owner);
-  m->rec.spot = spot;
-  m->version = 2;
-  m->announced = true;
-  fc_machine_locate(t, m);
-  fc_table_derive_owner(t, m, 0);
-  m->settled_term = t->term.number;
-  m->reported = true;
-  return m;
+static inline fc_machine *world_machine(fc_cluster *cluster, const char *id, const char *zone, bool spot) {
+  fc_machine *machine = fc_cluster_ensure_machine(cluster, id, 0);
+  g_strlcpy(machine->record.type, "g4", sizeof machine->record.type);
+  g_strlcpy(machine->record.zone, zone, sizeof machine->record.zone);
+  g_strlcpy(machine->record.owner, "paddock-0", sizeof machine->record.owner);
+  machine->record.spot = spot;
+  machine->record_version = 2;
+  machine->announced = true;
+  fc_cluster_locate_machine(cluster, machine);
+  fc_cluster_assign_machine(cluster, machine, 0);
+  machine->reconciled_term = cluster->membership.term.number;
+  machine->agent.reported = true;
+  return machine;
 }
 
 /* After a test has put a term of its own in place. */
-static inline void world_deal(fc_table *t) {
+static inline void world_deal(fc_cluster *cluster) {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init(&it, t->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) fc_job_deal(t, value);
+  g_hash_table_iter_init(&it, cluster->jobs);
+  while (g_hash_table_iter_next(&it, NULL, &value)) fc_cluster_assign_slices(cluster, value);
 }
 
 /* extra: more fields, each ending in a comma, that take the place of defaults */
-static inline fc_job *world_job(fc_table *t, const char *id, const char *kind, const char *rank, const char *team,
-                                unsigned tasks, double gpus, const char *extra) {
+static inline fc_job *world_job(fc_cluster *cluster, const char *id, const char *kind, const char *rank,
+                                const char *team, unsigned tasks, double gpus, const char *extra) {
   char *text = g_strdup_printf(
       "{%s\"id\":\"%s\",\"squad\":\"c\",\"club\":\"%s\",\"play\":\"%s\",\"rank\":\"%s\",\"runs\":%u,\"cpus\":%f,"
       "\"gpus\":%f,\"memGb\":10,\"kit\":\"img\",\"pullGb\":1,\"builds\":null,\"ground\":null%s%s,\"loaners\":true,"
@@ -79,14 +79,14 @@
     g_string_truncate(full, full->len - 1);
     g_string_append_printf(full, ",%s}", extra);
   }
-  fc_job_record r = {.phase = FC_PHASE_ACCEPTED, .done = "", .slices = 1};
+  fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .done = "", .slices = 1};
   char error[200];
-  assert_true(fc_job_spec_parse(full->str, full->len, &r.spec, error, sizeof error));
-  fc_job *j = fc_table_put_job(t, id, &r, 5, true, 0);
-  fc_job_spec_clear(&r.spec);
+  assert_true(fc_job_spec_parse(full->str, full->len, &record.spec, error, sizeof error));
+  fc_job *job = fc_cluster_apply_job(cluster, id, &record, 5, true, 0);
+  fc_job_spec_clear(&record.spec);
   g_string_free(full, TRUE);
   g_free(text);
-  return j;
+  return job;
 }
 
 #endif
