--- /dev/null
+++ b/src/bookkeeping/cluster_machines.c
@@ -0,0 +1,95 @@
+#include "bookkeeping/cluster_machines.h"
+
+/* More than any machine has or any limit allows. */
+#define UNKNOWN_CAPACITY 1e12
+
+/* How long a machine may stay silent after it became ours, as a part of the worker's lease and
+ * in heartbeat intervals at least. */
+#define NEVER_HEARD_LEASES 0.4
+#define NEVER_HEARD_HEARTBEATS 2
+
+/* A machine is suspect so much earlier than it is unreachable, but not before a heartbeat can
+ * have been missed; both in heartbeat intervals. */
+#define SUSPECT_AHEAD_HEARTBEATS 2
+#define SUSPECT_MIN_HEARTBEATS 1.5
+
+/* Parts of the worker's lease for which a silent, and a unidirectional, machine takes new tasks. */
+#define REACHABLE_SILENT_LEASES 0.5
+#define REACHABLE_UNIDIRECTIONAL_LEASES 0.25
+
+fc_machine *fc_cluster_ensure_machine(fc_cluster *cluster, const char *id, double now) {
+  fc_machine *machine = fc_cluster_find_machine(cluster, id);
+  if (machine) return machine;
+  machine = fc_machine_new(id, now);
+  g_hash_table_insert(cluster->machines, machine->id, machine);
+  return machine;
+}
+
+void fc_cluster_remove_machine(fc_cluster *cluster, fc_machine *machine) {
+  fc_machine_remove_placements(machine);
+  g_hash_table_remove(cluster->machines, machine->id);
+}
+
+void fc_cluster_locate_machine(const fc_cluster *cluster, fc_machine *machine) {
+  machine->type = fc_cluster_find_machine_type(cluster, machine->record.type);
+  machine->zone = fc_settings_zone(cluster->settings, machine->record.zone);
+}
+
+fc_placement *fc_cluster_add_placement(fc_cluster *cluster, fc_machine *machine, const char *job_id, uint32_t index,
+                                       uint64_t attempt, double now) {
+  fc_placement *placement = g_new0(fc_placement, 1);
+  placement->machine = machine;
+  g_strlcpy(placement->job_id, job_id, sizeof placement->job_id);
+  placement->index = index;
+  placement->attempt = attempt;
+  placement->created_at = now;
+  placement->first_view = cluster->view_number + 1;
+  placement->job = fc_cluster_find_job(cluster, job_id);
+  g_ptr_array_add(machine->placements, placement);
+  if (placement->job) g_ptr_array_add(placement->job->placements, placement);
+  machine->idle_since = 0;
+  return placement;
+}
+
+fc_resources fc_machine_free_resources(const fc_cluster *cluster, const fc_machine *machine) {
+  const fc_resources none = {0, 0, 0};
+  if (machine->type < 0) return none;
+  fc_resources resources = fc_machine_capacity(cluster, machine);
+  for (guint i = 0; i < machine->placements->len; i++) {
+    const fc_placement *placement = machine->placements->pdata[i];
+    if (!fc_placement_active(placement)) continue;
+    /* A task of an unknown job may use all there is. */
+    if (!placement->job) return none;
+    fc_resources_subtract(&resources, &placement->job->spec);
+  }
+  return resources;
+}
+
+fc_resources fc_machine_capacity(const fc_cluster *cluster, const fc_machine *machine) {
+  if (machine->type < 0) return (fc_resources){UNKNOWN_CAPACITY, UNKNOWN_CAPACITY, UNKNOWN_CAPACITY};
+  const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
+  return (fc_resources){machine_type->cpus, machine_type->gpus, machine_type->memory_gb};
+}
+
+bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now) {
+  const fc_settings *settings = cluster->settings;
+  double timeout_s = MAX(settings->lease_s * NEVER_HEARD_LEASES, settings->heartbeat_s * NEVER_HEARD_HEARTBEATS);
+  return machine->announced && !machine->agent.reported && now > machine->owned_since + timeout_s;
+}
+
+bool fc_machine_suspect(const fc_cluster *cluster, const fc_machine *machine, double now) {
+  if (!fc_machine_owned_by_self(cluster, machine)) return machine->reachability.owner_suspects;
+  if (!machine->agent.reported) return fc_machine_never_heard(cluster, machine, now);
+  const fc_settings *settings = cluster->settings;
+  double silent_s = MAX(fc_machine_silence_timeout_s(settings) - SUSPECT_AHEAD_HEARTBEATS * settings->heartbeat_s,
+                        SUSPECT_MIN_HEARTBEATS * settings->heartbeat_s);
+  return machine->reachability.unidirectional_since || fc_machine_unreachable_since(machine, now - silent_s);
+}
+
+bool fc_machine_reachable(const fc_cluster *cluster, const fc_machine *machine, double now) {
+  double lease_s = cluster->settings->lease_s;
+  if (!machine->agent.reported || now > machine->agent.heard_at + lease_s * REACHABLE_SILENT_LEASES) return false;
+  /* The next heartbeat, or the answer to a probe, shows whether our answers arrive. */
+  double unidirectional_since = machine->reachability.unidirectional_since;
+  return !unidirectional_since || now < unidirectional_since + lease_s * REACHABLE_UNIDIRECTIONAL_LEASES;
+}
--- /dev/null
+++ b/src/bookkeeping/job_records.c
@@ -0,0 +1,134 @@
+#include "bookkeeping/job_records.h"
+
+#include <math.h>
+#include <string.h>
+
+#include "bookkeeping/dependencies.h"
+#include "bookkeeping/reconciliation_progress.h"
+#include "bookkeeping/shard_ownership.h"
+
+#define ALL_SLICES (~0u)
+
+/* Placements that were reported before the job's record was read belong to it too. */
+static void link_placements(fc_cluster *cluster, fc_job *job) {
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    for (guint i = 0; i < machine->placements->len; i++) {
+      fc_placement *placement = machine->placements->pdata[i];
+      if (placement->job || strcmp(placement->job_id, job->spec.id) != 0) continue;
+      placement->job = job;
+      g_ptr_array_add(job->placements, placement);
+    }
+  }
+}
+
+/* Adds a job with what its record says for good. */
+static fc_job *add_job(fc_cluster *cluster, const fc_job_record *record, bool fresh, double now) {
+  fc_job *job = g_new0(fc_job, 1);
+  job->spec = fc_job_spec_copy(&record->spec);
+  job->record.description = record->parts;
+  job->slices.count = record->slices;
+  job->slices.resolved = fresh ? ALL_SLICES : 0;
+  job->completion.bitmap = g_new0(uint8_t, (job->spec.tasks + 7) / 8);
+  job->placements = g_ptr_array_new();
+  job->team = fc_settings_team(cluster->settings, job->spec.team);
+  double submitted_at = record->origin.submitted_at;
+  job->lifecycle.submitted_at = submitted_at > 0 ? MIN(now, submitted_at - cluster->clock_offset_s) : now;
+  job->queue.entered_at = now;
+  job->queue.priority = job->spec.priority;
+  job->queue.due_at = INFINITY;
+  job->queue.sequence = cluster->next_queue_sequence++;
+  g_hash_table_insert(cluster->jobs, job->spec.id, job);
+  return job;
+}
+
+/* A record is written without the job's dependencies once all of them are done. */
+static void apply_dependencies(fc_job *job, const fc_job_record *record) {
+  if (record->awaiting) return;
+  g_strfreev(job->spec.awaits);
+  job->spec.awaits = NULL;
+}
+
+static void apply_completion(fc_job *job, const char *id, const char *ranges) {
+  if (!fc_ranges_decode(ranges, job->completion.bitmap, job->spec.tasks)) g_warning("job %s: bad ranges", id);
+  job->completion.count = 0;
+  for (uint32_t i = 0; i < job->spec.tasks; i++) job->completion.count += fc_job_task_done(job, i);
+}
+
+static void apply_phase(const fc_cluster *cluster, fc_job *job, const char *id, fc_job_phase phase, uint64_t version,
+                        double now) {
+  job->phase = phase;
+  job->record.phase = phase;
+  /* Known to be cancelled by a later record, which is still to be read. */
+  const fc_unread_cancellation *unread = g_hash_table_lookup(cluster->unread_cancellations, id);
+  if (unread && unread->revision > version) job->phase = FC_PHASE_CANCELLED;
+  if (job->phase == FC_PHASE_CANCELLED && !job->lifecycle.cancelled_since)
+    job->lifecycle.cancelled_since = unread ? unread->since : now;
+  if (job->phase != FC_PHASE_ACCEPTED && !job->lifecycle.ended_at) job->lifecycle.ended_at = now;
+}
+
+/* Takes over to whom slices were handed over. */
+static void apply_handovers(const fc_cluster *cluster, fc_job *job, const fc_job_record *record, bool is_new) {
+  for (unsigned i = 0; i < job->slices.count; i++) {
+    if (g_strcmp0(job->record.handed_to[i], record->handed[i]) == 0) continue;
+    bool was_ours = !is_new && fc_job_slice_owner(job, i) == cluster->membership.self;
+    g_free(job->record.handed_to[i]);
+    job->record.handed_to[i] = g_strdup(record->handed[i]);
+    /* Whoever hands a slice over knows all of it, and does so only after we have acknowledged a
+     * view that shows whatever of it is on a machine; or the record says that some of it is on
+     * other members' machines, which are reconciled for us one by one. */
+    bool fully_known = !(record->origin.unseen >> i & 1);
+    if (!was_ours && !is_new && fully_known) job->slices.resolved |= 1u << i;
+  }
+}
+
+fc_job *fc_cluster_apply_job(fc_cluster *cluster, const char *id, const fc_job_record *record, uint64_t version,
+                             bool fresh, double now) {
+  fc_job *job = fc_cluster_find_job(cluster, id);
+  if (job && job->record.version >= version) return job;
+  bool is_new = !job;
+  if (is_new) job = add_job(cluster, record, fresh, now);
+  apply_dependencies(job, record);
+  apply_completion(job, id, record->done);
+  apply_phase(cluster, job, id, record->phase, version, now);
+  job->record.version = version;
+  apply_handovers(cluster, job, record, is_new);
+  job->record.origin = record->origin;
+  fc_cluster_assign_slices(cluster, job);
+  if (is_new) {
+    fc_cluster_resolve_slices(cluster, job);
+    link_placements(cluster, job);
+  }
+  fc_dependencies_apply(cluster, job, fresh, now);
+  /* A job that is read back after a start arrived before that: it is no arrival. */
+  if (is_new && fresh && fc_job_dependencies_met(job)) fc_arrival_stats_add(&cluster->arrivals, &job->spec, now);
+  return job;
+}
+
+void fc_cluster_apply_cancellation(fc_cluster *cluster, const char *id, uint64_t revision, double since, double now) {
+  fc_job *job = fc_cluster_find_job(cluster, id);
+  if (job && (job->record.version >= revision || job->phase == FC_PHASE_CANCELLED)) return;
+  fc_unread_cancellation *unread = g_new(fc_unread_cancellation, 1);
+  *unread = (fc_unread_cancellation){.revision = revision, .since = since};
+  g_hash_table_replace(cluster->unread_cancellations, g_strdup(id), unread);
+  if (job) {
+    job->phase = FC_PHASE_CANCELLED;
+    job->lifecycle.cancelled_since = since;
+    if (!job->lifecycle.ended_at) job->lifecycle.ended_at = now;
+  }
+  fc_dependencies_learn(cluster, id, FC_DEPENDENCY_CANCELLED, now);
+}
+
+void fc_cluster_caught_up(fc_cluster *cluster, uint64_t revision) {
+  GHashTableIter iter;
+  gpointer unread;
+  g_hash_table_iter_init(&iter, cluster->unread_cancellations);
+  while (g_hash_table_iter_next(&iter, NULL, &unread))
+    if (((const fc_unread_cancellation *)unread)->revision <= revision) g_hash_table_iter_remove(&iter);
+}
+
+void fc_cluster_remove_job(fc_cluster *cluster, fc_job *job) {
+  for (guint i = 0; i < job->placements->len; i++) ((fc_placement *)job->placements->pdata[i])->job = NULL;
+  fc_dependencies_remove(cluster, job);
+  g_hash_table_remove(cluster->jobs, job->spec.id);
+}
--- /dev/null
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -0,0 +1,80 @@
+#include "bookkeeping/reconciliation_progress.h"
+
+#include "bookkeeping/cluster_machines.h"
+
+#define ALL_SLICES (~0u)
+
+/* The members on whose machines tasks of a slice of ours may be, a bit each; 0: not known. While
+ * the members have the same names, no slice and no machine is assigned anew: a slice is started
+ * by its owner alone, on machines that are the owner's, and a machine leaves a member only
+ * empty. So a slice that was never handed over since it was accepted is on our machines or
+ * nowhere, and one that was is where the record of its handover says: whoever hands over knows
+ * all of it. */
+static unsigned possible_locations(const fc_cluster *cluster, const fc_job *job, unsigned slice) {
+  const fc_job_origin *origin = &job->record.origin;
+  bool moved = origin->moved >> slice & 1;
+  uint64_t known_since = moved ? origin->last_move[slice].term : origin->term;
+  if (!known_since || known_since < cluster->membership.term.names_since) return 0;
+  return moved ? origin->last_move[slice].members : 1u << cluster->membership.self;
+}
+
+/* Slices of ours whose possible locations have all been reconciled. */
+static unsigned located_slices(const fc_cluster *cluster, const fc_job *job) {
+  const fc_membership *membership = &cluster->membership;
+  unsigned located = 0;
+  if (membership->self < 0 || cluster->reconciliation.members_term != membership->term.number) return 0;
+  for (unsigned i = 0; i < job->slices.count; i++) {
+    if (fc_job_slice_owner(job, i) != membership->self) continue;
+    unsigned members = possible_locations(cluster, job, i);
+    located |= (unsigned)(members && !(members & ~cluster->reconciliation.members)) << i;
+  }
+  return located;
+}
+
+bool fc_cluster_fully_reconciled(const fc_cluster *cluster) {
+  return cluster->reconciliation.complete_in_term == cluster->membership.term.number;
+}
+
+void fc_cluster_resolve_slices(const fc_cluster *cluster, fc_job *job) {
+  if (!cluster->membership.term_version) return;
+  if (fc_cluster_fully_reconciled(cluster)) job->slices.resolved = ALL_SLICES;
+  job->slices.resolved |= located_slices(cluster, job);
+}
+
+/* Members with a machine that is still to be reconciled, a bit each; stops once that is so for
+ * all that `reconciled` does not name. *all: no machine is left. */
+static unsigned members_left(const fc_cluster *cluster, unsigned reconciled, bool *all) {
+  const unsigned everyone = (1u << cluster->membership.term.count) - 1;
+  unsigned left = 0;
+  *all = true;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine;
+       (*all || (left | reconciled) != everyone) && (machine = fc_machine_iter_next(&machine_iter));) {
+    /* Nothing was ever started on a machine whose address is not recorded. With a wait for such
+     * machines too, a fleet that keeps scaling out would start nothing for long after every
+     * change of term: one is always booting. */
+    if (!machine->announced || fc_machine_reconciled(cluster, machine)) continue;
+    *all = false;
+    if (machine->owner >= 0) left |= 1u << machine->owner;
+  }
+  return left;
+}
+
+bool fc_cluster_update_reconciled(fc_cluster *cluster) {
+  const fc_membership *membership = &cluster->membership;
+  fc_reconciliation *progress = &cluster->reconciliation;
+  if (!membership->term_version) return false;
+  if (fc_cluster_fully_reconciled(cluster)) return true;
+  if (membership->self < 0) return false;
+  const unsigned before = progress->members_term == membership->term.number ? progress->members : 0;
+  const unsigned everyone = (1u << membership->term.count) - 1;
+  bool all;
+  unsigned left = members_left(cluster, before, &all);
+  if (all) progress->complete_in_term = membership->term.number;
+  progress->members_term = membership->term.number;
+  progress->members = before | (everyone & ~left);
+  if (!all && progress->members == before) return false;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) fc_cluster_resolve_slices(cluster, job);
+  return all;
+}
--- /dev/null
+++ b/src/bookkeeping/resources.c
@@ -0,0 +1,21 @@
+#include "bookkeeping/resources.h"
+
+/* Sums and differences of decimal amounts are this exact. */
+#define ROUNDING 1e-6
+
+bool fc_resources_fit(const fc_resources *resources, const fc_job_spec *spec) {
+  return resources->cpus + ROUNDING >= spec->cpus && resources->gpus + ROUNDING >= spec->gpus &&
+         resources->memory_gb + ROUNDING >= spec->memory_gb;
+}
+
+void fc_resources_subtract(fc_resources *resources, const fc_job_spec *spec) {
+  resources->cpus -= spec->cpus;
+  resources->gpus -= spec->gpus;
+  resources->memory_gb -= spec->memory_gb;
+}
+
+void fc_resources_add(fc_resources *resources, const fc_job_spec *spec) {
+  resources->cpus += spec->cpus;
+  resources->gpus += spec->gpus;
+  resources->memory_gb += spec->memory_gb;
+}
--- /dev/null
+++ b/src/bookkeeping/shard_ownership.c
@@ -0,0 +1,90 @@
+#include "bookkeeping/shard_ownership.h"
+
+#include <string.h>
+
+#include "bookkeeping/cluster_machines.h"
+#include "coordination/assignment.h"
+
+void fc_cluster_assign_slices(const fc_cluster *cluster, fc_job *job) {
+  job->slices.owner_mask = 0;
+  for (unsigned i = 0; i < job->slices.count; i++) {
+    int owner =
+        fc_assign_slice(&cluster->membership.term, job->spec.id, i, job->slices.count, job->record.handed_to[i]);
+    job->slices.owner[i] = (int8_t)owner;
+    if (owner >= 0) job->slices.owner_mask |= 1u << owner;
+  }
+}
+
+/* -1: nobody, as the machine has no record. */
+static int owner_by_record(const fc_cluster *cluster, const fc_machine *machine) {
+  if (!machine->record_version) return -1;
+  return fc_assign_machine(&cluster->membership.term, machine->id, machine->record.owner);
+}
+
+void fc_cluster_assign_machine(fc_cluster *cluster, fc_machine *machine, double now) {
+  int owner = owner_by_record(cluster, machine);
+  if (owner == machine->owner) return;
+  machine->owner = owner;
+  machine->reconciled_term = 0; /* the new owner has to fence it and read its task list first */
+  machine->view.digest = 0;     /* no view of ours has shown it as the new owner's */
+  fc_machine_forget_owner(machine, now);
+}
+
+/* What stays as it was over a change of term. */
+typedef struct term_change {
+  uint64_t old_number;
+  int old_self;
+  bool continuous;
+} term_change;
+
+/* A bit a slice: it belonged to us in the term before. */
+static unsigned slices_owned_before(const fc_job *job, const term_change *change) {
+  unsigned owned = 0;
+  if (change->old_self < 0) return 0;
+  for (unsigned i = 0; i < job->slices.count; i++)
+    owned |= (unsigned)(fc_job_slice_owner(job, i) == change->old_self) << i;
+  return owned;
+}
+
+/* Slices that stay ours through the change are known as well as before. In a term that we have
+ * missed the slice may have been assigned to another and back. */
+static void reassign_job(const fc_cluster *cluster, fc_job *job, const term_change *change) {
+  const fc_membership *membership = &cluster->membership;
+  unsigned owned_before = slices_owned_before(job, change);
+  bool next_term = change->continuous && membership->term.number == change->old_number + 1 && membership->self >= 0;
+  fc_cluster_assign_slices(cluster, job);
+  for (unsigned i = 0; i < job->slices.count; i++) {
+    bool stays = next_term && (owned_before >> i & 1) && fc_job_slice_owner(job, i) == membership->self;
+    if (!stays) job->slices.resolved &= ~(1u << i);
+  }
+}
+
+/* A machine that stays with the process that has reconciled it needs no new fence: nobody else
+ * could command it in between. Its owner must be recorded: one that is assigned by hashing may
+ * have changed and changed back. One that has not been reconciled yet has been silent for as
+ * long as before. */
+static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const term_change *change, double now) {
+  const fc_membership *membership = &cluster->membership;
+  bool was_ours = change->continuous && machine->owner == change->old_self && change->old_self >= 0 &&
+                  membership->self >= 0 && strcmp(machine->record.owner, cluster->settings->name) == 0;
+  bool was_reconciled = was_ours && machine->reconciled_term == change->old_number;
+  machine->owner = owner_by_record(cluster, machine);
+  machine->view.digest = 0;
+  bool is_ours = fc_machine_owned_by_self(cluster, machine);
+  machine->reconciled_term = was_reconciled && is_ours ? membership->term.number : 0;
+  if (!was_ours || !is_ours) fc_machine_forget_owner(machine, now);
+}
+
+void fc_cluster_apply_term(fc_cluster *cluster, const fc_term *term, uint64_t version, bool continuous, double now) {
+  fc_membership *membership = &cluster->membership;
+  const term_change change = {
+      .old_number = membership->term.number, .old_self = membership->self, .continuous = continuous};
+  membership->term = *term;
+  membership->term_version = version;
+  membership->self = fc_term_find(term, cluster->settings->name);
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) reassign_job(cluster, job, &change);
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));)
+    reassign_machine(cluster, machine, &change, now);
+}
--- a/src/controller/archive.c
+++ b/src/controller/archive.c
@@ -9,7 +9,7 @@
 
 fc_lookup fc_archive_find(fc_controller *controller, const char *id, double deadline, fc_archived_job *out) {
   /* The mark was there before the first job was archived. */
-  if (!controller->table->archive_in_use) return FC_NOT_THERE;
+  if (!controller->cluster->archive_in_use) return FC_NOT_THERE;
   /* Users of jobs that are over ask as often as others: with the fixed part of the rate alone,
    * ninety such jobs were answered too rarely (fault test with pipelines, seed 15). */
   if (!fc_token_bucket_take(&controller->lookup_budget, 1, 0, fc_now()) &&
@@ -17,7 +17,7 @@
     return FC_NOT_SURE;
   char *key = g_strconcat(FC_PREFIX_ARCHIVED, id, NULL);
   json_t *value = NULL;
-  fc_kv_result result = fc_kv_get(controller->state, key, deadline, &value);
+  fc_kv_result result = fc_kv_get(controller->kv, key, deadline, &value);
   g_free(key);
   fc_lookup found = FC_NOT_SURE;
   if (result == FC_KV_GONE) found = FC_NOT_THERE;
@@ -35,12 +35,12 @@
                                               fc_now() + controller->settings->lease_s, &revision);
   if (result == FC_KV_OK) return fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s);
   (void)fc_wait_fresh(controller, fc_now() + controller->settings->heartbeat_s);
-  return controller->table->archive_in_use;
+  return controller->cluster->archive_in_use;
 }
 
 /* In one transaction the job leaves the one place and is in the other. */
 static void archive_job(fc_controller *controller, const char *id) {
-  const fc_job *job = fc_cluster_find_job(controller->table, id);
+  const fc_job *job = fc_cluster_find_job(controller->cluster, id);
   if (!job || job->phase == FC_PHASE_ACCEPTED || !fc_may_act(controller)) return;
   char *from = g_strconcat(FC_PREFIX_JOB, id, NULL), *to = g_strconcat(FC_PREFIX_ARCHIVED, id, NULL);
   fc_archived_job archived = {.done = job->phase == FC_PHASE_DONE, .tasks_done = job->completion.count};
@@ -59,15 +59,13 @@
 static GPtrArray *long_over(fc_controller *controller, guint most) {
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   double before = fc_now() - controller->settings->op.over_keep_s;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, controller->table->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value) && ids->len < most) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(controller->cluster);
+  for (const fc_job *job; ids->len < most && (job = fc_job_iter_next(&job_iter));) {
     if (!job->lifecycle.ended_at || job->lifecycle.ended_at > before || job->placements->len > 0) continue;
     /* Those that await it read from its record that it is over. */
-    if (fc_dependencies_has_dependents(controller->table, job->spec.id)) continue;
-    if (fc_job_slice_owner(job, 0) == controller->table->membership.self) g_ptr_array_add(ids, g_strdup(job->spec.id));
+    if (fc_dependencies_has_dependents(controller->cluster, job->spec.id)) continue;
+    if (fc_job_slice_owner(job, 0) == controller->cluster->membership.self)
+      g_ptr_array_add(ids, g_strdup(job->spec.id));
   }
   return ids;
 }
@@ -83,7 +81,7 @@
      * faster than they were archived. */
     GPtrArray *ids = long_over(
         controller, (guint)MAX(1, fc_group_commit_rate(controller->commit) * pause * WRITES_SHARE / JOB_WRITES));
-    bool may = ids->len > 0 && (controller->table->archive_in_use || set_mark(controller));
+    bool may = ids->len > 0 && (controller->cluster->archive_in_use || set_mark(controller));
     /* None while others wait. */
     for (guint i = 0; may && i < ids->len && fc_group_commit_backlog(controller->commit) == 0; i++)
       archive_job(controller, ids->pdata[i]);
--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -2,6 +2,7 @@
  * time. A halt may not get through, and a start that was held up in a cut is carried out
  * when the cut ends, however late, as long as token and session are the same: a task of a
  * job cancelled 43 s before began (scene commands_held_up). */
+#include "bookkeeping/cluster_machines.h"
 #include "controller/controller.h"
 
 /* Kept for returning the machine: calls that fail, and the cloud's rate. */
@@ -30,15 +31,12 @@
  * does not count: the rule comes first. The record goes later, with the next returns: the
  * state service may be out of reach. */
 static void give_back_overdue(fc_controller *controller) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value) && ids->len < FC_RELEASE_MAX) {
-    fc_machine *machine = value;
-    if (machine->owner != cluster->membership.self || !machine->record_version || machine->record_write_pending ||
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; ids->len < FC_RELEASE_MAX && (machine = fc_machine_iter_next(&machine_iter));) {
+    if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version || machine->record_write_pending ||
         !overdue(cluster, machine, now))
       continue;
     fc_machine_begin_return(machine, "overdue", ids);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -49,8 +49,8 @@
 
 struct fc_controller {
   const fc_settings *settings;
-  fc_cluster *table;
-  fc_kv *state;
+  fc_cluster *cluster;
+  fc_kv *kv;
   fc_cloud *cloud;
   fc_group_commit *commit;
   fc_token_bucket cloud_budget;
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -9,7 +9,7 @@
 typedef enum { OPEN, DONE, CANCELLED, REFUSED, ABSENT, NOT_SURE } awaited_verdict;
 
 static awaited_verdict in_table(const fc_controller *controller, const char *id) {
-  const fc_job *job = fc_cluster_find_job(controller->table, id);
+  const fc_job *job = fc_cluster_find_job(controller->cluster, id);
   if (!job) return ABSENT;
   if (job->spec.kind == FC_JOB_SERVICE) return REFUSED;
   if (job->phase == FC_PHASE_ACCEPTED) return OPEN;
@@ -97,9 +97,9 @@
 }
 
 bool fc_pipelines_supported(const fc_controller *controller) {
-  const fc_term *term = &controller->table->membership.term;
+  const fc_term *term = &controller->cluster->membership.term;
   for (size_t i = 0; i < term->count; i++) {
-    const fc_member_key *key = g_hash_table_lookup(controller->table->membership.keys, term->members[i].name);
+    const fc_member_key *key = g_hash_table_lookup(controller->cluster->membership.keys, term->members[i].name);
     if (key && key->job_format < FC_JOB_FORMAT_AWAITING) return false;
   }
   return true;
@@ -109,14 +109,15 @@
 static bool look_up(fc_controller *controller, const char *id, double deadline) {
   fc_archived_job archived;
   if (find_archived(controller, id, deadline, &archived) != FC_FOUND) return false;
-  fc_dependencies_learn(controller->table, id, archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED, fc_now());
+  fc_dependencies_learn(controller->cluster, id, archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED,
+                        fc_now());
   fc_round_soon(controller);
   return true;
 }
 
 bool fc_pipelines_resolve(fc_controller *controller, const char *id, double deadline) {
   for (;;) {
-    const fc_job *job = fc_cluster_find_job(controller->table, id);
+    const fc_job *job = fc_cluster_find_job(controller->cluster, id);
     const char *unknown = job && job->phase == FC_PHASE_ACCEPTED ? fc_job_unknown_dependency(job) : NULL;
     if (!unknown) return true;
     char *awaited = g_strdup(unknown);
@@ -128,10 +129,10 @@
 
 /* The job's own record comes to say what follows from another's. */
 static void record_cancel(fc_controller *controller, const char *id) {
-  const fc_job *job = fc_cluster_find_job(controller->table, id);
+  const fc_job *job = fc_cluster_find_job(controller->cluster, id);
   if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED || !fc_may_act(controller))
     return;
-  fc_write *write = fc_job_record_write(controller->table, job, job->record.version, FC_PHASE_CANCELLED,
+  fc_write *write = fc_job_record_write(controller->cluster, job, job->record.version, FC_PHASE_CANCELLED,
                                         job->completion.bitmap, job->record.handed_to, &job->record.origin);
   if (!write) return;
   uint64_t revision = 0;
@@ -157,10 +158,10 @@
   fc_metrics_duty(&controller->metrics, FC_DUTY_COMMITS);
   while (fc_routine_sleep(controller->settings->heartbeat_s * 0.25) != FC_WAKE_CANCELLED) {
     if (!controller->loaded || !fc_state_reachable(controller)) continue;
-    each_id(controller, fc_dependencies_unknown(controller->table, AT_ONCE_MOST), look_up_soon);
-    if (controller->table->membership.self >= 0)
+    each_id(controller, fc_dependencies_unknown(controller->cluster, AT_ONCE_MOST), look_up_soon);
+    if (controller->cluster->membership.self >= 0)
       each_id(controller,
-              fc_dependencies_unrecorded(controller->table, controller->table->membership.self, AT_ONCE_MOST),
+              fc_dependencies_unrecorded(controller->cluster, controller->cluster->membership.self, AT_ONCE_MOST),
               record_cancel);
   }
 }
--- a/src/controller/description_store.c
+++ b/src/controller/description_store.c
@@ -18,7 +18,7 @@
   size_t bytes = 0;
   for (guint i = 0; i < texts->len && n < fc_group_commit_max_writes(controller->commit) && bytes < WRITE_BYTES_MOST;
        i++) {
-    if (fc_description_parts_version(controller->table->descriptions, job, parts->digest, i)) continue;
+    if (fc_description_parts_version(controller->cluster->descriptions, job, parts->digest, i)) continue;
     char *key = fc_job_part_key(job, parts->digest, i);
     if (!write) write = fc_write_new();
     fc_write_compare(write, key, 0);
@@ -43,7 +43,7 @@
     /* Another controller writes the same ones, or one of ours was carried out late. */
     if (result == FC_KV_CONFLICT && fc_wait_fresh(controller, deadline)) result = FC_KV_OK;
   }
-  *first = fc_description_parts_version(controller->table->descriptions, spec->id, parts->digest, 0);
+  *first = fc_description_parts_version(controller->cluster->descriptions, spec->id, parts->digest, 0);
   g_ptr_array_free(texts, TRUE);
   g_free(text);
   return result;
@@ -71,7 +71,7 @@
 
 static void find_leftover(const fc_description_entry *entry, void *arg) {
   search *s = arg;
-  const fc_cluster *cluster = s->c->table;
+  const fc_cluster *cluster = s->c->cluster;
   if (entry->first_seen > s->before || needed(cluster, entry) ||
       fc_assign_key(&cluster->membership.term, entry->job) != cluster->membership.self)
     return;
@@ -86,7 +86,7 @@
                              fc_write *write) {
   unsigned n = 0;
   for (unsigned i = from; i < l->count && n < most; i++) {
-    uint64_t version = fc_description_parts_version(controller->table->descriptions, l->job, l->digest, i);
+    uint64_t version = fc_description_parts_version(controller->cluster->descriptions, l->job, l->digest, i);
     if (!version) continue;
     char *key = fc_job_part_key(l->job, l->digest, i);
     fc_write_compare(write, key, version);
@@ -102,7 +102,7 @@
 static bool remove_some(fc_controller *controller, const leftover *l, unsigned from, unsigned most) {
   fc_write *write = fc_write_new();
   char *record = g_strconcat(FC_PREFIX_JOB, l->job, NULL);
-  const fc_job *job = fc_cluster_find_job(controller->table, l->job);
+  const fc_job *job = fc_cluster_find_job(controller->cluster, l->job);
   fc_write_compare(write, record, job ? job->record.version : 0);
   g_free(record);
   if (add_removals(controller, l, from, most, write) == 0) {
@@ -116,7 +116,7 @@
 }
 
 static void remove_all(fc_controller *controller, const leftover *l) {
-  bool gone = !fc_description_parts_version(controller->table->descriptions, l->job, l->digest, 0) ||
+  bool gone = !fc_description_parts_version(controller->cluster->descriptions, l->job, l->digest, 0) ||
               remove_some(controller, l, 0, 1);
   while (gone && fc_may_act(controller))
     gone = remove_some(controller, l, 1, fc_group_commit_max_writes(controller->commit));
@@ -129,7 +129,7 @@
     if (!fc_may_act(controller) || !fc_state_reachable(controller) || fc_group_commit_backlog(controller->commit) > 0)
       continue;
     search s = {.c = controller, .found = g_array_new(FALSE, FALSE, sizeof(leftover)), .before = fc_now() - KEEP_S};
-    fc_description_parts_foreach(controller->table->descriptions, find_leftover, &s);
+    fc_description_parts_foreach(controller->cluster->descriptions, find_leftover, &s);
     for (guint i = 0; i < s.found->len; i++) remove_all(controller, &g_array_index(s.found, leftover, i));
     g_array_free(s.found, TRUE);
   }
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -2,7 +2,9 @@
 #include <math.h>
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/dependencies.h"
+#include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 #include "coordination/assignment.h"
 #include "scheduler/bin_packing.h"
@@ -134,7 +136,7 @@
 /* The worker's list replaces what we thought is on the machine. */
 static void adopt_tasks(fc_controller *controller, fc_machine *machine, const fc_heartbeat *heartbeat,
                         const list_origin *from, double now) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   for (guint i = 0; i < machine->placements->len; i++)
     ((fc_placement *)machine->placements->pdata[i])->status.listed = false;
   for (size_t i = 0; i < heartbeat->task_count; i++) {
@@ -147,7 +149,7 @@
   for (guint i = machine->placements->len; i-- > 0;) {
     fc_placement *placement = machine->placements->pdata[i];
     if (placement->status.listed || !is_gone(placement, heartbeat, from)) continue;
-    fc_placement_remove(cluster, placement);
+    fc_placement_remove(placement);
     fc_round_soon(controller);
     fc_views_soon(controller);
   }
@@ -155,7 +157,7 @@
 
 /* From here on nothing can start on the machine but what we send in this term. */
 static void settle(fc_controller *controller, fc_machine *machine) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   machine->reconciled_term = cluster->membership.term.number;
   /* No view so far has shown the machine as settled, and only that is taken: a slice
    * was handed over to one who had acknowledged a view without it, and started there
@@ -172,20 +174,19 @@
 /* Takes the worker's list for what is on the machine. `asked_at`: it answers a direct call
  * that was sent then; 0: it came as a report. */
 static void adopt(fc_controller *controller, fc_machine *machine, const fc_heartbeat *heartbeat, double asked_at) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   const list_origin from = {
       .asked_at = asked_at,
-      .settles = machine->reconciled_term != cluster->membership.term.number &&
-                 heartbeat->fencing_token == cluster->membership.term.number,
+      .settles =
+          !fc_machine_reconciled(cluster, machine) && heartbeat->fencing_token == cluster->membership.term.number,
       .new_session = machine->agent.reported && heartbeat->epoch > machine->agent.epoch,
   };
   adopt_state(machine, heartbeat, from.new_session, now);
   if (asked_at > 0 || from.settles)
     machine->reachability.unidirectional_since = 0;   /* it answers us, or has this term's token */
   if (from.settles) machine->agent.restarted = false; /* its earlier incarnation never had this token */
-  if (machine->reconciled_term != cluster->membership.term.number && !from.settles)
-    return; /* not fenced: proves nothing yet */
+  if (!fc_machine_reconciled(cluster, machine) && !from.settles) return; /* not fenced: proves nothing yet */
   adopt_tasks(controller, machine, heartbeat, &from, now);
   if (from.settles) settle(controller, machine);
   if (!fc_machine_vacant(machine)) {
@@ -207,7 +208,7 @@
   const fc_job *job = placement->job;
   if (job) return !fc_job_runnable(job) || fc_job_task_done(job, placement->index);
   return placement->created_at + controller->settings->heartbeat_s < controller->kv_read_at ||
-         fc_cluster_is_cancelled(controller->table, placement->job_id);
+         fc_cluster_is_cancelled(controller->cluster, placement->job_id);
 }
 
 /* Decides whether an exited task is to be forgotten by the worker, and fills in the command. */
@@ -223,7 +224,7 @@
  * needs none: its placement is removed from the table. */
 static bool stop_command(fc_controller *controller, fc_placement *placement, fc_command *cmd) {
   if (!placement->start.sent) {
-    fc_placement_remove(controller->table, placement);
+    fc_placement_remove(placement);
     return false;
   }
   /* Sent but not seen: the worker ignores a stop of what it has not got. */
@@ -265,7 +266,7 @@
   if (placement->status.state == FC_TASK_EXITED) return forget_command(controller, placement, cmd);
   if (placement->stop.requested) return stop_command(controller, placement, cmd);
   return !placement->status.reported &&
-         start_command(placement, controller->table->membership.term.number, direct, seq, cmd);
+         start_command(placement, controller->cluster->membership.term.number, direct, seq, cmd);
 }
 
 /* Lists the commands owed to a settled machine, for a direct call or for the answer to
@@ -298,17 +299,17 @@
 /* Asks a machine directly whether it hears: one whose reports come without a
  * sign that it has heard us, one that others keep, or one that may have been started anew. */
 bool fc_workers_doubt(const fc_controller *controller, fc_machine *machine) {
-  if (!machine->agent.reported || machine->reconciled_term != controller->table->membership.term.number) return false;
+  if (!machine->agent.reported || !fc_machine_reconciled(controller->cluster, machine)) return false;
   double now = fc_now();
   if (machine->reachability.unidirectional_since &&
       now > machine->reachability.unidirectional_since + controller->settings->lease_s * 0.2)
     machine->probe.wanted = true;
   /* Another keeps it and sends it to us once we are in touch with it again. */
   if (machine->reachability.peer_bidirectional_at > now - controller->settings->heartbeat_s * 2 &&
-      fc_machine_suspect(controller->table, machine, now))
+      fc_machine_suspect(controller->cluster, machine, now))
     machine->probe.wanted = true;
   /* A member that has ended may have kept it: is it there? */
-  if (fc_workers_may_be_kept(controller, now) && fc_machine_suspect(controller->table, machine, now))
+  if (fc_workers_may_be_kept(controller, now) && fc_machine_suspect(controller->cluster, machine, now))
     machine->probe.wanted = true;
   return machine->probe.wanted;
 }
@@ -317,11 +318,8 @@
  * type and zone; nothing is started on it before that is in the state service. */
 const char *fc_even_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
                           unsigned *count) {
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (machine->owner < 0 || strcmp(machine->record.type, type) != 0) continue;
     /* Even for each kind first, over all kinds next. */
     count[machine->owner] += strcmp(machine->record.zone, zone) == 0 && machine->record.spot == spot ? 1000 : 1;
@@ -345,15 +343,15 @@
   announce_arg a = *(announce_arg *)arg;
   g_free(arg);
   fc_controller *controller = a.c;
-  fc_machine *machine = fc_cluster_find_machine(controller->table, a.id);
+  fc_machine *machine = fc_cluster_find_machine(controller->cluster, a.id);
   if (!machine) return;
-  fc_write *write = fc_machine_record_write(a.id, machine->record_version, controller->table->membership.term_version,
+  fc_write *write = fc_machine_record_write(a.id, machine->record_version, controller->cluster->membership.term_version,
                                             &machine->record);
   uint64_t revision = 0;
   if (fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_HEARTBEAT,
                             fc_now() + controller->settings->heartbeat_s, &revision) == FC_KV_OK)
     (void)fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s);
-  machine = fc_cluster_find_machine(controller->table, a.id);
+  machine = fc_cluster_find_machine(controller->cluster, a.id);
   if (machine) machine->announcing = false;
   fc_round_soon(controller);
 }
@@ -378,8 +376,8 @@
   fc_endpoint at;
   fc_heartbeat now;
   if (!fc_endpoint_parse(heartbeat->endpoint, &at)) return false;
-  fc_worker_call_result res = fc_worker_call(&at, controller->table->membership.term.number, heartbeat->epoch, NULL, 0,
-                                             fc_now() + controller->settings->heartbeat_s * 0.5, &now);
+  fc_worker_call_result res = fc_worker_call(&at, controller->cluster->membership.term.number, heartbeat->epoch, NULL,
+                                             0, fc_now() + controller->settings->heartbeat_s * 0.5, &now);
   if (!fc_worker_call_answered(res)) return false;
   bool same = strcmp(now.machine, heartbeat->machine) == 0;
   fc_heartbeat_clear(&now);
@@ -387,14 +385,14 @@
 }
 
 static bool known_place(const fc_controller *controller, const fc_heartbeat *heartbeat) {
-  int type = fc_cluster_find_machine_type(controller->table, heartbeat->type);
+  int type = fc_cluster_find_machine_type(controller->cluster, heartbeat->type);
   if (type < 0) return false;
-  const fc_machine_type *machine_type = controller->table->machine_types->pdata[type];
+  const fc_machine_type *machine_type = controller->cluster->machine_types->pdata[type];
   return g_strv_contains((const gchar *const *)machine_type->zones, heartbeat->zone);
 }
 
 static bool record_machine(fc_controller *controller, const fc_heartbeat *heartbeat) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   /* Of a type or zone that nobody knows: never used; the sweep returns it. */
   if (!known_place(controller, heartbeat) || !is_there(controller, heartbeat) || !fc_may_act(controller)) return false;
   fc_machine *machine = fc_cluster_ensure_machine(cluster, heartbeat->machine, fc_now());
@@ -448,7 +446,7 @@
      * from its lease, and from the time after which its owner takes it for lost; with a
      * third member gone it took more than there was (scene out_of_reach). Where the owner
      * never gets through though reports do, it is sent there in the end. */
-    bool settled = machine->reconciled_term == controller->table->membership.term.number;
+    bool settled = fc_machine_reconciled(controller->cluster, machine);
     if (!settled && now < controller->term_since + controller->settings->lease_s * 0.6) return false;
     if (machine->reachability.owner_suspects &&
         now < machine->reachability.owner_suspects_since + controller->settings->lease_s * 3)
@@ -470,14 +468,14 @@
   GArray *commands = g_array_new(FALSE, TRUE, sizeof(fc_command));
   for (size_t i = 0; i < heartbeat->task_count; i++) {
     const fc_task_status *task = &heartbeat->tasks[i];
-    if (task->state == FC_TASK_EXITED || !fc_cluster_is_cancelled(controller->table, task->job)) continue;
+    if (task->state == FC_TASK_EXITED || !fc_cluster_is_cancelled(controller->cluster, task->job)) continue;
     fc_command cmd = {.op = FC_COMMAND_STOP, .job = task->job, .index = task->index, .attempt = task->attempt};
     g_array_append_val(commands, cmd);
   }
   machine->lease.answered_at = fc_now();
   machine->lease.connection = connection;
   g_debug("keep machine=%s owner=%d", machine->id, machine->owner);
-  fc_heartbeat_answer(out, controller->table->membership.term.number, (const fc_command *)commands->data,
+  fc_heartbeat_answer(out, controller->cluster->membership.term.number, (const fc_command *)commands->data,
                       commands->len);
   g_array_free(commands, TRUE);
 }
@@ -497,7 +495,7 @@
 /* Finds the machine that a report is from, recording it first if nobody has. NULL if this
  * member may not answer for it now. */
 static fc_machine *machine_of_report(fc_controller *controller, const fc_heartbeat *heartbeat) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   if (!fc_may_act(controller)) return NULL;
   fc_machine *machine = fc_cluster_find_machine(cluster, heartbeat->machine);
   if ((!machine || !machine->record_version) && (!record_machine(controller, heartbeat) || !fc_may_act(controller)))
@@ -520,7 +518,7 @@
       note_hearing(controller, machine, connection);
     machine->lease.redirected_at = fc_now();
     *status = 421;
-    fc_worker_redirect(out, controller->table->membership.term.members[machine->owner].name);
+    fc_worker_redirect(out, controller->cluster->membership.term.members[machine->owner].name);
     return true;
   }
   if (!is_newer(machine, heartbeat)) return false; /* a copy: no sign of life, and nobody waits for the answer */
@@ -538,7 +536,7 @@
 /* Takes in the report of a machine of ours. False if the report is to be refused. */
 static bool take_report(fc_controller *controller, fc_machine *machine, const fc_heartbeat *heartbeat,
                         uint64_t connection) {
-  if (machine->agent.restarted && machine->reconciled_term == controller->table->membership.term.number) {
+  if (machine->agent.restarted && fc_machine_reconciled(controller->cluster, machine)) {
     /* A late report of its earlier incarnation would look newer than its own: only its
      * answers to direct commands tell what it holds (fault test, seed 38). */
     note_hearing(controller, machine, connection);
@@ -567,14 +565,14 @@
  * False if the report is to be refused. */
 static bool answer_as_owner(fc_controller *controller, fc_machine *machine, const fc_heartbeat *heartbeat,
                             uint64_t connection, int *status, GString *out) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   bool commands_too =
       is_newer(machine, heartbeat) || machine->agent.restarted; /* as it was before the report is taken in */
   if (!take_report(controller, machine, heartbeat, connection)) return false;
   announce(controller, machine);
   machine->lease.connection = connection;
   *status = 200;
-  if (!commands_too || machine->reconciled_term != cluster->membership.term.number) {
+  if (!commands_too || !fc_machine_reconciled(cluster, machine)) {
     fc_heartbeat_answer(out, cluster->membership.term.number, NULL, 0);
     return true;
   }
@@ -589,7 +587,7 @@
                           GString *out) {
   fc_machine *machine = machine_of_report(controller, heartbeat);
   if (!machine) return false;
-  if (machine->owner != controller->table->membership.self)
+  if (!fc_machine_owned_by_self(controller->cluster, machine))
     return answer_for_owner(controller, machine, heartbeat, connection, status, out);
   return answer_as_owner(controller, machine, heartbeat, connection, status, out);
 }
@@ -672,8 +670,8 @@
  * be fenced with what it has told. */
 static bool take_call_answer(fc_controller *controller, fc_machine *machine, const direct_call *call,
                              fc_worker_call_result result, const fc_heartbeat *heartbeat) {
-  const fc_cluster *cluster = controller->table;
-  if (cluster->membership.term.number != call->term || machine->owner != cluster->membership.self ||
+  const fc_cluster *cluster = controller->cluster;
+  if (cluster->membership.term.number != call->term || !fc_machine_owned_by_self(cluster, machine) ||
       strcmp(heartbeat->machine, machine->id) != 0)
     return false;
   fc_workers_called(controller, machine, heartbeat, call->asked_at);
@@ -685,10 +683,10 @@
 /* Calls the machine's worker once: fences it, asks it, or sends the commands it is owed; none
  * of these to do, no call. True if another call is to fence it with what it has told. */
 static bool call_worker(fc_controller *controller, const char *id, uint64_t term) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
   fc_endpoint at;
-  if (!machine || machine->owner != cluster->membership.self || cluster->membership.term.number != term ||
+  if (!machine || !fc_machine_owned_by_self(cluster, machine) || cluster->membership.term.number != term ||
       !fc_may_act(controller))
     return false;
   if (!fc_endpoint_parse(machine->record.endpoint, &at)) return false;
@@ -720,10 +718,10 @@
   g_free(arg);
   fc_controller *controller = a.c;
   fc_metrics_duty(&controller->metrics, FC_DUTY_COMMANDS);
-  uint64_t term = controller->table->membership.term.number;
+  uint64_t term = controller->cluster->membership.term.number;
   for (int calls = 0; calls < 2; calls++)
     if (!call_worker(controller, a.id, term)) break;
-  fc_machine *machine = fc_cluster_find_machine(controller->table, a.id);
+  fc_machine *machine = fc_cluster_find_machine(controller->cluster, a.id);
   if (machine) machine->command_in_flight = false;
   controller->worker_calls--;
 }
@@ -736,12 +734,11 @@
 bool fc_workers_may_push(const fc_controller *controller, const fc_machine *machine) {
   unsigned most = MAX(controller->settings->fd_limit / 8, 2);
   return controller->worker_calls <
-         (machine->reconciled_term == controller->table->membership.term.number && !machine->probe.wanted ? most
-                                                                                                          : most / 2);
+         (fc_machine_reconciled(controller->cluster, machine) && !machine->probe.wanted ? most : most / 2);
 }
 
 void fc_workers_push(fc_controller *controller, fc_machine *machine) {
-  if (machine->command_in_flight || machine->owner != controller->table->membership.self ||
+  if (machine->command_in_flight || !fc_machine_owned_by_self(controller->cluster, machine) ||
       !machine->record.endpoint[0] || !fc_workers_may_push(controller, machine))
     return;
   push_arg *a = g_new0(push_arg, 1);
--- a/src/controller/job_api.c
+++ b/src/controller/job_api.c
@@ -36,7 +36,7 @@
  * archived, or that can't be said now, and the answer is made. */
 static bool answered_from_archive(fc_controller *controller, fc_http_response *res, const char *id, bool counts) {
   /* It is there, and can't be read before more of its description is. */
-  if (g_hash_table_contains(controller->table->incomplete_jobs, id)) {
+  if (g_hash_table_contains(controller->cluster->incomplete_jobs, id)) {
     later(res, 503, "can't be read now");
     return true;
   }
@@ -67,8 +67,8 @@
   if ((team_settings->cpus_max > 0 && spec->cpus * n > team_settings->cpus_max + slack) ||
       (team_settings->gpus_max > 0 && spec->gpus * n > team_settings->gpus_max + slack))
     return "needs more than the team's limit";
-  for (guint i = 0; i < controller->table->machine_types->len; i++) {
-    const fc_machine_type *machine_type = controller->table->machine_types->pdata[i];
+  for (guint i = 0; i < controller->cluster->machine_types->len; i++) {
+    const fc_machine_type *machine_type = controller->cluster->machine_types->pdata[i];
     fc_resources room = {machine_type->cpus, machine_type->gpus, machine_type->memory_gb};
     if (!fc_resources_fit(&room, spec)) continue;
     for (char **z = machine_type->zones; *z; z++)
@@ -94,7 +94,7 @@
   } else if (!prove_current(controller, id, fc_now() + controller->settings->heartbeat_s)) {
     later(res, 503, "the state service can't be reached");
   } else {
-    const fc_job *job = fc_cluster_find_job(controller->table, id);
+    const fc_job *job = fc_cluster_find_job(controller->cluster, id);
     if (job) {
       answer_job(res, 200, job, false);
     } else if (!answered_from_archive(controller, res, id, false)) {
@@ -106,14 +106,14 @@
 /* A repeat of a submission that the table knows is answered with the job's present state.
  * False: the job is not known. */
 static bool answered_as_known(fc_controller *controller, fc_http_response *res, const char *id, double deadline) {
-  fc_job *job = controller->loaded ? fc_cluster_find_job(controller->table, id) : NULL;
+  fc_job *job = controller->loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
   if (job && !final(job)) {
     /* Where that is hopeless a repeat is not held until its user gives up either. */
     if (!prove_current(controller, id, deadline)) {
       later(res, 503, "the state service can't be reached");
       return true;
     }
-    job = fc_cluster_find_job(controller->table, id);
+    job = fc_cluster_find_job(controller->cluster, id);
   }
   if (job) answer_job(res, 200, job, false);
   return job != NULL;
@@ -126,7 +126,7 @@
     later(res, 503, "the state service can't be reached");
     return;
   }
-  fc_job *job = fc_cluster_find_job(controller->table, id);
+  fc_job *job = fc_cluster_find_job(controller->cluster, id);
   if (job) {
     answer_job(res, 200, job, false);
   } else if (!answered_from_archive(controller, res, id, false)) {
@@ -172,7 +172,7 @@
     later(res, 503, "the state service can't be reached");
     return false;
   }
-  if (controller->table->machine_types->len == 0) {
+  if (controller->cluster->machine_types->len == 0) {
     later(res, 503, "machine types are not known yet");
     return false;
   }
@@ -192,13 +192,13 @@
 /* The record of a new job without its description, with its slices assigned to members. */
 static fc_job_record new_record(fc_controller *controller, const submission *s) {
   fc_job_record record = {
-      .origin = {.term = controller->table->membership.term.number, .submitted_at = fc_time_of_day()},
+      .origin = {.term = controller->cluster->membership.term.number, .submitted_at = fc_time_of_day()},
       .phase = s->phase,
       .awaiting = s->open != NULL,
       .slices = fc_job_slices(s->spec, controller->settings->op.split_limit)};
   bool fit[FC_MEMBERS_MAX];
-  for (size_t i = 0; i < controller->table->membership.term.count; i++) fit[i] = fc_member_fit(controller, (int)i);
-  fc_place_new_job_slices(controller->table, fit, s->spec, record.slices, record.handed);
+  for (size_t i = 0; i < controller->cluster->membership.term.count; i++) fit[i] = fc_member_fit(controller, (int)i);
+  fc_place_new_job_slices(controller->cluster, fit, s->spec, record.slices, record.handed);
   return record;
 }
 
@@ -263,7 +263,7 @@
     return;
   }
   if (result == FC_KV_CONFLICT && prove_current(controller, spec->id, s->deadline)) {
-    fc_job *job = fc_cluster_find_job(controller->table, spec->id);
+    fc_job *job = fc_cluster_find_job(controller->cluster, spec->id);
     if (job) answer_job(res, 200, job, false);
     if (job || answered_from_archive(controller, res, spec->id, false)) return;
   }
@@ -286,7 +286,7 @@
 }
 
 static void poll(fc_controller *controller, const char *id, fc_http_response *res) {
-  fc_job *job = controller->loaded ? fc_cluster_find_job(controller->table, id) : NULL;
+  fc_job *job = controller->loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
   if (job && final(job)) {
     answer_job(res, 200, job, true);
     return;
@@ -300,7 +300,7 @@
     later(res, 503, "the state service can't be reached");
     return;
   }
-  job = fc_cluster_find_job(controller->table, id);
+  job = fc_cluster_find_job(controller->cluster, id);
   if (job) {
     answer_job(res, 200, job, true);
   } else if (!answered_from_archive(controller, res, id, true)) {
@@ -316,7 +316,7 @@
   double deadline = fc_now() + controller->settings->heartbeat_s;
   bool fresh = false;
   for (;;) {
-    fc_job *job = controller->loaded ? fc_cluster_find_job(controller->table, id) : NULL;
+    fc_job *job = controller->loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
     if (job && final(job)) {
       answer_job(res, 200, job, false);
       return;
@@ -330,7 +330,7 @@
       if (!answered_from_archive(controller, res, id, false)) say(res, 404, "no such job");
       return;
     }
-    fc_write *write = fc_job_record_write(controller->table, job, job->record.version, FC_PHASE_CANCELLED,
+    fc_write *write = fc_job_record_write(controller->cluster, job, job->record.version, FC_PHASE_CANCELLED,
                                           job->completion.bitmap, job->record.handed_to, &job->record.origin);
     if (!write) break;
     uint64_t revision = 0;
@@ -354,10 +354,10 @@
  * balancer would only add its pauses to the outage: we stay, and refuse at once
  * what we can't do. When a peer still reaches it, users are better off there. */
 static bool is_ready(const fc_controller *controller) {
-  if (fc_state_reachable(controller) && controller->table->machine_types->len > 0) return true;
+  if (fc_state_reachable(controller) && controller->cluster->machine_types->len > 0) return true;
   double now = fc_now();
   if (controller->loaded && now - controller->kv_read_at < controller->settings->heartbeat_s * 2)
-    return controller->table->machine_types->len > 0;
+    return controller->cluster->machine_types->len > 0;
   bool alone = controller->settings->peer_count > 0;
   for (size_t k = 0; k < controller->settings->peer_count; k++) {
     if (now - controller->peers[k].kv_read_at < controller->settings->heartbeat_s * 2) return false;
--- a/src/controller/kv_watch.c
+++ b/src/controller/kv_watch.c
@@ -3,6 +3,10 @@
 #include <malloc.h>
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/job_records.h"
+#include "bookkeeping/quota_usage.h"
+#include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
 #include "coordination/assignment.h"
 
@@ -31,23 +35,24 @@
     g_critical("term unreadable version=%" G_GUINT64_FORMAT, (guint64)change->version);
     return;
   }
-  if (term.number <= controller->table->membership.term.number && controller->table->membership.term_version) return;
-  int before = controller->table->membership.self;
+  if (term.number <= controller->cluster->membership.term.number && controller->cluster->membership.term_version)
+    return;
+  int before = controller->cluster->membership.self;
   bool continuous = before >= 0 && controller->incarnation &&
-                    controller->table->membership.term.members[before].incarnation == controller->incarnation;
+                    controller->cluster->membership.term.members[before].incarnation == controller->incarnation;
   int now_at = fc_term_find(&term, controller->settings->name);
   continuous = continuous && now_at >= 0 && term.members[now_at].incarnation == controller->incarnation;
   controller->term_since = fc_now();
-  if (controller->table->membership.term_version && life_ended(controller->table, &term))
+  if (controller->cluster->membership.term_version && life_ended(controller->cluster, &term))
     controller->ended_at = controller->term_since;
   for (size_t k = 0; k < controller->settings->peer_count; k++) {
     controller->peers[k].renewals_known_until = 0;
     controller->peers[k].acked_view = controller->peers[k].acked_revision = controller->peers[k].acked_sequence = 0;
   }
-  fc_cluster_apply_term(controller->table, &term, change->version, continuous, controller->term_since);
+  fc_cluster_apply_term(controller->cluster, &term, change->version, continuous, controller->term_since);
   /* Another life under our name is nobody's part any more. */
   if (now_at >= 0 && term.members[now_at].incarnation != controller->incarnation)
-    controller->table->membership.self = -1;
+    controller->cluster->membership.self = -1;
   controller->term_unknown = false; /* it was conditional on the version that is now past */
   fc_leader_lease_new_term(&controller->authority);
   for (int i = 0; i < (int)term.count; i++) {
@@ -55,19 +60,19 @@
     controller->peer_of[i] = peer ? (int)(peer - controller->peers) : -1;
   }
   g_info("term number=%" G_GUINT64_FORMAT " members=%zu self=%d continuous=%d", (guint64)term.number, term.count,
-         controller->table->membership.self, continuous);
+         controller->cluster->membership.self, continuous);
   fc_views_soon(controller);
 }
 
 /* Fills in the description of a record that has it in parts. False: not all of them are there. */
 static bool join_description(fc_controller *controller, const char *id, fc_job_record *record) {
   /* What is known of the job stays: parts never change. */
-  if (fc_cluster_find_job(controller->table, id)) return true;
-  char *text = fc_description_parts_join(controller->table->descriptions, id, &record->parts);
+  if (fc_cluster_find_job(controller->cluster, id)) return true;
+  char *text = fc_description_parts_join(controller->cluster->descriptions, id, &record->parts);
   bool ok = text && fc_job_description_read(text, &record->spec);
   if (text && !ok) g_critical("description unreadable job=%s", id);
   g_free(text);
-  if (ok) fc_description_parts_drop_texts(controller->table->descriptions, id, record->parts.digest);
+  if (ok) fc_description_parts_drop_texts(controller->cluster->descriptions, id, record->parts.digest);
   return ok;
 }
 
@@ -81,8 +86,8 @@
     g_critical("part unreadable key=%s", change->key);
     return;
   }
-  fc_description_parts_put(controller->table->descriptions, job, digest, number, text, change->version, fc_now());
-  const fc_incomplete_job *incomplete = g_hash_table_lookup(controller->table->incomplete_jobs, job);
+  fc_description_parts_put(controller->cluster->descriptions, job, digest, number, text, change->version, fc_now());
+  const fc_incomplete_job *incomplete = g_hash_table_lookup(controller->cluster->incomplete_jobs, job);
   if (!incomplete || !text) return;
   const fc_kv_change again = {
       .key = change->key, .value = json_incref(incomplete->value), .version = incomplete->version};
@@ -93,9 +98,9 @@
 static void apply_job(fc_controller *controller, const char *id, const fc_kv_change *change, bool ordered) {
   if (!change->value) {
     /* It was over and has been archived; only ever then (archive.c). */
-    fc_job *over = fc_cluster_find_job(controller->table, id);
-    if (over && over->record.version < change->version) fc_cluster_remove_job(controller->table, over);
-    g_hash_table_remove(controller->table->incomplete_jobs, id);
+    fc_job *over = fc_cluster_find_job(controller->cluster, id);
+    if (over && over->record.version < change->version) fc_cluster_remove_job(controller->cluster, over);
+    g_hash_table_remove(controller->cluster->incomplete_jobs, id);
     return;
   }
   fc_job_record record;
@@ -106,17 +111,17 @@
   if (record.parts.count > 0 && !join_description(controller, id, &record)) {
     fc_incomplete_job *incomplete = g_new(fc_incomplete_job, 1);
     *incomplete = (fc_incomplete_job){json_incref(change->value), change->version, ordered};
-    g_hash_table_replace(controller->table->incomplete_jobs, g_strdup(id), incomplete);
+    g_hash_table_replace(controller->cluster->incomplete_jobs, g_strdup(id), incomplete);
     fc_job_record_clear(&record);
     return;
   }
-  g_hash_table_remove(controller->table->incomplete_jobs, id);
+  g_hash_table_remove(controller->cluster->incomplete_jobs, id);
   /* Whoever confirmed it did so after the last read that did not show it. */
   if (record.phase == FC_PHASE_CANCELLED)
     fc_cancel_learned(controller, id, change->version, ordered ? controller->kv_read_at : fc_now());
-  bool fresh = ordered && controller->table->membership.term_version &&
-               change->version > controller->table->membership.term_version;
-  fc_job *job = fc_cluster_apply_job(controller->table, id, &record, change->version, fresh, fc_now());
+  bool fresh = ordered && controller->cluster->membership.term_version &&
+               change->version > controller->cluster->membership.term_version;
+  fc_job *job = fc_cluster_apply_job(controller->cluster, id, &record, change->version, fresh, fc_now());
   fc_job_record_clear(&record);
   if (job) fc_round_soon(controller);
 }
@@ -124,7 +129,7 @@
 void fc_cancel_learned(fc_controller *controller, const char *job, uint64_t revision, double from) {
   double now = fc_now();
   /* Also when it is too old for the list: what is passed over here is never halted. */
-  if (revision > controller->revision) fc_cluster_apply_cancellation(controller->table, job, revision, from, now);
+  if (revision > controller->revision) fc_cluster_apply_cancellation(controller->cluster, job, revision, from, now);
   if (!fc_cancellation_log_add(controller->cancels, job, revision, from)) return;
   controller->cancel_at = now;
   fc_round_soon(controller);
@@ -132,7 +137,7 @@
 }
 
 static void apply_machine(fc_controller *controller, const char *id, const fc_kv_change *change, bool ordered) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
   if (!change->value) {
     if (machine && machine->record_version && machine->record_version < change->version)
@@ -161,7 +166,7 @@
 }
 
 static void apply(fc_controller *controller, const fc_kv_change *change, bool ordered) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   const char *key = change->key;
   if (strcmp(key, FC_KEY_TERM) == 0) {
     apply_term(controller, change);
@@ -209,13 +214,12 @@
 
 /* What is in the table but no longer in the state service is gone. */
 static void drop_missing(fc_controller *controller, GHashTable *present, uint64_t revision) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   GPtrArray *gone = g_ptr_array_new();
   GHashTableIter it;
   gpointer key, value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     char *k = g_strconcat(FC_PREFIX_MACHINE, machine->id, NULL);
     if (machine->record_version && machine->record_version <= revision && !g_hash_table_contains(present, k))
       g_ptr_array_add(gone, machine);
@@ -223,9 +227,8 @@
   }
   for (guint i = 0; i < gone->len; i++) fc_cluster_remove_machine(cluster, gone->pdata[i]);
   g_ptr_array_set_size(gone, 0);
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     char *k = g_strconcat(FC_PREFIX_JOB, job->spec.id, NULL);
     if (job->record.version <= revision && !g_hash_table_contains(present, k)) g_ptr_array_add(gone, job);
     g_free(k);
@@ -265,7 +268,7 @@
   while (more && ok) {
     GPtrArray *page = g_ptr_array_new();
     uint64_t revision = 0;
-    fc_kv_result result = fc_kv_list(controller->state, FC_PREFIX, after, fc_watch_page_rows(controller->settings),
+    fc_kv_result result = fc_kv_list(controller->kv, FC_PREFIX, after, fc_watch_page_rows(controller->settings),
                                      fc_now() + 2.0, page, &more, &revision);
     ok = result == FC_KV_OK && (!more || page->len > 0);
     if (ok && !after) first = revision;
@@ -283,7 +286,7 @@
     for (guint i = 0; i < all->len; i++) apply(controller, all->pdata[i], false);
     drop_missing(controller, present, first);
     controller->revision = first;
-    fc_cluster_caught_up(controller->table, first);
+    fc_cluster_caught_up(controller->cluster, first);
     controller->loaded = true;
     g_info("loaded keys=%u revision=%" G_GUINT64_FORMAT, all->len, (guint64)first);
   }
@@ -302,7 +305,7 @@
   uint64_t revision = 0;
   GPtrArray *changes = g_ptr_array_new_with_free_func(fc_kv_change_free);
   fc_kv_result result =
-      fc_kv_changes(controller->state, FC_PREFIX, controller->revision, hold, sent + hold + 1.0, changes, &revision);
+      fc_kv_changes(controller->kv, FC_PREFIX, controller->revision, hold, sent + hold + 1.0, changes, &revision);
   if (!controller->loaded) {
     result = FC_KV_UNKNOWN; /* everything is being read anew */
   } else if (result == FC_KV_OK) {
@@ -313,7 +316,7 @@
       if (change->version > controller->revision) apply(controller, change, true);
     }
     controller->revision = MAX(controller->revision, revision);
-    fc_cluster_caught_up(controller->table, controller->revision);
+    fc_cluster_caught_up(controller->cluster, controller->revision);
     if (sent > controller->kv_read_at) controller->kv_read_at = sent;
     fc_leader_lease_read_fresh(&controller->authority, sent);
     fc_cond_broadcast(&controller->changed);
@@ -407,7 +410,7 @@
 }
 
 bool fc_may_act(const fc_controller *controller) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   if (!controller->loaded || cluster->membership.self < 0 || !controller->incarnation ||
       cluster->membership.term.members[cluster->membership.self].incarnation != controller->incarnation)
     return false;
--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -9,7 +9,7 @@
 
 static bool open_lease(fc_controller *controller) {
   double sent = fc_now();
-  if (fc_kv_lease_open(controller->state, controller->authority.lease_s, sent + 1.0, &controller->lease) != FC_KV_OK)
+  if (fc_kv_lease_open(controller->kv, controller->authority.lease_s, sent + 1.0, &controller->lease) != FC_KV_OK)
     return false;
   fc_leader_lease_renewed(&controller->authority, sent);
   return true;
@@ -18,13 +18,13 @@
 /* Draws this life's number: the revision of our member key. */
 static bool draw_boot(fc_controller *controller) {
   char *key = g_strconcat(FC_PREFIX_MEMBER, controller->settings->name, NULL);
-  const fc_member_key *known = g_hash_table_lookup(controller->table->membership.keys, controller->settings->name);
+  const fc_member_key *known = g_hash_table_lookup(controller->cluster->membership.keys, controller->settings->name);
   fc_txn *txn = fc_txn_new();
   /* Conditional: a late copy of an earlier attempt must not replace this one. */
   fc_txn_compare(txn, key, known ? known->version : 0);
   fc_txn_put_leased(txn, key, fc_member_key_encode(), controller->lease);
   uint64_t revision = 0;
-  fc_kv_result result = fc_kv_commit(controller->state, txn, fc_now() + 1.0, &revision, NULL);
+  fc_kv_result result = fc_kv_commit(controller->kv, txn, fc_now() + 1.0, &revision, NULL);
   fc_txn_free(txn);
   g_free(key);
   if (result == FC_KV_OK) {
@@ -38,7 +38,7 @@
 /* Commits `next` in place of the present term. */
 static fc_kv_result commit_term(fc_controller *controller, const fc_term *next, const char *gone_member) {
   fc_txn *txn = fc_txn_new();
-  fc_txn_compare(txn, FC_KEY_TERM, controller->table->membership.term_version);
+  fc_txn_compare(txn, FC_KEY_TERM, controller->cluster->membership.term_version);
   char *key = NULL;
   if (gone_member) {
     /* Its lease must have ended at the very moment it is excluded. */
@@ -50,7 +50,7 @@
   fc_txn_put(txn, FC_KEY_TERM, fc_term_encode(next));
   uint64_t revision = 0;
   controller->term_unknown = true;
-  fc_kv_result result = fc_kv_commit(controller->state, txn, fc_now() + 1.0, &revision, NULL);
+  fc_kv_result result = fc_kv_commit(controller->kv, txn, fc_now() + 1.0, &revision, NULL);
   fc_txn_free(txn);
   g_free(key);
   g_free(own);
@@ -68,7 +68,7 @@
 }
 
 static bool in_term(const fc_controller *controller) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   return cluster->membership.self >= 0 &&
          cluster->membership.term.members[cluster->membership.self].incarnation == controller->incarnation;
 }
@@ -76,9 +76,9 @@
 /* Every start enters by a new term: commands of an earlier life may still be
  * under way with the old token. */
 static bool enter(fc_controller *controller) {
-  fc_term next = controller->table->membership.term;
+  fc_term next = controller->cluster->membership.term;
   next.number++;
-  if (!controller->table->membership.term_version) next.seed = g_random_int();
+  if (!controller->cluster->membership.term_version) next.seed = g_random_int();
   int at = fc_term_find(&next, controller->settings->name);
   if (at < 0) {
     if (next.count == FC_MEMBERS_MAX) return false;
@@ -95,19 +95,20 @@
 }
 
 static bool lease_ended(const fc_controller *controller, const char *name) {
-  return g_hash_table_lookup(controller->table->membership.keys, name) == NULL;
+  return g_hash_table_lookup(controller->cluster->membership.keys, name) == NULL;
 }
 
 /* Excludes the first member whose lease has ended, once nothing forbids it. */
 static void exclude(fc_controller *controller, GHashTable *gone_since) {
-  const fc_term *term = &controller->table->membership.term;
+  const fc_term *term = &controller->cluster->membership.term;
   double now = fc_now();
   if (now < controller->entered_at + fc_leader_lease_entry_wait(&controller->authority)) return;
   unsigned rank = 0; /* live members before us: they go first */
-  for (int i = 0; i < controller->table->membership.self; i++) rank += !lease_ended(controller, term->members[i].name);
+  for (int i = 0; i < controller->cluster->membership.self; i++)
+    rank += !lease_ended(controller, term->members[i].name);
   for (size_t i = 0; i < term->count; i++) {
     const char *name = term->members[i].name;
-    if ((int)i == controller->table->membership.self) continue;
+    if ((int)i == controller->cluster->membership.self) continue;
     if (!lease_ended(controller, name)) {
       g_hash_table_remove(gone_since, name);
       continue;
@@ -148,7 +149,7 @@
     }
     double now = fc_now();
     if (now >= renewed + controller->authority.lease_s * 0.25) {
-      fc_kv_result result = fc_kv_lease_renew(controller->state, controller->lease, now + 1.0);
+      fc_kv_result result = fc_kv_lease_renew(controller->kv, controller->lease, now + 1.0);
       if (result == FC_KV_OK) {
         fc_leader_lease_renewed(&controller->authority, now);
         renewed = now;
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -80,14 +80,14 @@
     const char *name;
     double value;
   } figures[] = {
-      {"term", (double)controller->table->membership.term.number},
+      {"term", (double)controller->cluster->membership.term.number},
       {"may_act", fc_may_act(controller)},
       {"state_age_seconds", fc_now() - controller->kv_read_at},
-      {"jobs", g_hash_table_size(controller->table->jobs)},
-      {"awaiting_jobs", fc_dependencies_blocked_count(controller->table)},
+      {"jobs", g_hash_table_size(controller->cluster->jobs)},
+      {"awaiting_jobs", fc_dependencies_blocked_count(controller->cluster)},
       {"job_formats_read_by_all", fc_pipelines_supported(controller) ? FC_JOB_FORMAT_AWAITING : FC_JOB_FORMAT_PLAIN},
       {"state_write_rate", fc_group_commit_rate(controller->commit)},
-      {"machines", g_hash_table_size(controller->table->machines)},
+      {"machines", g_hash_table_size(controller->cluster->machines)},
       {"routines", (double)fc_routine_count()},
       {"loop_turns_total", (double)fc_loop_turns()},
       {"loop_lag_seconds", fc_loop_lag()},
--- a/src/controller/peer_link.c
+++ b/src/controller/peer_link.c
@@ -3,6 +3,7 @@
 #include <math.h>
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "controller/controller.h"
 #include "protocol/routes.h"
 #include "transport/http.h"
@@ -58,15 +59,15 @@
 }
 
 fc_peer *fc_peer_of(fc_controller *controller, int member) {
-  if (member < 0 || member >= (int)controller->table->membership.term.count) return NULL;
+  if (member < 0 || member >= (int)controller->cluster->membership.term.count) return NULL;
   for (size_t k = 0; k < controller->settings->peer_count; k++)
-    if (strcmp(controller->settings->peers[k].name, controller->table->membership.term.members[member].name) == 0)
+    if (strcmp(controller->settings->peers[k].name, controller->cluster->membership.term.members[member].name) == 0)
       return &controller->peers[k];
   return NULL;
 }
 
 bool fc_member_fit(fc_controller *controller, int member) {
-  if (member == controller->table->membership.self) return true;
+  if (member == controller->cluster->membership.self) return true;
   const fc_peer *peer = fc_peer_of(controller, member);
   if (!peer) return false;
   double now = fc_now(), most = controller->settings->heartbeat_s * 2;
@@ -106,8 +107,8 @@
   GByteArray *out = g_byte_array_new();
   fc_view_make(controller, peer, seq, out);
   double sent = fc_now(), deadline = sent + controller->settings->heartbeat_s;
-  uint64_t term = controller->table->membership.term.number, boot = controller->incarnation,
-           view = controller->table->view_number;
+  uint64_t term = controller->cluster->membership.term.number, boot = controller->incarnation,
+           view = controller->cluster->view_number;
   size_t k = (size_t)(peer - controller->peers);
   bool ok = fc_conn_write(link->conn, out->data, out->len, deadline);
   g_byte_array_free(out, TRUE);
@@ -121,7 +122,7 @@
   g_free(body);
   if (!ok) goto lost;
   ok = ack.sequence == seq && strcmp(ack.sender, peer->settings->name) == 0;
-  const fc_term *now_term = &controller->table->membership.term;
+  const fc_term *now_term = &controller->cluster->membership.term;
   int at = ok ? fc_term_find(now_term, ack.sender) : -1;
   if (ok) {
     double now = fc_now();
@@ -135,8 +136,8 @@
                                     ack.cancellations_complete ? -INFINITY : now - ack.no_cancellation_ms / 1000.0);
     /* Whatever life or term it is in: it answers for what it promises us. */
     if (ack.grant_ms > 0 && now_term->number == term && controller->incarnation == boot)
-      fc_leader_lease_granted(&controller->authority, now_term, controller->peer_of, controller->table->membership.self,
-                              k, now, sent, ack.grant_ms / 1000.0);
+      fc_leader_lease_granted(&controller->authority, now_term, controller->peer_of,
+                              controller->cluster->membership.self, k, now, sent, ack.grant_ms / 1000.0);
   }
   /* It counts only within the term, and between the lives, it was asked for. */
   if (at >= 0 && now_term->number == term && controller->incarnation == boot && ack.term == term &&
@@ -203,7 +204,7 @@
 }
 
 static uint32_t give_promise(fc_controller *controller, const fc_view *view) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   /* A term transaction of unknown outcome may exclude it at any time. */
   if (controller->term_unknown) return 0;
   double promise = controller->authority.lease_s;
@@ -223,16 +224,13 @@
 /* What we know of other members' machines: whose reports we have answered, and which we have
  * asked directly, within two leases. */
 static void fill_machines(const fc_controller *controller, fc_ack *ack) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   double now = fc_now(), since = now - 2 * controller->settings->lease_s;
   GArray *kept = g_array_new(FALSE, TRUE, sizeof(fc_frame_lease_renewal));
   GArray *asked = g_array_new(FALSE, TRUE, sizeof(fc_frame_probe));
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
-    if (machine->owner == cluster->membership.self) continue;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    if (fc_machine_owned_by_self(cluster, machine)) continue;
     if (machine->lease.answered_at && machine->lease.answered_at >= since) {
       fc_frame_lease_renewal k = {.age_ms = (uint32_t)((now - machine->lease.answered_at) * 1000),
                                   .bidirectional = !machine->reachability.unidirectional_since,
@@ -287,7 +285,7 @@
   bool told_all =
       fc_cancellation_log_since(controller->cancels, view->revision, &untold, &untold_count) && controller->loaded;
   fc_ack ack = {.incarnation = controller->incarnation,
-                .term = controller->table->membership.term.number,
+                .term = controller->cluster->membership.term.number,
                 .sequence = view->sequence,
                 .applied = fate == FC_VIEW_TAKEN,
                 .grant_ms = give_promise(controller, view),
--- a/src/controller/peer_view.c
+++ b/src/controller/peer_view.c
@@ -4,6 +4,8 @@
  * the link cost, and one frame of it came close to its bound. */
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 
 #define EXCHANGE_COST_S 0.0002 /* of a core, with both ends of it: measured on loopback */
@@ -24,10 +26,9 @@
 
 /* The machine without its tasks. */
 static fc_frame_machine describe(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  fc_frame_machine frame_machine = {
-      .reconciled = tellable(machine) && machine->reconciled_term == cluster->membership.term.number,
-      .cordoned = fc_machine_cordoned(machine),
-      .unreachable = fc_machine_suspect(cluster, machine, now)};
+  fc_frame_machine frame_machine = {.reconciled = tellable(machine) && fc_machine_reconciled(cluster, machine),
+                                    .cordoned = fc_machine_cordoned(machine),
+                                    .unreachable = fc_machine_suspect(cluster, machine, now)};
   g_strlcpy(frame_machine.id, machine->id, sizeof frame_machine.id);
   return frame_machine;
 }
@@ -99,7 +100,7 @@
 }
 
 void fc_view_make(fc_controller *controller, const fc_peer *peer, uint64_t seq, GByteArray *out) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   cluster->view_number++;
   fc_view view = {.incarnation = controller->incarnation,
@@ -111,12 +112,9 @@
   view.backlog = (uint16_t)MIN(fc_group_commit_backlog(controller->commit), UINT16_MAX);
   g_strlcpy(view.sender, controller->settings->name, sizeof view.sender);
   GArray *machines = g_array_new(FALSE, TRUE, sizeof(fc_frame_machine));
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
-    if (cluster->membership.self < 0 || machine->owner != cluster->membership.self) continue;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    if (cluster->membership.self < 0 || !fc_machine_owned_by_self(cluster, machine)) continue;
     fc_frame_machine frame_machine = describe(cluster, machine, now);
     uint64_t digest = digest_of(&frame_machine, machine);
     if (digest != machine->view.digest) {
@@ -138,7 +136,7 @@
 
 /* The owner's list replaces what we thought is on a machine. */
 static void apply_machine(fc_controller *controller, fc_machine *machine, const fc_frame_machine *frame_machine) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   for (guint i = 0; i < machine->placements->len; i++)
     ((fc_placement *)machine->placements->pdata[i])->status.listed = false;
@@ -158,7 +156,7 @@
   }
   for (guint i = machine->placements->len; i-- > 0;) {
     fc_placement *placement = machine->placements->pdata[i];
-    if (!placement->status.listed) fc_placement_remove(cluster, placement);
+    if (!placement->status.listed) fc_placement_remove(placement);
   }
   machine->reconciled_term = cluster->membership.term.number;
   machine->drain.owner_cordoned = frame_machine->cordoned;
@@ -195,7 +193,7 @@
 }
 
 fc_view_fate fc_view_take(fc_controller *controller, const fc_view *view) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   int sender = fc_term_find(&cluster->membership.term, view->sender);
   /* Only the present term's view by a present member's present life counts. */
   if (sender < 0 || sender == cluster->membership.self || view->term != cluster->membership.term.number ||
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -3,7 +3,10 @@
 #include <math.h>
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/dependencies.h"
+#include "bookkeeping/quota_usage.h"
+#include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 #include "controller/duties.h"
 #include "coordination/quota_division.h"
@@ -67,26 +70,22 @@
 /* `pessimistic`: a machine that is not settled may be full of any team's tasks. */
 static void take_tally(const fc_cluster *cluster, bool pessimistic, tally *out) {
   memset(out, 0, sizeof *out);
-  GHashTableIter it;
-  gpointer value;
   const fc_job *turn[FC_TEAMS_MAX];
   fc_gang_precedence(cluster, turn);
   for (size_t k = 0; k < cluster->settings->team_count; k++)
     if (turn[k]) want_gang(turn[k], out);
   double now = fc_now();
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (machine->owner < 0) continue;
-    if (pessimistic && machine->announced && machine->reconciled_term != cluster->membership.term.number) {
+    if (pessimistic && machine->announced && !fc_machine_reconciled(cluster, machine)) {
       use_all_of(cluster, machine, out);
     } else {
       use_placements_of(machine, out);
     }
   }
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team < 0 || !fc_job_runnable(job) || !limited(&cluster->settings->teams[job->team])) continue;
     if (job->spec.kind == FC_JOB_GANG || fc_gang_precedes(cluster, turn[job->team], job, now)) continue;
     want_missing_of(job, out);
@@ -94,7 +93,7 @@
 }
 
 void fc_quota_allowance(const fc_controller *controller, fc_allowance *out) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   bool valid = cluster->quota.version && cluster->quota.record.term == cluster->membership.term.number;
   int at = valid ? fc_quota_record_find(&cluster->quota.record, controller->settings->name) : -1;
   double cpus[FC_TEAMS_MAX], gpus[FC_TEAMS_MAX];
@@ -114,7 +113,7 @@
 /* The first division of this term, from lists that can only have shrunk since:
  * nobody starts anything of these teams before this record. */
 static bool divide(const fc_controller *controller, const tally *now, fc_quota_record *quota) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   quota->term = cluster->membership.term.number;
   quota->member_count = cluster->membership.term.count;
   fc_quota_demand cpus[FC_MEMBERS_MAX], gpus[FC_MEMBERS_MAX];
@@ -182,19 +181,16 @@
 
 /* Members that own a machine which is not settled, as far as we know. */
 static void find_doubts(const fc_cluster *cluster, bool *in_doubt) {
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
-    if (machine->owner >= 0 && machine->announced && machine->reconciled_term != cluster->membership.term.number)
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    if (machine->owner >= 0 && machine->announced && !fc_machine_reconciled(cluster, machine))
       in_doubt[machine->owner] = true;
   }
 }
 
 /* Moves our shares towards what we need; true when something would change. */
 static bool adjust(fc_controller *controller, const tally *now, fc_quota_record *quota) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   int at = fc_quota_record_find(quota, controller->settings->name);
   if (at < 0) return false;
   bool changed = false, in_doubt[FC_MEMBERS_MAX] = {false};
@@ -244,11 +240,11 @@
 
 static void write_quota(fc_controller *controller, const fc_quota_record *quota) {
   fc_write *write = fc_write_new();
-  fc_write_compare(write, FC_KEY_QUOTA, controller->table->quota.version);
-  fc_write_compare(write, FC_KEY_TERM, controller->table->membership.term_version);
+  fc_write_compare(write, FC_KEY_QUOTA, controller->cluster->quota.version);
+  fc_write_compare(write, FC_KEY_TERM, controller->cluster->membership.term_version);
   fc_write_put(write, FC_KEY_QUOTA, fc_quota_record_encode(quota, controller->settings));
   uint64_t revision = 0;
-  controller->share_cap_version = controller->table->quota.version;
+  controller->share_cap_version = controller->cluster->quota.version;
   fc_kv_result result =
       fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + 2.0, &revision);
   if (result == FC_KV_OK) {
@@ -262,9 +258,9 @@
 
 /* Has every other member's present life acknowledged this term? */
 static bool all_acked(fc_controller *controller) {
-  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
+  for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
     const fc_peer *peer = fc_peer_of(controller, i);
-    if (i != controller->table->membership.self && (!peer || peer->renewals_known_until < controller->term_since))
+    if (i != controller->cluster->membership.self && (!peer || peer->renewals_known_until < controller->term_since))
       return false;
   }
   return true;
@@ -278,7 +274,7 @@
 
 /* The first shares of the term; false: not yet, or not by us. */
 static bool first_shares(fc_controller *controller, tally *now_used, fc_quota_record *quota, double now) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   /* Everybody could write it; the first in the term does at once. */
   if (now < controller->term_since + controller->settings->op.round_s * 0.5 * cluster->membership.self) return false;
   /* A hung machine of a dead owner would hold everybody up for a lease: after
@@ -294,8 +290,8 @@
 
 /* The shares with ours as it should be now; false: nothing is to be written. */
 static bool adjusted_shares(fc_controller *controller, tally *now_used, fc_quota_record *quota) {
-  *quota = controller->table->quota.record;
-  take_tally(controller->table, false, now_used);
+  *quota = controller->cluster->quota.record;
+  take_tally(controller->cluster, false, now_used);
   /* Where nothing is to change, the record is written as it is, or a write of
    * unknown outcome would keep its caps up for good (fault test, seed 510: a
    * gang waited for ever beside its share). */
@@ -312,7 +308,7 @@
   tally *now_used = g_new0(tally, 1);
   while (!fc_routine_cancelled()) {
     (void)fc_routine_sleep(controller->settings->op.round_s * 0.1);
-    const fc_cluster *cluster = controller->table;
+    const fc_cluster *cluster = controller->cluster;
     /* A write of unknown outcome can be applied until the record has moved past
      * the version it was conditional on; so long the caps stay. */
     if (cluster->quota.version != controller->share_cap_version) lift_caps(controller);
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -2,6 +2,8 @@
  * requests don't race; every owner returns its own machines. */
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 #include "scheduler/capacity_planning.h"
 
@@ -37,7 +39,7 @@
 bool fc_cloud_turn(fc_controller *controller) {
   double wait, others = MAX(1.0, (double)controller->settings->peer_count);
   controller->cloud_budget.per_s =
-      controller->settings->cloud_rps * (controller->table->membership.self == 0 ? 0.5 : 0.5 / others);
+      controller->settings->cloud_rps * (controller->cluster->membership.self == 0 ? 0.5 : 0.5 / others);
   while ((wait = fc_token_bucket_wait(&controller->cloud_budget, 1, 0, fc_now())) > 0)
     if (fc_routine_sleep(wait) == FC_WAKE_CANCELLED) return false;
   return fc_token_bucket_take(&controller->cloud_budget, 1, 0, fc_now());
@@ -47,7 +49,7 @@
   GPtrArray *types = g_ptr_array_new();
   if (fc_cloud_turn(controller) && fc_cloud_types(controller->cloud, fc_now() + 3.0, types) == FC_CLOUD_OK &&
       types->len > 0) {
-    fc_cluster *cluster = controller->table;
+    fc_cluster *cluster = controller->cluster;
     /* Prices change, types don't: machines refer to them by index. */
     for (guint i = 0; i < types->len; i++) {
       fc_machine_type *machine_type = types->pdata[i];
@@ -60,11 +62,8 @@
       }
     }
     controller->types_at = fc_now();
-    GHashTableIter it;
-    gpointer value;
-    g_hash_table_iter_init(&it, cluster->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
-      fc_machine *machine = value;
+    fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+    for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
       if (machine->type < 0) fc_cluster_locate_machine(cluster, machine);
     }
     g_ptr_array_free(types, TRUE);
@@ -79,7 +78,7 @@
  * that are missing. */
 static bool record_rented(fc_controller *controller, const char *name, const fc_rental_record *rental,
                           const GPtrArray *ids) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   char *intent = g_strconcat(FC_PREFIX_RENTAL, name, NULL);
   unsigned given[FC_MEMBERS_MAX] = {0};
   uint64_t revision = 0, term = cluster->membership.term_version;
@@ -124,7 +123,7 @@
 static bool end_rental(fc_controller *controller, const char *name) {
   char *key = g_strconcat(FC_PREFIX_RENTAL, name, NULL);
   fc_write *write = fc_write_new();
-  fc_write_compare(write, FC_KEY_TERM, controller->table->membership.term_version);
+  fc_write_compare(write, FC_KEY_TERM, controller->cluster->membership.term_version);
   fc_write_delete(write, key);
   g_free(key);
   uint64_t revision = 0;
@@ -171,7 +170,7 @@
   GPtrArray *rentals = g_ptr_array_new_with_free_func(rental_free);
   GHashTableIter it;
   gpointer key, value;
-  g_hash_table_iter_init(&it, controller->table->rentals);
+  g_hash_table_iter_init(&it, controller->cluster->rentals);
   while (g_hash_table_iter_next(&it, &key, &value)) {
     rental *h = g_new0(rental, 1);
     h->name = g_strdup(key);
@@ -190,7 +189,7 @@
 
 /* Records the intent; the cloud is asked only after that is durable. */
 static bool intend(fc_controller *controller, const fc_rental_request *want, unsigned count) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   const fc_machine_type *machine_type = cluster->machine_types->pdata[want->type];
   fc_rental_record rental = {.spot = want->spot, .count = count};
   g_strlcpy(rental.type, machine_type->name, sizeof rental.type);
@@ -214,11 +213,11 @@
 }
 
 static void rent(fc_controller *controller, refusals *ref) {
-  refused_arg arg = {.table = controller->table, .refusals = ref};
-  GArray *wants = fc_scale_out_plan(controller->table, is_refused, &arg, fc_now());
+  refused_arg arg = {.table = controller->cluster, .refusals = ref};
+  GArray *wants = fc_scale_out_plan(controller->cluster, is_refused, &arg, fc_now());
   for (guint i = 0; i < wants->len; i++) {
     const fc_rental_request *request = &g_array_index(wants, fc_rental_request, i);
-    if (request->owner >= (int)controller->table->membership.term.count) break;
+    if (request->owner >= (int)controller->cluster->membership.term.count) break;
     if (!intend(controller, request, MIN(request->count, FC_RENTAL_MAX))) break;
   }
   g_array_free(wants, TRUE);
@@ -242,8 +241,8 @@
    * for its lease instead, hung machines held a team's freed share for up to 14 s (scene
    * a_limit_and_a_cancellation). */
   if (controller->ended_at > since && !fc_workers_unreachable(controller, machine)) return false;
-  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
-    if (i == controller->table->membership.self) continue;
+  for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
+    if (i == controller->cluster->membership.self) continue;
     const fc_peer *peer = fc_peer_of(controller, i);
     if (!peer || peer->renewals_known_until < fc_now() - controller->settings->heartbeat_s * 2) return false;
   }
@@ -290,20 +289,16 @@
 } suspicion;
 
 static suspicion suspect(fc_controller *controller, double now) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   mute_count mine = {0, 0}, fleet = {0, 0}, zones[FC_ZONES_MAX + 1] = {{0, 0}};
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
-    bool ours = machine->owner == cluster->membership.self, mute = fc_machine_suspect(cluster, machine, now);
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    bool ours = fc_machine_owned_by_self(cluster, machine), mute = fc_machine_suspect(cluster, machine, now);
     if (!machine->record_version || !machine->announced || machine->owner < 0) continue;
     /* Of others' machines we know as much as they tell us: those of a member that is cut
      * off too once counted as well, and half a zone was returned (fleet day "zone"). */
-    bool known =
-        ours ? machine->agent.reported || mute
-             : machine->reconciled_term == cluster->membership.term.number && fc_member_fit(controller, machine->owner);
+    bool known = ours ? machine->agent.reported || mute
+                      : fc_machine_reconciled(cluster, machine) && fc_member_fit(controller, machine->owner);
     /* Nor do machines that we know nothing of yet speak for their zone: dealt anew as a
      * member in it was excluded, they left one old machine to judge it by, which went. */
     count_mute(&zones[machine->zone], mute || !known);
@@ -321,10 +316,10 @@
 /* Should the machine go back, and why? `surplus` is made when the first idle one asks. */
 static fate fate_of(fc_controller *controller, fc_machine *machine, const suspicion *doubts, GHashTable **surplus,
                     double now) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double quiet = fc_machine_silence_timeout_s(controller->settings);
   double boot_s = machine->type >= 0 ? ((fc_machine_type *)cluster->machine_types->pdata[machine->type])->boot_s : 0;
-  bool settled = machine->reconciled_term == cluster->membership.term.number;
+  bool settled = fc_machine_reconciled(cluster, machine);
   /* After several leases it is not a cut any more, whoever's it was. */
   bool patient = doubts->all || doubts->zone[machine->zone];
   double after = patient ? controller->settings->lease_s * 5 : quiet;
@@ -361,11 +356,11 @@
 }
 
 void fc_machines_gone(fc_controller *controller, const GPtrArray *ids) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   for (guint i = 0; i < ids->len; i++) {
     fc_machine *machine = fc_cluster_find_machine(cluster, ids->pdata[i]);
     if (!machine || !machine->record_version) continue;
-    fc_machine_remove_placements(cluster, machine);
+    fc_machine_remove_placements(machine);
     machine->reconciled_term = cluster->membership.term.number;
   }
   (void)fc_cluster_update_reconciled(cluster);
@@ -375,7 +370,7 @@
 /* Takes the records of machines that the cloud has confirmed gone out of the state
  * service, in as many transactions as it takes. */
 static void forget_returned(fc_controller *controller, const GPtrArray *ids) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   fc_machines_gone(controller, ids);
   uint64_t revision = 0;
   bool ok = true;
@@ -413,17 +408,14 @@
  * the table only after the cloud has confirmed. */
 static void give_back(fc_controller *controller) {
   static const char *const why[] = {"", "lost", "never_up", "idle", "faulty", "begun"};
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   GHashTable *surplus = NULL;
   suspicion doubts = suspect(controller, now);
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value) && ids->len < FC_RELEASE_MAX) {
-    fc_machine *machine = value;
-    if (machine->owner != cluster->membership.self || !machine->record_version || machine->record_write_pending)
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; ids->len < FC_RELEASE_MAX && (machine = fc_machine_iter_next(&machine_iter));) {
+    if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version || machine->record_write_pending)
       continue;
     fate f = fate_of(controller, machine, &doubts, &surplus, now);
     if (f == STAYS) continue;
@@ -441,7 +433,7 @@
  * others would be paid for until somebody asks. Nothing was ever started on
  * them: that takes a record. */
 static bool is_stray_machine(const fc_controller *controller, const fc_listed_machine *listed) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   const fc_machine *machine = fc_cluster_find_machine(cluster, listed->id);
   if (machine && (machine->record_version || machine->agent.reported)) return false;
   int type = fc_cluster_find_machine_type(cluster, listed->type);
@@ -461,7 +453,7 @@
     more = false;
     fc_cloud_result result = fc_cloud_list(controller->cloud, after, 500, fc_now() + 3.0, page, &more);
     /* A rental under way may be what a machine belongs to. */
-    bool sure = result == FC_CLOUD_OK && g_hash_table_size(controller->table->rentals) == 0;
+    bool sure = result == FC_CLOUD_OK && g_hash_table_size(controller->cluster->rentals) == 0;
     for (guint i = 0; i < page->len; i++) {
       const fc_listed_machine *listed = page->pdata[i];
       if (sure && is_stray_machine(controller, listed)) g_ptr_array_add(stray, g_strdup(listed->id));
@@ -483,7 +475,7 @@
 /* What one member does for all. */
 static void rent_round(fc_controller *controller, refusals *ref, double *swept_at) {
   carry_out_all(controller, ref);
-  if (g_hash_table_size(controller->table->rentals) == 0 && fc_may_act(controller)) rent(controller, ref);
+  if (g_hash_table_size(controller->cluster->rentals) == 0 && fc_may_act(controller)) rent(controller, ref);
   carry_out_all(controller, ref);
   if (fc_now() <= *swept_at + MAX(controller->settings->lease_s, controller->settings->cloud_list_lag_s) * 3) return;
   *swept_at = fc_now();
@@ -497,15 +489,15 @@
   refusals ref = {.until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
   while (!fc_routine_cancelled()) {
     /* Prices move; a late one only costs money. */
-    if (controller->table->machine_types->len == 0 ||
+    if (controller->cluster->machine_types->len == 0 ||
         fc_now() > controller->types_at + controller->settings->lease_s * 2)
       read_types(controller);
-    if (controller->table->machine_types->len > 0 && fc_may_act(controller) && fc_state_reachable(controller)) {
-      if (controller->table->membership.self == 0 && controller->settings->op.rent)
+    if (controller->cluster->machine_types->len > 0 && fc_may_act(controller) && fc_state_reachable(controller)) {
+      if (controller->cluster->membership.self == 0 && controller->settings->op.rent)
         rent_round(controller, &ref, &swept_at);
       if (fc_may_act(controller)) give_back(controller);
     }
-    (void)fc_routine_sleep(controller->settings->op.round_s * (controller->table->machine_types->len ? 0.5 : 0.1));
+    (void)fc_routine_sleep(controller->settings->op.round_s * (controller->cluster->machine_types->len ? 0.5 : 0.1));
   }
   g_hash_table_destroy(ref.until);
 }
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -1,14 +1,16 @@
 /* The round: every two seconds, and at once when a job or room arrives. */
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/dependencies.h"
+#include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 #include "controller/duties.h"
 #include "scheduler/bin_packing.h"
 #include "scheduler/preemption.h"
 
 static uint64_t next_attempt(fc_controller *controller) {
-  return fc_attempt(controller->table->membership.term.number, ++controller->attempt_counter);
+  return fc_attempt(controller->cluster->membership.term.number, ++controller->attempt_counter);
 }
 
 /* Tasks that must not run any more. */
@@ -32,11 +34,11 @@
  * alone would lose the others' work. Where some are on another member's machines
  * (after a change of term) it is left to run to its end. */
 static void stop_gang(fc_controller *controller, const fc_job *job) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
-    if (placement->machine->owner != cluster->membership.self ||
-        placement->machine->reconciled_term != cluster->membership.term.number || placement->machine->command_in_flight)
+    if (!fc_machine_owned_by_self(cluster, placement->machine) || !fc_machine_reconciled(cluster, placement->machine) ||
+        placement->machine->command_in_flight)
       return;
   }
   for (guint i = 0; i < job->placements->len; i++) {
@@ -92,7 +94,7 @@
 
 static void place(fc_controller *controller, GPtrArray *push) {
   GPtrArray *stops = g_ptr_array_new();
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   fc_allowance allow;
   fc_quota_allowance(controller, &allow);
@@ -121,18 +123,15 @@
 static void preempt(fc_controller *controller, GPtrArray *push) {
   fc_allowance allow;
   fc_quota_allowance(controller, &allow);
-  GPtrArray *stops = fc_preempt_round(controller->table, &allow, fc_now());
-  fc_preempt_for_limit(controller->table, stops, fc_now());
+  GPtrArray *stops = fc_preempt_round(controller->cluster, &allow, fc_now());
+  fc_preempt_for_limit(controller->cluster, stops, fc_now());
   send_stops(controller, stops, push);
 }
 
 /* A task of ours, or a gang anywhere, that has found no place? */
 static bool anything_waits(const fc_cluster *cluster) {
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_runnable(job)) continue;
     if (job->spec.kind == FC_JOB_GANG && job->placements->len == 0) return true;
     if (fc_job_owned_by(job, cluster->membership.self) && fc_job_has_pending_tasks(job, cluster->membership.self))
@@ -142,7 +141,7 @@
 }
 
 static void tick(fc_controller *controller) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   controller->counts.rounds++;
   fc_workers_expire(controller);
   (void)fc_cluster_update_reconciled(cluster);
@@ -152,9 +151,9 @@
   GPtrArray *push = g_ptr_array_new();
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     fc_machine *machine = value;
-    if (machine->owner != cluster->membership.self) fc_workers_ask(controller, machine);
-    if (machine->owner != cluster->membership.self || !machine->record_version) continue;
-    bool settled = machine->reconciled_term == cluster->membership.term.number;
+    if (!fc_machine_owned_by_self(cluster, machine)) fc_workers_ask(controller, machine);
+    if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version) continue;
+    bool settled = fc_machine_reconciled(cluster, machine);
     bool work = !settled || fc_workers_doubt(controller, machine);
     /* Before it is settled it is sent nothing but the question what it holds. Marked to
      * be stopped by then, a task was never told so, where the machine did not report. */
@@ -173,10 +172,9 @@
     preempt(controller, push);
     if (fc_state_reachable(controller)) fc_share_round(controller);
   }
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
-    if (machine->owner == cluster->membership.self && machine->reconciled_term == cluster->membership.term.number &&
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    if (fc_machine_owned_by_self(cluster, machine) && fc_machine_reconciled(cluster, machine) &&
         owes_commands(controller, machine, now) && !g_ptr_array_find(push, machine, NULL))
       g_ptr_array_add(push, machine);
   }
@@ -186,27 +184,23 @@
 
 /* One line about everything, once a worker lease. */
 static void log_status(fc_controller *controller) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   unsigned waiting = 0, unclear = 0, mine = 0, unsettled = 0, silent = 0;
   const char *unsettled_id = "-";
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_runnable(job) || !fc_job_owned_by(job, cluster->membership.self)) continue;
     GArray *missing = fc_job_pending_tasks(job, cluster->membership.self, 1);
     waiting += missing->len;
     unclear += !job->slices.resolved;
     g_array_free(missing, TRUE);
   }
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
-    mine += machine->owner == cluster->membership.self;
-    silent += machine->owner == cluster->membership.self &&
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    mine += fc_machine_owned_by_self(cluster, machine);
+    silent += fc_machine_owned_by_self(cluster, machine) &&
               fc_now() > machine->agent.heard_at + controller->settings->heartbeat_s * 2;
-    if (!machine->record_version || machine->reconciled_term == cluster->membership.term.number) continue;
+    if (!machine->record_version || fc_machine_reconciled(cluster, machine)) continue;
     unsettled++;
     unsettled_id = machine->id;
   }
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -47,7 +47,7 @@
 
 static fc_write *make_handover(fc_controller *controller, void *arg) {
   const handover_arg *a = arg;
-  const fc_job *job = fc_cluster_find_job(controller->table, a->id);
+  const fc_job *job = fc_cluster_find_job(controller->cluster, a->id);
   if (!job || job->record.version != a->version) return NULL;
   char *handed[FC_SLICES_MAX];
   fc_job_origin origin = job->record.origin;
@@ -61,7 +61,7 @@
     origin.last_move[i].members = a->homes[i];
   }
   fc_write *write =
-      fc_job_record_write(controller->table, job, a->version, job->phase, job->completion.bitmap, handed, &origin);
+      fc_job_record_write(controller->cluster, job, a->version, job->phase, job->completion.bitmap, handed, &origin);
   if (write) fc_write_compare(write, FC_KEY_TERM, a->term);
   return write;
 }
@@ -70,7 +70,7 @@
   handover_arg *a = arg;
   fc_controller *controller = a->c;
   write_decided(controller, make_handover, a);
-  fc_job *job = fc_cluster_find_job(controller->table, a->id);
+  fc_job *job = fc_cluster_find_job(controller->cluster, a->id);
   if (job) job->slices.handover_pending = 0;
   fc_round_soon(controller);
   g_free(a);
@@ -78,7 +78,7 @@
 
 static fc_peer_progress what_is_told(fc_controller *controller) {
   fc_peer_progress told = {{0}, {0}, {0}};
-  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
+  for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
     const fc_peer *peer = fc_peer_of(controller, i);
     if (!peer) continue;
     told.view[i] = peer->acked_view;
@@ -89,15 +89,15 @@
 }
 
 static void hand_over(fc_controller *controller, const fc_peer_progress *told) {
-  GArray *plan = fc_plan_handovers(controller->table, told, fc_now());
+  GArray *plan = fc_plan_handovers(controller->cluster, told, fc_now());
   for (guint i = 0; i < plan->len; i++) {
     fc_job *job = g_array_index(plan, fc_handover, i).job;
     if (job->slices.handover_pending) continue; /* its first slice took the others along */
     handover_arg *a = g_new0(handover_arg, 1);
     a->c = controller;
     a->version = job->record.version;
-    a->term = controller->table->membership.term_version;
-    a->term_number = controller->table->membership.term.number;
+    a->term = controller->cluster->membership.term_version;
+    a->term_number = controller->cluster->membership.term.number;
     g_strlcpy(a->id, job->spec.id, sizeof a->id);
     for (guint k = i; k < plan->len; k++) {
       const fc_handover *handover = &g_array_index(plan, fc_handover, k);
@@ -105,7 +105,7 @@
       a->slices |= 1u << handover->slice;
       a->homes[handover->slice] = handover->homes;
       a->unseen |= (unsigned)handover->unseen << handover->slice;
-      g_strlcpy(a->to[handover->slice], controller->table->membership.term.members[handover->to].name,
+      g_strlcpy(a->to[handover->slice], controller->cluster->membership.term.members[handover->to].name,
                 sizeof a->to[handover->slice]);
       g_debug("hand over job=%s slice=%u to=%s", a->id, handover->slice, a->to[handover->slice]);
     }
@@ -130,7 +130,7 @@
 
 static fc_write *make_loan(fc_controller *controller, void *arg) {
   const loan_arg *a = arg;
-  const fc_machine *machine = fc_cluster_find_machine(controller->table, a->id);
+  const fc_machine *machine = fc_cluster_find_machine(controller->cluster, a->id);
   if (!machine || machine->record_version != a->version) return NULL;
   fc_machine_record rec = machine->record;
   g_strlcpy(rec.owner, a->to, sizeof rec.owner);
@@ -143,7 +143,7 @@
   loan_arg *a = arg;
   fc_controller *controller = a->c;
   write_decided(controller, make_loan, a);
-  fc_machine *machine = fc_cluster_find_machine(controller->table, a->id);
+  fc_machine *machine = fc_cluster_find_machine(controller->cluster, a->id);
   if (machine) machine->record_write_pending = false;
   g_free(a);
 }
@@ -165,7 +165,7 @@
 }
 
 static void lend(fc_controller *controller, const fc_peer_progress *told) {
-  GArray *plan = fc_plan_machine_transfers(controller->table, told, fc_now());
+  GArray *plan = fc_plan_machine_transfers(controller->cluster, told, fc_now());
   for (guint i = 0; i < plan->len; i++) {
     const fc_machine_transfer *transfer = &g_array_index(plan, fc_machine_transfer, i);
     fc_machine *machine = transfer->machine;
@@ -177,14 +177,14 @@
       continue;
     }
     if (machine->command_in_flight || machine->placements->len > 0 ||
-        transfer->to == controller->table->membership.self)
+        transfer->to == controller->cluster->membership.self)
       continue;
     loan_arg *a = g_new0(loan_arg, 1);
     a->c = controller;
     a->version = transfer->machine->record_version;
-    a->term = controller->table->membership.term_version;
+    a->term = controller->cluster->membership.term_version;
     g_strlcpy(a->id, transfer->machine->id, sizeof a->id);
-    g_strlcpy(a->to, controller->table->membership.term.members[transfer->to].name, sizeof a->to);
+    g_strlcpy(a->to, controller->cluster->membership.term.members[transfer->to].name, sizeof a->to);
     g_debug("lend machine=%s to=%s", a->id, a->to);
     controller->counts.lent++;
     transfer->machine->record_write_pending = true;
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -12,11 +12,11 @@
   controller->kv_read_at = -1e9;
   for (size_t k = 0; k < settings->peer_count; k++)
     controller->peers[k].kv_read_at = controller->peers[k].heard_at = -1e9;
-  controller->table = fc_cluster_new(settings);
-  controller->table->clock_offset_s = fc_time_of_day() - fc_now();
+  controller->cluster = fc_cluster_new(settings);
+  controller->cluster->clock_offset_s = fc_time_of_day() - fc_now();
   controller->cancels = fc_cancellation_log_new();
   fc_metrics_init(&controller->metrics);
-  controller->state = fc_kv_new(&settings->state_at);
+  controller->kv = fc_kv_new(&settings->state_at);
   controller->cloud = fc_cloud_new(&settings->cloud_at);
   controller->archived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -29,7 +29,7 @@
       .requests_per_s = settings->state_rps / nodes * 0.35,
       .answer_s = settings->heartbeat_s * 0.75,
   };
-  controller->commit = fc_group_commit_new(controller->state, &limits);
+  controller->commit = fc_group_commit_new(controller->kv, &limits);
   fc_token_bucket_init(&controller->cloud_budget, settings->cloud_rps / nodes, MAX(1.0, settings->cloud_rps / nodes),
                        fc_now());
   fc_token_bucket_init(&controller->lookup_budget, settings->state_rps / nodes * 0.1,
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -2,6 +2,7 @@
  * their machines. */
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "controller/controller.h"
 #include "scheduler/bin_packing.h"
 
@@ -36,9 +37,10 @@
   if (job->spec.kind == FC_JOB_GANG) return false; /* its tasks complete together */
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
-    if (fc_placement_active(placement) && placement->machine->owner == controller->table->membership.self) return true;
+    if (fc_placement_active(placement) && fc_machine_owned_by_self(controller->cluster, placement->machine))
+      return true;
   }
-  return fc_job_has_pending_tasks(job, controller->table->membership.self);
+  return fc_job_has_pending_tasks(job, controller->cluster->membership.self);
 }
 
 #define ENDS_SHARE 0.25   /* of our write rate, for ends that nobody waits for */
@@ -58,7 +60,7 @@
 static void gather_ends(fc_controller *controller, const char *id) {
   double until = fc_now() + gather_time(controller) * g_random_double_range(0.75, 1.25);
   for (;;) {
-    const fc_job *job = fc_cluster_find_job(controller->table, id);
+    const fc_job *job = fc_cluster_find_job(controller->cluster, id);
     if (!job || job->phase != FC_PHASE_ACCEPTED || !more_to_come(controller, job)) return;
     fc_cond *ended = g_hash_table_lookup(controller->recording, id);
     if (fc_cond_wait(ended, until) != FC_WAKE_OK) return;
@@ -74,10 +76,10 @@
   if (unrecorded(job, ended)) {
     for (uint32_t i = 0; i < job->spec.tasks; i++) *count += ended[i / 8] >> (i % 8) & 1;
     fc_job_phase phase = *count == job->spec.tasks ? FC_PHASE_DONE : FC_PHASE_ACCEPTED;
-    write = fc_job_record_write(controller->table, job, job->record.version, phase, ended, job->record.handed_to,
+    write = fc_job_record_write(controller->cluster, job, job->record.version, phase, ended, job->record.handed_to,
                                 &job->record.origin);
-    if (!write && phase == FC_PHASE_ACCEPTED && fc_job_record_fit_completions(controller->table, job, ended, done))
-      write = fc_job_record_write(controller->table, job, job->record.version, phase, done, job->record.handed_to,
+    if (!write && phase == FC_PHASE_ACCEPTED && fc_job_record_fit_completions(controller->cluster, job, ended, done))
+      write = fc_job_record_write(controller->cluster, job, job->record.version, phase, done, job->record.handed_to,
                                   &job->record.origin);
   }
   g_free(ended);
@@ -92,7 +94,7 @@
   fc_metrics_duty(&controller->metrics, FC_DUTY_COMMITS);
   for (;;) {
     gather_ends(controller, a.id);
-    fc_job *job = fc_cluster_find_job(controller->table, a.id);
+    fc_job *job = fc_cluster_find_job(controller->cluster, a.id);
     if (!job || job->phase != FC_PHASE_ACCEPTED || fc_routine_cancelled()) break;
     uint32_t count = 0;
     fc_write *write = ends_write(controller, job, &count);
@@ -110,7 +112,7 @@
   }
   g_hash_table_remove(controller->recording, a.id);
   /* What is recorded now can be cleared from its machine. */
-  fc_job *job = fc_cluster_find_job(controller->table, a.id);
+  fc_job *job = fc_cluster_find_job(controller->cluster, a.id);
   for (guint i = 0; job && i < job->placements->len; i++) {
     fc_placement *placement = job->placements->pdata[i];
     if (placement->status.state == FC_TASK_EXITED &&
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -3,6 +3,8 @@
 #include <math.h>
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 
 /* Has the incarnation of another member ended so lately that a worker it answered last may
@@ -12,7 +14,7 @@
 }
 
 void fc_workers_kept(fc_controller *controller, const fc_frame_lease_renewal *k, double now) {
-  fc_machine *machine = fc_cluster_find_machine(controller->table, k->machine);
+  fc_machine *machine = fc_cluster_find_machine(controller->cluster, k->machine);
   if (!machine) return;
   double at = now - k->age_ms / 1000.0;
   /* One that counts from below what has come to us is a late copy, or the machine was
@@ -26,7 +28,7 @@
    * since then settles it: asked again at every acknowledgement, machines that had come
    * back from another member cost more than all reports. */
   double latest = at + k->age_ms / 1000.0 * 2 * FC_CLOCK_DRIFT;
-  if (old && machine->owner == controller->table->membership.self && latest >= machine->probe.confirmed_at)
+  if (old && fc_machine_owned_by_self(controller->cluster, machine) && latest >= machine->probe.confirmed_at)
     machine->probe.wanted = true;
   if (old) return;
   if (k->bidirectional)
@@ -37,7 +39,7 @@
 }
 
 void fc_workers_asked(fc_controller *controller, size_t peer, const fc_frame_probe *a, double sent, double now) {
-  fc_machine *machine = fc_cluster_find_machine(controller->table, a->machine);
+  fc_machine *machine = fc_cluster_find_machine(controller->cluster, a->machine);
   if (!machine) return;
   /* The age was taken between `sent` and now. In doubt the machine counts as reached: the
    * latest time for an answer, the earliest for none. */
@@ -52,8 +54,8 @@
   if (machine->probe.answered || machine->probe.sent_at <= from ||
       machine->probe.peer_answered_at > controller->ended_at)
     return false;
-  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
-    if (i == controller->table->membership.self) continue;
+  for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
+    if (i == controller->cluster->membership.self) continue;
     int k = controller->peer_of[i];
     if (k < 0 || machine->probe.peer_unanswered_at[k] <= from) return false;
   }
@@ -69,16 +71,16 @@
   question a = *(question *)arg;
   g_free(arg);
   fc_controller *controller = a.c;
-  const fc_machine *known = fc_cluster_find_machine(controller->table, a.id);
+  const fc_machine *known = fc_cluster_find_machine(controller->cluster, a.id);
   fc_endpoint at;
   if (known && fc_endpoint_parse(known->record.endpoint, &at)) {
     double asked = fc_now();
     fc_heartbeat heartbeat;
     fc_worker_call_result result =
-        fc_worker_call(&at, controller->table->membership.term.number, known->agent.epoch, NULL, 0,
+        fc_worker_call(&at, controller->cluster->membership.term.number, known->agent.epoch, NULL, 0,
                        asked + controller->settings->heartbeat_s * 0.75, &heartbeat);
     bool answered = fc_worker_call_answered(result);
-    fc_machine *machine = fc_cluster_find_machine(controller->table, a.id);
+    fc_machine *machine = fc_cluster_find_machine(controller->cluster, a.id);
     if (machine) {
       /* Another may have taken its address since; then that one has answered. */
       machine->probe.answered = answered && strcmp(heartbeat.machine, machine->id) == 0;
@@ -86,22 +88,21 @@
     }
     if (answered) fc_heartbeat_clear(&heartbeat);
   }
-  fc_machine *machine = fc_cluster_find_machine(controller->table, a.id);
+  fc_machine *machine = fc_cluster_find_machine(controller->cluster, a.id);
   if (machine) machine->probe.in_flight = false;
   controller->worker_calls--;
 }
 
 void fc_workers_ask(fc_controller *controller, fc_machine *machine) {
-  const fc_cluster *cluster = controller->table;
+  const fc_cluster *cluster = controller->cluster;
   const fc_settings *settings = controller->settings;
   double now = fc_now();
   if (machine->probe.in_flight || machine->owner < 0 || !machine->announced || !machine->record.endpoint[0] ||
       !fc_workers_may_be_kept(controller, now))
     return;
   /* Its owner is out of touch with it, or should have settled it by now. */
-  bool doubtful = machine->reconciled_term == cluster->membership.term.number
-                      ? machine->reachability.owner_suspects
-                      : now > controller->term_since + settings->heartbeat_s * 1.5;
+  bool doubtful = fc_machine_reconciled(cluster, machine) ? machine->reachability.owner_suspects
+                                                          : now > controller->term_since + settings->heartbeat_s * 1.5;
   if (!doubtful || now < machine->probe.sent_at + settings->heartbeat_s || !fc_may_act(controller)) return;
   /* Our own machines come first: of the sockets for calls these take a quarter at most. */
   if (controller->worker_calls >= MAX(settings->fd_limit / 32, 1)) return;
@@ -132,15 +133,15 @@
 
 /* Has everybody who might have answered its worker told us until then that it didn't? */
 static bool others_covered(fc_controller *controller, double over) {
-  for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
-    if (i == controller->table->membership.self) continue;
+  for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
+    if (i == controller->cluster->membership.self) continue;
     const fc_peer *peer = fc_peer_of(controller, i);
     if (!peer || peer->renewals_known_until < over) return false;
   }
   /* One that was no member may have entered since we last read of it, and keep the
    * worker alive: alone in a term, and cut off from the state service, we started its
    * tasks again (fault test, seed 353). */
-  return controller->table->membership.term.count >= controller->settings->peer_count + 1 ||
+  return controller->cluster->membership.term.count >= controller->settings->peer_count + 1 ||
          controller->kv_read_at >= over;
 }
 
@@ -155,19 +156,16 @@
 }
 
 void fc_workers_expire(fc_controller *controller) {
-  fc_cluster *cluster = controller->table;
+  fc_cluster *cluster = controller->cluster;
   double now = fc_now();
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
-    if (machine->owner != cluster->membership.self || !machine->record_version) continue;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version) continue;
     double over = lease_over_at(controller, machine);
     if (now < over || !others_covered(controller, over)) continue;
-    if (machine->placements->len > 0 || machine->reconciled_term != cluster->membership.term.number) {
+    if (machine->placements->len > 0 || !fc_machine_reconciled(cluster, machine)) {
       if (machine->announced) g_info("lease over machine=%s tasks=%u", machine->id, machine->placements->len);
-      fc_machine_remove_placements(cluster, machine);
+      fc_machine_remove_placements(machine);
       end_session(machine);
       machine->reconciled_term = cluster->membership.term.number;
       if (fc_cluster_update_reconciled(cluster)) fc_round_soon(controller);
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -3,6 +3,7 @@
 #include <math.h>
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/dependencies.h"
 
 typedef struct slot {
@@ -32,8 +33,8 @@
 } round_state;
 
 bool fc_machine_usable(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  if (cluster->membership.self < 0 || machine->owner != cluster->membership.self || !machine->announced ||
-      machine->reconciled_term != cluster->membership.term.number)
+  if (cluster->membership.self < 0 || !fc_machine_owned_by_self(cluster, machine) || !machine->announced ||
+      !fc_machine_reconciled(cluster, machine))
     return false;
   if (fc_machine_cordoned(machine) || machine->record_write_pending || machine->type < 0 ||
       machine->drain.spot_notice_until)
@@ -62,11 +63,8 @@
 
 GPtrArray *fc_cluster_open_jobs(const fc_cluster *cluster) {
   GPtrArray *out = g_ptr_array_new();
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (fc_job_runnable(job) && job->team >= 0 && job->completion.count < job->spec.tasks) g_ptr_array_add(out, job);
   }
   g_ptr_array_sort(out, fc_job_compare_priority);
@@ -106,11 +104,8 @@
 /* What of the team's use can't be stopped for a gang of the rank. */
 static fc_resources fixed_use(const fc_cluster *cluster, int team, fc_priority rank) {
   fc_resources use = {0, 0, 0};
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team != team || (job->spec.kind == FC_JOB_ARRAY && job->queue.priority < rank)) continue;
     unsigned n = 0;
     for (guint i = 0; i < job->placements->len; i++) n += fc_placement_active(job->placements->pdata[i]);
@@ -129,11 +124,8 @@
 void fc_gang_precedence(const fc_cluster *cluster, const fc_job **turn) {
   for (size_t k = 0; k < cluster->settings->team_count; k++) turn[k] = NULL;
   GPtrArray *gangs = g_ptr_array_new();
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team < 0 || !gang_waits(job)) continue;
     const fc_team_settings *team_settings = &cluster->settings->teams[job->team];
     if (team_settings->cpus_max > 0 || team_settings->gpus_max > 0) g_ptr_array_add(gangs, (gpointer)job);
@@ -449,11 +441,8 @@
 static void gather_jobs(round_state *rs, fc_job_spec *least) {
   const fc_cluster *cluster = rs->table;
   *least = fc_least_resources_none();
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_placeable(cluster, job, rs->now)) continue;
     /* What may be on a machine that we have not heard of is not started. */
     unsigned slices = slices_of(job, cluster->membership.self) & job->slices.resolved & ~job->slices.handover_pending;
@@ -472,11 +461,8 @@
 /* Only machines that could take some job: in a full fleet these are few. */
 static void gather_slots(round_state *rs, const fc_job_spec *least) {
   const fc_cluster *cluster = rs->table;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     fc_machine_add_usage(machine, rs->used_cpus, rs->used_gpus);
     if (!fc_machine_usable(cluster, machine, rs->now)) continue;
     slot s = {.machine = machine,
--- a/src/scheduler/capacity_planning.c
+++ b/src/scheduler/capacity_planning.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "scheduler/bin_packing.h"
 
 /* The cloud charges a deleted machine for a minute at least. */
@@ -79,9 +80,8 @@
   const fc_cluster *cluster = p->table;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     fc_machine_add_usage(machine, p->cpus, p->gpus);
     if (!machine->record_version || machine->type < 0 || machine->owner < 0 || fc_machine_cordoned(machine) ||
         machine->drain.owner_cordoned || machine->drain.spot_notice_until || overdue(cluster, machine, now))
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "scheduler/capacity_planning.h"
 
 typedef struct host {
@@ -144,11 +145,8 @@
 
 static GArray *gather_hosts(const fc_cluster *cluster, usage *u, double now) {
   GArray *hosts = g_array_new(FALSE, TRUE, sizeof(host));
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     host h = {.machine = machine, .room = fc_machine_free_resources(cluster, machine)};
     for (guint i = 0; i < machine->placements->len; i++) {
       const fc_placement *placement = machine->placements->pdata[i];
@@ -173,11 +171,8 @@
   const fc_team_settings *team_settings = &cluster->settings->teams[gang->team];
   GPtrArray *may = g_ptr_array_new();
   double cpus = gang->spec.tasks * gang->spec.cpus, gpus = gang->spec.tasks * gang->spec.gpus;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team != gang->team) continue;
     bool stoppable = job->spec.kind == FC_JOB_ARRAY && job->queue.priority < gang->queue.priority;
     for (guint i = 0; i < job->placements->len; i++) {
@@ -193,7 +188,7 @@
     fc_placement *placement = may->pdata[i];
     cpus -= placement->job->spec.cpus;
     gpus -= placement->job->spec.gpus;
-    if (placement->machine->owner == cluster->membership.self && !placement->stop.requested)
+    if (fc_machine_owned_by_self(cluster, placement->machine) && !placement->stop.requested)
       g_ptr_array_add(stops, placement);
   }
   g_ptr_array_free(may, TRUE);
--- a/src/scheduler/shard_balancing.c
+++ b/src/scheduler/shard_balancing.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/dependencies.h"
 #include "coordination/assignment.h"
 #include "scheduler/bin_packing.h"
@@ -13,13 +14,12 @@
 } spare;
 
 static bool usable(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  if (!machine->announced || machine->owner < 0 || machine->type < 0 ||
-      machine->reconciled_term != cluster->membership.term.number)
+  if (!machine->announced || machine->owner < 0 || machine->type < 0 || !fc_machine_reconciled(cluster, machine))
     return false;
   if (fc_machine_cordoned(machine) || machine->drain.owner_cordoned || machine->drain.spot_notice_until ||
       machine->record_write_pending)
     return false;
-  return machine->owner != cluster->membership.self || fc_machine_reachable(cluster, machine, now);
+  return !fc_machine_owned_by_self(cluster, machine) || fc_machine_reachable(cluster, machine, now);
 }
 
 static gint by_id(gconstpointer a, gconstpointer b) {
@@ -30,11 +30,8 @@
  * them in the same order. */
 static GArray *spares(const fc_cluster *cluster, double now) {
   GArray *out = g_array_new(FALSE, TRUE, sizeof(spare));
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (!usable(cluster, machine, now)) continue;
     spare s = {.machine = machine, .room = fc_machine_free_resources(cluster, machine)};
     g_array_append_val(out, s);
@@ -52,7 +49,7 @@
     const spare s = g_array_index(room, spare, i);
     if (!fc_resources_fit(&s.room, least)) continue;
     g_array_index(room, spare, kept++) = s;
-    elsewhere |= s.machine->owner != cluster->membership.self;
+    elsewhere |= !fc_machine_owned_by_self(cluster, s.machine);
   }
   g_array_set_size(room, kept);
   return elsewhere;
@@ -77,11 +74,8 @@
 }
 
 static bool holds(const fc_cluster *cluster, int member, const fc_job_spec *spec) {
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->machines);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (machine->owner != member || !machine->record_version || machine->type < 0 || fc_machine_cordoned(machine) ||
         machine->drain.owner_cordoned)
       continue;
@@ -173,8 +167,8 @@
     /* Nobody takes our word of a machine of ours either while it isn't settled: views of
      * this term show it as unsettled, though what is on it was told in an earlier one. A
      * slice was handed over and started again (fault test with meetings, seed 566). */
-    if (machine->reconciled_term != cluster->membership.term.number) return KNOWS_NOT;
-    if (machine->owner == cluster->membership.self) {
+    if (!fc_machine_reconciled(cluster, machine)) return KNOWS_NOT;
+    if (fc_machine_owned_by_self(cluster, machine)) {
       if (told->view[to] < placement->first_view || told->revision[to] < machine->record_version) return KNOWS_NOT;
       continue;
     }
@@ -404,7 +398,7 @@
       fc_resources_subtract(&resources, &g->job->spec);
       g->left--;
     }
-    if (machine->owner != cluster->membership.self || (of_owner && !clearing)) continue;
+    if (!fc_machine_owned_by_self(cluster, machine) || (of_owner && !clearing)) continue;
     fc_machine_transfer l = {.machine = machine, .to = g->owner, .gang = g->job, .clear = clearing};
     g_array_append_val(out, l);
   }
@@ -432,11 +426,8 @@
  * every member. */
 static GPtrArray *waiting_gangs(const fc_cluster *cluster, double now) {
   GPtrArray *jobs = g_ptr_array_new();
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->spec.kind != FC_JOB_GANG || !fc_job_runnable(job) || job->team < 0) continue;
     if (job->placements->len > 0 || job->completion.count == job->spec.tasks) continue;
     if (now >= job->queue.entered_at + cluster->settings->op.handover_wait_s) g_ptr_array_add(jobs, job);
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -364,8 +364,8 @@
   if (!controller) return 0;
   uint64_t rounds = controller->counts.rounds, before = MIN(seen[n], rounds);
   seen[n] = rounds;
-  return (double)(rounds - before) * (machine_s * g_hash_table_size(controller->table->machines) +
-                                      job_s * g_hash_table_size(controller->table->jobs));
+  return (double)(rounds - before) * (machine_s * g_hash_table_size(controller->cluster->machines) +
+                                      job_s * g_hash_table_size(controller->cluster->jobs));
 }
 
 void world_slow(unsigned node, double of_processor, double timers_late_s) {
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -6,6 +6,7 @@
 
 #include "bookkeeping/dependencies.h"
 #include "bookkeeping/description_parts.h"
+#include "bookkeeping/job_records.h"
 #include "protocol/json.h"
 #include "scheduler/bin_packing.h"
 
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -3,6 +3,10 @@
 
 #include <math.h>
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/job_records.h"
+#include "bookkeeping/reconciliation_progress.h"
+#include "bookkeeping/shard_ownership.h"
 #include "scheduler/bin_packing.h"
 #include "scheduler/capacity_planning.h"
 #include "scheduler/preemption.h"
@@ -467,7 +471,7 @@
       fc_cluster_add_placement(cluster, machine, job->spec.id, 0, 2, 10)->status.state = FC_TASK_RUNNING;
     if (!rows[i].running && !rows[i].room_here) {
       /* full with something else instead */
-      fc_placement_remove(cluster, fc_machine_find_placement(machine, job->spec.id, 0, 2));
+      fc_placement_remove(fc_machine_find_placement(machine, job->spec.id, 0, 2));
       fc_cluster_add_placement(cluster, machine, full->spec.id, 9, 3, 10)->status.state = FC_TASK_RUNNING;
       full->spec.gpus = 2;
     }
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -1,5 +1,6 @@
 /* What the table and the list of cancellations know, by tables; no network. */
 #include "bookkeeping/cancellation_log.h"
+#include "bookkeeping/job_records.h"
 #include "bookkeeping/record_writes.h"
 #include "world.h"
 
--- a/tests/test_views.c
+++ b/tests/test_views.c
@@ -1,6 +1,8 @@
 /* Views between controllers: whole, by what changed, in pieces; no network. */
 #include "check.h"
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
 #include "world.h"
 
@@ -28,16 +30,16 @@
   fc_controller *controller = &s->c;
   controller->settings = &s->settings;
   controller->peers[0].settings = &s->settings.peers[0];
-  controller->table = world_table(&s->settings);
+  controller->cluster = world_table(&s->settings);
   controller->cancels = fc_cancellation_log_new();
   controller->commit = fc_group_commit_new(NULL, &k_limits);
-  fc_cluster_apply_term(controller->table, &k_term, 9, false, 0);
+  fc_cluster_apply_term(controller->cluster, &k_term, 9, false, 0);
   controller->incarnation = boot;
   return s;
 }
 
 static void side_free(side *s) {
-  fc_cluster_free(s->c.table);
+  fc_cluster_free(s->c.cluster);
   fc_cancellation_log_free(s->c.cancels);
   g_free(s->c.commit);
   g_free(s);
@@ -49,11 +51,11 @@
     char id[32], job[32];
     g_snprintf(id, sizeof id, "vm-%06u", i);
     g_snprintf(job, sizeof job, "job-%06u", i);
-    fc_machine *machine = world_machine(a->c.table, id, i % 2 ? "a" : "b", false);
-    fc_machine *n = world_machine(b->c.table, id, i % 2 ? "a" : "b", false);
+    fc_machine *machine = world_machine(a->c.cluster, id, i % 2 ? "a" : "b", false);
+    fc_machine *n = world_machine(b->c.cluster, id, i % 2 ? "a" : "b", false);
     n->reconciled_term = 0;
     for (unsigned k = 0; k < tasks; k++)
-      fc_cluster_add_placement(a->c.table, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
+      fc_cluster_add_placement(a->c.cluster, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
           FC_TASK_RUNNING;
   }
 }
@@ -86,7 +88,7 @@
 /* The sender learns that the view was applied, at this state of the other's table. */
 static void acked(side *from, uint64_t seq, uint64_t revision) {
   from->c.peers[0].acked_sequence = seq;
-  from->c.peers[0].acked_view = from->c.table->view_number;
+  from->c.peers[0].acked_view = from->c.cluster->view_number;
   from->c.peers[0].acked_revision = revision;
 }
 
@@ -94,7 +96,7 @@
   unsigned n = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init(&it, s->c.table->machines);
+  g_hash_table_iter_init(&it, s->c.cluster->machines);
   while (g_hash_table_iter_next(&it, NULL, &value)) n += ((fc_machine *)value)->placements->len;
   return n;
 }
@@ -122,14 +124,14 @@
     acked(a, 1, 100);
     uint64_t told = a->c.counts.shown;
     assert_int_equal(told, sizes[i]);
-    fc_machine *machine = fc_cluster_find_machine(a->c.table, "vm-000000");
+    fc_machine *machine = fc_cluster_find_machine(a->c.cluster, "vm-000000");
     if (machine) ((fc_placement *)machine->placements->pdata[0])->status.state = FC_TASK_SAVING;
     GPtrArray *news = frames_of(a, 2);
     assert_int_equal(news->len, 1);
     assert_int_equal(a->c.counts.shown - told, machine ? 1 : 0);
     assert_int_equal(deliver(b, news, 0), FC_VIEW_TAKEN);
     if (machine) {
-      const fc_machine *n = fc_cluster_find_machine(b->c.table, "vm-000000");
+      const fc_machine *n = fc_cluster_find_machine(b->c.cluster, "vm-000000");
       assert_int_equal(((fc_placement *)n->placements->pdata[0])->status.state, FC_TASK_SAVING);
     }
     g_ptr_array_free(news, TRUE);
@@ -195,19 +197,19 @@
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 10, 1);
     GPtrArray *first = frames_of(a, 1);
-    fc_machine *known = fc_cluster_find_machine(b->c.table, "vm-000003");
+    fc_machine *known = fc_cluster_find_machine(b->c.cluster, "vm-000003");
     if (rows[i].knows_late) known->owner = 1;
     if (!rows[i].missed) assert_int_equal(deliver(b, first, 0), FC_VIEW_TAKEN);
-    fc_machine *machine = fc_cluster_find_machine(a->c.table, "vm-000003");
+    fc_machine *machine = fc_cluster_find_machine(a->c.cluster, "vm-000003");
     machine->record_version = 50;
     acked(a, 1, rows[i].knows_late ? 49 : 50);
-    if (!rows[i].knows_late) fc_placement_remove(a->c.table, machine->placements->pdata[0]);
+    if (!rows[i].knows_late) fc_placement_remove(machine->placements->pdata[0]);
     known->owner = 0;
     GPtrArray *second = frames_of(a, 2);
     fc_term next = k_term;
     if (rows[i].other_life) next.members[0].incarnation = 7;
     if (rows[i].other_term) next.number++;
-    if (rows[i].other_life || rows[i].other_term) fc_cluster_apply_term(b->c.table, &next, 10, true, 2);
+    if (rows[i].other_life || rows[i].other_term) fc_cluster_apply_term(b->c.cluster, &next, 10, true, 2);
     check_row(rows[i].name, deliver(b, second, 0) == rows[i].fate);
     if (rows[i].fate == FC_VIEW_TAKEN) {
       check_row(rows[i].name, known->placements->len == (rows[i].knows_late ? 1 : 0));
@@ -236,14 +238,14 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 2, 1);
-    fc_machine *machine = fc_cluster_find_machine(a->c.table, "vm-000000");
+    fc_machine *machine = fc_cluster_find_machine(a->c.cluster, "vm-000000");
     for (unsigned k = 1; k < rows[i].tasks; k++)
-      fc_cluster_add_placement(a->c.table, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
+      fc_cluster_add_placement(a->c.cluster, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
           FC_TASK_RUNNING;
     GPtrArray *frames = frames_of(a, 1);
     for (guint k = 0; k < frames->len; k++) check_row(rows[i].name, deliver(b, frames, k) == FC_VIEW_TAKEN);
     check_row(rows[i].name, held(b) == (rows[i].told ? rows[i].tasks + 1 : 1));
-    check_row(rows[i].name, (fc_cluster_find_machine(b->c.table, "vm-000000")->reconciled_term == 5) == rows[i].told);
+    check_row(rows[i].name, (fc_cluster_find_machine(b->c.cluster, "vm-000000")->reconciled_term == 5) == rows[i].told);
     g_ptr_array_free(frames, TRUE);
     side_free(a);
     side_free(b);
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -1,6 +1,9 @@
 /* Reports, fencing, adoption and what a worker is told; no network. */
 #include "check.h"
 
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/job_records.h"
+#include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
 #include "scheduler/bin_packing.h"
 #include "transport/routine.h"
@@ -21,9 +24,9 @@
   fc_controller *controller = &b->c;
   controller->settings = &b->settings;
   controller->peers[0].settings = &b->settings.peers[0];
-  controller->table = world_table(&b->settings);
+  controller->cluster = world_table(&b->settings);
   fc_term term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
-  fc_cluster_apply_term(controller->table, &term, 9, false, 0);
+  fc_cluster_apply_term(controller->cluster, &term, 9, false, 0);
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   controller->incarnation = 1;
   controller->loaded = true;
@@ -38,7 +41,7 @@
 
 static void bench_free(bench *b) {
   g_hash_table_destroy(b->c.recording);
-  fc_cluster_free(b->c.table);
+  fc_cluster_free(b->c.cluster);
   g_free(b);
 }
 
@@ -80,7 +83,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = false;
     if (!rows[i].lease) fc_leader_lease_lost(&b->c.authority);
@@ -98,7 +101,7 @@
 static void a_worker_that_comes_back_from_its_owner_is_kept(void **state) {
   (void)state;
   bench *b = bench_new();
-  world_machine(b->c.table, "vm-1", "a", false)->owner = 1;
+  world_machine(b->c.cluster, "vm-1", "a", false)->owner = 1;
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 5, "", out), 421);
   assert_int_equal(report(b, 1, 2, 5, "", out), 200);
@@ -110,7 +113,7 @@
 static void fenced_before_commanded(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.table;
+  fc_cluster *cluster = b->c.cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   machine->agent.reported = false;
@@ -147,7 +150,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.table;
+    fc_cluster *cluster = b->c.cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
@@ -165,7 +168,7 @@
 static void starts(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.table;
+  fc_cluster *cluster = b->c.cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
@@ -206,12 +209,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = rows[i].seen_token;
-    world_job(b->c.table, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    world_job(b->c.cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     /* It has been seen and has ended without its work: to be cleared, or not yet. */
-    fc_placement *placement = fc_cluster_add_placement(b->c.table, machine, "job-000001", 0, 1, 0);
+    fc_placement *placement = fc_cluster_add_placement(b->c.cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
     placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
     placement->start.direct_token = rows[i].sent_token;
@@ -245,12 +248,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     machine->agent.epoch = 1;
     machine->agent.sequence = 3;
     machine->agent.fencing_token = 5;
-    world_job(b->c.table, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *placement = fc_cluster_add_placement(b->c.table, machine, "job-000001", 0, 1, 0);
+    world_job(b->c.cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(b->c.cluster, machine, "job-000001", 0, 1, 0);
     double now = fc_now();
     placement->start.sent = true;
     placement->start.heartbeat_sequence = rows[i].sent_seq;
@@ -292,7 +295,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.table;
+    fc_cluster *cluster = b->c.cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     fc_job *job = NULL;
     if (rows[i].cancelled != TOLD_UNKNOWN) job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
@@ -330,7 +333,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.table;
+    fc_cluster *cluster = b->c.cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
@@ -366,7 +369,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.table;
+    fc_cluster *cluster = b->c.cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
@@ -387,7 +390,7 @@
 static void late_copy_after_the_machine_moved(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.table;
+  fc_cluster *cluster = b->c.cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->owner = 1;
   b->c.peers[0].heard_at = -1e9; /* we keep it for its owner */
@@ -400,7 +403,7 @@
   assert_int_equal(machine->owner, 0);
   (void)report(b, 1, 18, 5, RUNNING(0), out);
   assert_int_equal(machine->placements->len, 0);
-  assert_true(machine->reconciled_term != cluster->membership.term.number);
+  assert_true(!fc_machine_reconciled(cluster, machine));
   g_string_free(out, TRUE);
   bench_free(b);
 }
@@ -427,7 +430,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.table;
+    fc_cluster *cluster = b->c.cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     machine->lease.answered_at = fc_now() - rows[i].since_answer;
     machine->lease.connection = rows[i].before;
@@ -451,7 +454,7 @@
 static void machine_started_anew(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.table;
+  fc_cluster *cluster = b->c.cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   machine->agent.restarted = true;
@@ -493,7 +496,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.table;
+    fc_cluster *cluster = b->c.cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0)->start.sent = true;
@@ -538,7 +541,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = true;
     machine->agent.epoch = 2;
@@ -557,7 +560,7 @@
 static void settled_is_news(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.table;
+  fc_cluster *cluster = b->c.cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
@@ -589,7 +592,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     if (!rows[i].settled) machine->reconciled_term = 0;
     machine->probe.wanted = rows[i].probe;
     b->settings.fd_limit = rows[i].limit;
@@ -629,7 +632,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     double now = fc_now();
     b->c.peer_of[0] = -1;
     b->c.peer_of[1] = 0;
@@ -671,7 +674,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.table, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     double now = fc_now();
     b->settings.fd_limit = 800;
     b->c.worker_calls = rows[i].under_way;
@@ -694,7 +697,7 @@
 static void contradicting_report(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_machine *machine = world_machine(b->c.table, "vm-1", "b", false); /* it will say zone a */
+  fc_machine *machine = world_machine(b->c.cluster, "vm-1", "b", false); /* it will say zone a */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 5, "", out), 503);
   assert_int_equal(machine->agent.sequence, 0);
--- a/tests/world.h
+++ b/tests/world.h
@@ -5,6 +5,9 @@
 #include "check.h"
 
 #include "bookkeeping/cluster.h"
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/job_records.h"
+#include "bookkeeping/shard_ownership.h"
 
 static inline fc_settings world_settings(void) {
   fc_settings settings = {.name = "paddock-0", .zone = "a", .zone_count = 2, .team_count = 2};
