--- a/src/bookkeeping/group_commit.c
+++ b/src/bookkeeping/group_commit.c
@@ -54,7 +54,7 @@
   double share;                      /* of even_writes: more where others ask for less */
   double slowdown, slowdown_min;     /* of the write rate: as refusals allow, and at least */
   double slowdown_at;                /* when `slowed` was last adjusted */
-  double answer_s;
+  double response_timeout_s;
   GQueue queue[FC_WRITE_PRIORITIES];
   double gathered;      /* writes of the transaction that waits for the rate */
   fc_cond work;         /* there is something to send, or one is settled */
@@ -108,7 +108,7 @@
   fc_group_commit *commit = g_new0(fc_group_commit, 1);
   commit->state = state;
   /* A transaction larger than a second's worth would never get through. */
-  unsigned burst = limits->lowest_writes_per_s < 1 ? 1 : (unsigned)limits->lowest_writes_per_s;
+  unsigned burst = limits->min_writes_per_s < 1 ? 1 : (unsigned)limits->min_writes_per_s;
   commit->txn_ops = MIN(limits->txn_ops, burst);
   commit->value_bytes = limits->value_bytes;
   double now = fc_now();
@@ -117,9 +117,9 @@
   commit->even_writes = limits->writes_per_s;
   commit->even_requests = limits->requests_per_s;
   commit->share = commit->slowdown = 1;
-  commit->slowdown_min = MIN(1, limits->lowest_writes_per_s / limits->writes_per_s);
+  commit->slowdown_min = MIN(1, limits->min_writes_per_s / limits->writes_per_s);
   commit->slowdown_at = now;
-  commit->answer_s = limits->answer_s;
+  commit->response_timeout_s = limits->response_timeout_s;
   commit->under_way = g_ptr_array_new();
   for (int r = 0; r < FC_WRITE_PRIORITIES; r++) g_queue_init(&commit->queue[r]);
   return commit;
@@ -366,7 +366,7 @@
   fc_group_commit *commit = t->commit;
   GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
   uint64_t revision = 0;
-  fc_kv_result result = fc_kv_commit(commit->state, t->txn, fc_now() + commit->answer_s, &revision, failed);
+  fc_kv_result result = fc_kv_commit(commit->state, t->txn, fc_now() + commit->response_timeout_s, &revision, failed);
   if (result == FC_KV_BUSY) slow_down(commit, fc_now());
   /* Jitter, or all controllers come back at the same moment. */
   if (result == FC_KV_BUSY || result == FC_KV_DOWN) commit->pause_until = fc_now() + g_random_double_range(0.1, 0.4);
@@ -399,7 +399,7 @@
  * everything up before until it was given up: with half of them unanswered half of the
  * submissions were late. */
 static void send_and_wait(fc_group_commit *commit, transaction *t) {
-  double patience = fc_now() + commit->answer_s * 0.15;
+  double patience = fc_now() + commit->response_timeout_s * 0.15;
   if (!fc_routine_spawn(send_main, t)) {
     send_main(t);
     return;
@@ -446,7 +446,7 @@
   fc_cond_broadcast(&commit->work);
   while (!write->decided) {
     /* A write in flight is waited for: its outcome is what the caller needs. */
-    fc_wake wake = fc_routine_park(write->in_flight ? fc_now() + commit->answer_s : deadline);
+    fc_wake wake = fc_routine_park(write->in_flight ? fc_now() + commit->response_timeout_s : deadline);
     if (write->decided || wake == FC_WAKE_OK) continue;
     if (!write->in_flight) {
       for (int r = 0; r < FC_WRITE_PRIORITIES; r++) g_queue_remove(&commit->queue[r], write);
--- a/src/bookkeeping/group_commit.h
+++ b/src/bookkeeping/group_commit.h
@@ -25,11 +25,11 @@
 
 /* This member's even part of the limits. */
 typedef struct fc_group_commit_limits {
-  unsigned txn_ops;                         /* changes of one transaction */
-  size_t value_bytes;                       /* of one value */
-  double writes_per_s, lowest_writes_per_s; /* now, and as far as the service may lower it */
+  unsigned txn_ops;                      /* changes of one transaction */
+  size_t value_bytes;                    /* of one value */
+  double writes_per_s, min_writes_per_s; /* now, and as far as the service may lower it */
   double requests_per_s;
-  double answer_s; /* a transaction is waited for so long */
+  double response_timeout_s; /* a transaction is waited for so long */
 } fc_group_commit_limits;
 
 fc_group_commit *fc_group_commit_new(fc_kv *state, const fc_group_commit_limits *limits);
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -25,9 +25,9 @@
       .txn_ops = settings->state_txn_ops,
       .value_bytes = fc_settings_value_bytes(settings),
       .writes_per_s = settings->state_write_rps / nodes,
-      .lowest_writes_per_s = settings->state_next_write_rps / nodes,
+      .min_writes_per_s = settings->state_next_write_rps / nodes,
       .requests_per_s = settings->state_rps / nodes * 0.35,
-      .answer_s = settings->heartbeat_s * 0.75,
+      .response_timeout_s = settings->heartbeat_s * 0.75,
   };
   controller->commit = fc_group_commit_new(controller->state, &limits);
   fc_token_bucket_init(&controller->cloud_budget, settings->cloud_rps / nodes, MAX(1.0, settings->cloud_rps / nodes),
--- a/tests/test_views.c
+++ b/tests/test_views.c
@@ -15,9 +15,9 @@
 static const fc_group_commit_limits k_limits = {.txn_ops = 8,
                                                 .value_bytes = 8192,
                                                 .writes_per_s = 10,
-                                                .lowest_writes_per_s = 10,
+                                                .min_writes_per_s = 10,
                                                 .requests_per_s = 10,
-                                                .answer_s = 1};
+                                                .response_timeout_s = 1};
 
 static side *side_new(const char *name, const char *other, uint64_t boot) {
   side *s = g_new0(side, 1);
