--- a/src/bookkeeping/arrival_stats.c
+++ b/src/bookkeeping/arrival_stats.c
@@ -2,42 +2,50 @@
 
 #include <math.h>
 
-#define CLASSES_MOST 256u
+/* Users choose the class names, so their number has to be bounded. */
+#define MAX_CLASSES 256u
+#define MAX_HEADROOM_TASKS 10000u
 
-static void class_free(gpointer p) {
-  fc_arrival_class *job_class = p;
+static void class_free(gpointer value) {
+  fc_arrival_class *job_class = value;
   g_ref_string_release(job_class->name);
   g_free(job_class);
 }
 
-void fc_arrival_stats_init(fc_arrival_stats *stats, double memory_s) {
+void fc_arrival_stats_init(fc_arrival_stats *stats, double decay_s) {
   stats->classes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, class_free);
-  stats->memory_s = memory_s;
+  stats->decay_s = decay_s;
 }
 
 void fc_arrival_stats_clear(fc_arrival_stats *stats) {
   g_hash_table_destroy(stats->classes);
 }
 
-static double fading(const fc_arrival_stats *stats, const fc_arrival_class *job_class, double now) {
-  return exp(-(now - job_class->at) / stats->memory_s);
+/* The factor by which the sums of the class have decayed since their last update. */
+static double decay_factor(const fc_arrival_stats *stats, const fc_arrival_class *job_class, double now) {
+  return exp(-(now - job_class->updated_at) / stats->decay_s);
+}
+
+/* The class of that name, created if it is missing. NULL: there are too many. */
+static fc_arrival_class *find_or_create_class(fc_arrival_stats *stats, GRefString *name, double now) {
+  fc_arrival_class *job_class = g_hash_table_lookup(stats->classes, name);
+  if (job_class) return job_class;
+  if (g_hash_table_size(stats->classes) >= MAX_CLASSES) return NULL;
+  job_class = g_new0(fc_arrival_class, 1);
+  job_class->name = g_ref_string_acquire(name);
+  job_class->updated_at = now;
+  g_hash_table_insert(stats->classes, job_class->name, job_class);
+  return job_class;
 }
 
 void fc_arrival_stats_add(fc_arrival_stats *stats, const fc_job_spec *spec, double now) {
-  fc_arrival_class *job_class = g_hash_table_lookup(stats->classes, spec->class_name);
-  if (!job_class) {
-    /* Users choose the names: their number is bounded. */
-    if (g_hash_table_size(stats->classes) >= CLASSES_MOST) return;
-    job_class = g_new0(fc_arrival_class, 1);
-    job_class->name = g_ref_string_acquire(spec->class_name);
-    job_class->at = now;
-    g_hash_table_insert(stats->classes, job_class->name, job_class);
-  }
-  double f = fading(stats, job_class, now);
-  job_class->weight = job_class->weight * f + 1;
-  job_class->tasks = job_class->tasks * f + spec->tasks;
-  job_class->squares = job_class->squares * f + (double)spec->tasks * spec->tasks;
-  job_class->at = now;
+  fc_arrival_class *job_class = find_or_create_class(stats, spec->class_name, now);
+  if (!job_class) return;
+  double decay = decay_factor(stats, job_class, now);
+  job_class->weight = job_class->weight * decay + 1;
+  job_class->tasks = job_class->tasks * decay + spec->tasks;
+  job_class->task_squares = job_class->task_squares * decay + (double)spec->tasks * spec->tasks;
+  job_class->updated_at = now;
   job_class->kind = spec->kind;
   job_class->priority = spec->priority;
   job_class->cpus = spec->cpus;
@@ -48,8 +56,8 @@
 
 unsigned fc_arrival_stats_headroom(const fc_arrival_stats *stats, const fc_arrival_class *job_class, double horizon_s,
                                    double deviations, double now) {
-  /* Arrivals in batches: the variance over the horizon is rate * E[n^2]. */
-  double variance = job_class->squares * fading(stats, job_class, now) / stats->memory_s * horizon_s;
-  double n = deviations * sqrt(variance);
-  return n > 10000 ? 10000 : (unsigned)(n + 0.5);
+  /* Tasks arrive in batches of n: the variance over the horizon is rate * horizon * E[n^2]. */
+  double variance = job_class->task_squares * decay_factor(stats, job_class, now) / stats->decay_s * horizon_s;
+  double headroom = deviations * sqrt(variance);
+  return headroom > MAX_HEADROOM_TASKS ? MAX_HEADROOM_TASKS : (unsigned)(headroom + 0.5);
 }
--- a/src/bookkeeping/arrival_stats.h
+++ b/src/bookkeeping/arrival_stats.h
@@ -1,4 +1,6 @@
-/* What arrives: per class of jobs, how often and how large, as observed. */
+/* Arrival statistics: how often jobs of each class are submitted and how many tasks they have,
+ * as exponentially decaying sums. Capacity planning derives its headroom from them. Times are on
+ * the monotonic clock of fc_now(), in seconds. Nothing here suspends the calling routine. */
 #ifndef FC_BOOKKEEPING_ARRIVAL_STATS_H
 #define FC_BOOKKEEPING_ARRIVAL_STATS_H
 
@@ -6,27 +8,35 @@
 
 #include "protocol/job.h"
 
+/* The jobs of one class. Resources, kind, priority and spot are those of the newest job. */
 typedef struct fc_arrival_class {
   GRefString *name;
   fc_job_kind kind;
   fc_priority priority;
-  double cpus, gpus, memory_gb; /* of a task of the newest job */
+  double cpus, gpus, memory_gb; /* of one task */
   bool spot;
-  double weight;         /* jobs, fading with time */
-  double tasks, squares; /* sums of tasks and of their squares, fading */
-  double at;
+  double weight;       /* decayed number of jobs */
+  double tasks;        /* decayed sum of their task counts */
+  double task_squares; /* decayed sum of the squares of their task counts */
+  double updated_at;   /* time that the decayed sums hold for */
 } fc_arrival_class;
 
 typedef struct fc_arrival_stats {
-  GHashTable *classes; /* name -> fc_arrival_class */
-  double memory_s;     /* how long an arrival is remembered */
+  GHashTable *classes; /* name -> fc_arrival_class, both owned here */
+  double decay_s;      /* time constant: a job's weight falls to 1/e in this time */
 } fc_arrival_stats;
 
-void fc_arrival_stats_init(fc_arrival_stats *stats, double memory_s);
+/* Freed with fc_arrival_stats_clear(). */
+void fc_arrival_stats_init(fc_arrival_stats *stats, double decay_s);
+/* Frees the classes, but not `stats` itself. */
 void fc_arrival_stats_clear(fc_arrival_stats *stats);
+
+/* Records the arrival of a job. `spec` is not retained. A class beyond the bounded number of
+ * classes is not recorded. */
 void fc_arrival_stats_add(fc_arrival_stats *stats, const fc_job_spec *spec, double now);
-/* How many tasks of the class more than the average may arrive within
- * `horizon_s`, at so many standard deviations. */
+
+/* The number of tasks of the class by which arrivals within `horizon_s` may exceed their average,
+ * at `deviations` standard deviations. Bounded; `job_class` is one of `stats`. */
 unsigned fc_arrival_stats_headroom(const fc_arrival_stats *stats, const fc_arrival_class *job_class, double horizon_s,
                                    double deviations, double now);
 
--- a/src/bookkeeping/description_parts.c
+++ b/src/bookkeeping/description_parts.c
@@ -2,152 +2,160 @@
 
 #include <string.h>
 
-typedef struct part {
-  uint64_t version;
-  bool there;
-  char *text; /* NULL: not there, or dropped */
-} part;
+typedef struct description_part {
+  uint64_t version; /* of the last change of its key, also of a deletion; 0: never read */
+  bool exists;
+  char *text; /* NULL: the key does not exist, or the text has been dropped */
+} description_part;
 
-typedef struct part_set {
+typedef struct description {
   char job[32];
   char digest[FC_JOB_DIGEST_SIZE];
   double first_seen;
-  GArray *parts; /* part, by number */
-} part_set;
+  GArray *parts; /* description_part, by number */
+} description;
 
 struct fc_description_parts {
-  GHashTable *sets; /* "job/digest" -> part_set */
+  GHashTable *by_key; /* "job/digest" -> description */
 };
 
-static void part_clear(gpointer p) {
-  part *x = p;
-  g_free(x->text);
+static void part_clear(gpointer element) {
+  description_part *part = element;
+  g_free(part->text);
 }
 
-static void set_free(gpointer p) {
-  part_set *s = p;
-  g_array_free(s->parts, TRUE);
-  g_free(s);
+static void description_free(gpointer value) {
+  description *found = value;
+  g_array_free(found->parts, TRUE);
+  g_free(found);
 }
 
 fc_description_parts *fc_description_parts_new(void) {
   fc_description_parts *descriptions = g_new0(fc_description_parts, 1);
-  descriptions->sets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, set_free);
+  descriptions->by_key = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, description_free);
   return descriptions;
 }
 
 void fc_description_parts_free(fc_description_parts *descriptions) {
   if (!descriptions) return;
-  g_hash_table_destroy(descriptions->sets);
+  g_hash_table_destroy(descriptions->by_key);
   g_free(descriptions);
 }
 
-static char *set_key(const char *job, const char *digest) {
+static char *index_key(const char *job, const char *digest) {
   return g_strconcat(job, "/", digest, NULL);
 }
 
-static part_set *set_of(const fc_description_parts *descriptions, const char *job, const char *digest) {
-  char *key = set_key(job, digest);
-  part_set *s = g_hash_table_lookup(descriptions->sets, key);
+static description *find(const fc_description_parts *descriptions, const char *job, const char *digest) {
+  char *key = index_key(job, digest);
+  description *found = g_hash_table_lookup(descriptions->by_key, key);
   g_free(key);
-  return s;
+  return found;
 }
 
-static part_set *set_get(fc_description_parts *descriptions, const char *job, const char *digest, double now) {
-  part_set *s = set_of(descriptions, job, digest);
-  if (s) return s;
-  s = g_new0(part_set, 1);
-  g_strlcpy(s->job, job, sizeof s->job);
-  g_strlcpy(s->digest, digest, sizeof s->digest);
-  s->first_seen = now;
-  s->parts = g_array_new(FALSE, TRUE, sizeof(part));
-  g_array_set_clear_func(s->parts, part_clear);
-  g_hash_table_insert(descriptions->sets, set_key(job, digest), s);
-  return s;
+static description *find_or_create(fc_description_parts *descriptions, const char *job, const char *digest,
+                                   double now) {
+  description *found = find(descriptions, job, digest);
+  if (found) return found;
+  description *created = g_new0(description, 1);
+  g_strlcpy(created->job, job, sizeof created->job);
+  g_strlcpy(created->digest, digest, sizeof created->digest);
+  created->first_seen = now;
+  created->parts = g_array_new(FALSE, TRUE, sizeof(description_part));
+  g_array_set_clear_func(created->parts, part_clear);
+  g_hash_table_insert(descriptions->by_key, index_key(job, digest), created);
+  return created;
 }
 
-static part *part_at(const part_set *s, unsigned number) {
-  return s && number < s->parts->len ? &g_array_index(s->parts, part, number) : NULL;
+/* NULL: the description is NULL, or no part of this number has been read. */
+static description_part *part_at(const description *of, unsigned number) {
+  return of && number < of->parts->len ? &g_array_index(of->parts, description_part, number) : NULL;
 }
 
-static unsigned count_there(const part_set *s) {
-  unsigned n = 0;
-  for (guint i = 0; i < s->parts->len; i++) n += g_array_index(s->parts, part, i).there;
-  return n;
+static bool any_part_exists(const description *of) {
+  for (guint i = 0; i < of->parts->len; i++)
+    if (part_at(of, i)->exists) return true;
+  return false;
 }
 
-static void forget_empty(fc_description_parts *descriptions, const part_set *s) {
-  if (count_there(s) > 0) return;
-  char *key = set_key(s->job, s->digest);
-  g_hash_table_remove(descriptions->sets, key);
+static void remove_if_empty(fc_description_parts *descriptions, const description *of) {
+  if (any_part_exists(of)) return;
+  char *key = index_key(of->job, of->digest);
+  g_hash_table_remove(descriptions->by_key, key);
   g_free(key);
 }
 
 void fc_description_parts_put(fc_description_parts *descriptions, const char *job, const char *digest, unsigned number,
                               const char *text, uint64_t version, double now) {
-  part_set *s = text ? set_get(descriptions, job, digest, now) : set_of(descriptions, job, digest);
-  if (!s) return;
-  if (text && number >= s->parts->len) g_array_set_size(s->parts, number + 1);
-  part *x = part_at(s, number);
-  if (!x || x->version >= version) return;
-  g_free(x->text);
-  *x = (part){version, text != NULL, g_strdup(text)};
-  if (!text) forget_empty(descriptions, s);
+  description *of = text ? find_or_create(descriptions, job, digest, now) : find(descriptions, job, digest);
+  if (!of) return;
+  if (text && number >= of->parts->len) g_array_set_size(of->parts, number + 1);
+  description_part *part = part_at(of, number);
+  if (!part || part->version >= version) return;
+  g_free(part->text);
+  *part = (description_part){.version = version, .exists = text != NULL, .text = g_strdup(text)};
+  if (!text) remove_if_empty(descriptions, of);
 }
 
 char *fc_description_parts_join(const fc_description_parts *descriptions, const char *job,
-                                const fc_description_ref *of) {
-  const part_set *s = set_of(descriptions, job, of->digest);
-  GString *whole = g_string_new(NULL);
-  for (unsigned i = 0; i < of->count; i++) {
-    const part *x = part_at(s, i);
-    if (!x || !x->text) {
-      g_string_free(whole, TRUE);
+                                const fc_description_ref *ref) {
+  const description *of = find(descriptions, job, ref->digest);
+  GString *joined = g_string_new(NULL);
+  for (unsigned i = 0; i < ref->count; i++) {
+    const description_part *part = part_at(of, i);
+    if (!part || !part->text) {
+      g_string_free(joined, TRUE);
       return NULL;
     }
-    g_string_append(whole, x->text);
+    g_string_append(joined, part->text);
   }
-  return g_string_free(whole, FALSE);
+  return g_string_free(joined, FALSE);
 }
 
 void fc_description_parts_drop_texts(fc_description_parts *descriptions, const char *job, const char *digest) {
-  const part_set *s = set_of(descriptions, job, digest);
-  for (guint i = 0; s && i < s->parts->len; i++) {
-    part *x = &g_array_index(s->parts, part, i);
-    g_free(x->text);
-    x->text = NULL;
+  const description *of = find(descriptions, job, digest);
+  if (!of) return;
+  for (guint i = 0; i < of->parts->len; i++) {
+    description_part *part = part_at(of, i);
+    g_free(part->text);
+    part->text = NULL;
   }
 }
 
 uint64_t fc_description_parts_version(const fc_description_parts *descriptions, const char *job, const char *digest,
                                       unsigned number) {
-  const part *x = part_at(set_of(descriptions, job, digest), number);
-  return x && x->there ? x->version : 0;
+  const description_part *part = part_at(find(descriptions, job, digest), number);
+  return part && part->exists ? part->version : 0;
 }
 
 void fc_description_parts_foreach(const fc_description_parts *descriptions, fc_description_fn fn, void *arg) {
-  GHashTableIter it;
+  GHashTableIter iterator;
   gpointer value;
-  g_hash_table_iter_init(&it, descriptions->sets);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const part_set *s = value;
-    const fc_description_entry e = {s->job, s->digest, s->parts->len, s->first_seen};
-    fn(&e, arg);
+  g_hash_table_iter_init(&iterator, descriptions->by_key);
+  while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+    const description *of = value;
+    const fc_description_entry entry = {
+        .job = of->job, .digest = of->digest, .count = of->parts->len, .first_seen = of->first_seen};
+    fn(&entry, arg);
+  }
+}
+
+static void retain_parts(description *of, GHashTable *present, uint64_t revision) {
+  for (guint i = 0; i < of->parts->len; i++) {
+    description_part *part = part_at(of, i);
+    char *key = fc_job_part_key(of->job, of->digest, i);
+    if (part->exists && part->version <= revision && !g_hash_table_contains(present, key)) part->exists = false;
+    g_free(key);
   }
 }
 
 void fc_description_parts_retain(fc_description_parts *descriptions, GHashTable *present, uint64_t revision) {
-  GHashTableIter it;
+  GHashTableIter iterator;
   gpointer value;
-  g_hash_table_iter_init(&it, descriptions->sets);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    part_set *s = value;
-    for (guint i = 0; i < s->parts->len; i++) {
-      part *x = &g_array_index(s->parts, part, i);
-      char *key = fc_job_part_key(s->job, s->digest, i);
-      if (x->there && x->version <= revision && !g_hash_table_contains(present, key)) x->there = false;
-      g_free(key);
-    }
-    if (count_there(s) == 0) g_hash_table_iter_remove(&it);
+  g_hash_table_iter_init(&iterator, descriptions->by_key);
+  while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+    description *of = value;
+    retain_parts(of, present, revision);
+    if (!any_part_exists(of)) g_hash_table_iter_remove(&iterator);
   }
 }
--- a/src/bookkeeping/description_parts.h
+++ b/src/bookkeeping/description_parts.h
@@ -1,5 +1,6 @@
-/* The parts of job descriptions that are in the state service (protocol/job_description.h). Their
- * texts are kept until the job has been read, their versions as long as they are there. */
+/* Index of the description parts that the key-value store holds (protocol/job_description.h): the
+ * text of each part until its job has been read, its version as long as its key exists. Texts and
+ * ids passed in are copied. Nothing here suspends the calling routine. */
 #ifndef FC_BOOKKEEPING_DESCRIPTION_PARTS_H
 #define FC_BOOKKEEPING_DESCRIPTION_PARTS_H
 
@@ -11,32 +12,42 @@
 
 typedef struct fc_description_parts fc_description_parts;
 
+/* The caller frees the index with fc_description_parts_free(). */
 fc_description_parts *fc_description_parts_new(void);
+/* NULL is allowed. */
 void fc_description_parts_free(fc_description_parts *descriptions);
 
-/* A part was read; text NULL: it has been removed. Older news than is known is passed over. */
+/* Records that a part's key has `text` at `version`, or with text NULL that it was deleted at that
+ * version. A version no newer than the recorded one is ignored. */
 void fc_description_parts_put(fc_description_parts *descriptions, const char *job, const char *digest, unsigned number,
                               const char *text, uint64_t version, double now);
-/* The whole text, which the caller frees; NULL: some of it is not there. */
+
+/* The whole text, which the caller frees with g_free(). NULL: the text of a part is missing. */
 char *fc_description_parts_join(const fc_description_parts *descriptions, const char *job,
-                                const fc_description_ref *of);
-/* The job has been read: its texts are needed no more. */
+                                const fc_description_ref *ref);
+
+/* Frees the texts of a description whose job has been read; the versions stay. */
 void fc_description_parts_drop_texts(fc_description_parts *descriptions, const char *job, const char *digest);
-/* The version of a part; 0: it is not there. */
+
+/* The version of a part's key; 0: the key does not exist. */
 uint64_t fc_description_parts_version(const fc_description_parts *descriptions, const char *job, const char *digest,
                                       unsigned number);
 
-/* One description of which parts are there. */
+/* A description of which at least one part is stored. The strings are owned by the index. */
 typedef struct fc_description_entry {
   const char *job, *digest;
-  unsigned count;    /* one more than the highest number that is there */
-  double first_seen; /* steady time */
+  unsigned count;    /* one more than the highest part number seen */
+  double first_seen; /* fc_now() when its first part was read */
 } fc_description_entry;
-/* Calls fn for each; nothing may be put meanwhile. */
-typedef void (*fc_description_fn)(const fc_description_entry *e, void *arg);
+
+/* `entry` is valid during the call only. */
+typedef void (*fc_description_fn)(const fc_description_entry *entry, void *arg);
+
+/* Calls `fn` for each description; `fn` may not change the index. */
 void fc_description_parts_foreach(const fc_description_parts *descriptions, fc_description_fn fn, void *arg);
-/* Everything was read anew, at the revision: what is older and not in `present`, a set of
- * keys, is gone. */
+
+/* Reconciles the index with a full listing as of `revision`: parts no newer than it whose keys are
+ * missing from `present`, a set of keys, were deleted. */
 void fc_description_parts_retain(fc_description_parts *descriptions, GHashTable *present, uint64_t revision);
 
 #endif
--- a/src/bookkeeping/record_writes.h
+++ b/src/bookkeeping/record_writes.h
@@ -1,21 +1,27 @@
-/* The conditional writes of records that several duties make. */
+/* Conditional writes of job and machine records, for all the routines that store them. The caller
+ * owns each write that is returned: fc_group_commit_write() consumes it, else fc_write_free().
+ * Nothing here suspends the calling routine. */
 #ifndef FC_BOOKKEEPING_RECORD_WRITES_H
 #define FC_BOOKKEEPING_RECORD_WRITES_H
 
 #include "bookkeeping/cluster.h"
 #include "bookkeeping/group_commit.h"
 
-/* The job's record anew, if it is still at the version. NULL: it does not fit into a value of
- * the state service, as the limits are now or will be. That of a job that is over always does:
- * what only matters for placing tasks is left out if need be. */
+/* Replaces the job's record, on condition that its key is at `version` (0: does not exist).
+ * `completed` is a bitmap of its tasks, `handed_to` as in fc_job_record. NULL: the record exceeds
+ * the value size of the key-value store, present or announced. The record of a finished job always
+ * fits: fields that only matter for placing tasks are left out if need be. */
 fc_write *fc_job_record_write(const fc_cluster *cluster, const fc_job *job, uint64_t version, fc_job_phase phase,
-                              const uint8_t *done, char *const *handed, const fc_job_origin *origin);
-/* As many of the tasks that have just ended, `ended`, as its record has room for: adds them to
- * `done`, a copy of the record's own. True: any. */
-bool fc_job_record_fit_completions(const fc_cluster *cluster, const fc_job *job, const uint8_t *ended, uint8_t *done);
-/* The machine's record, if it is still at the version (0: there is none), and
- * the term's is at `term_version`. */
-fc_write *fc_machine_record_write(const char *id, uint64_t version, uint64_t term_version,
-                                  const fc_machine_record *rec);
+                              const uint8_t *completed, char *const *handed_to, const fc_job_origin *origin);
+
+/* Fills `completed`, a bitmap of the job's size, with the recorded completions and as many of the
+ * newly `ended` tasks as the job's record has room for. True: it holds at least one new one. */
+bool fc_job_record_fit_completions(const fc_cluster *cluster, const fc_job *job, const uint8_t *ended,
+                                   uint8_t *completed);
+
+/* Stores the machine's record, on condition that its key is at `version` (0: does not exist) and
+ * the key of the term at `term_version`. */
+fc_write *fc_machine_record_write(const char *machine, uint64_t version, uint64_t term_version,
+                                  const fc_machine_record *record);
 
 #endif
--- a/src/bookkeeping/token_bucket.c
+++ b/src/bookkeeping/token_bucket.c
@@ -1,17 +1,17 @@
 #include "bookkeeping/token_bucket.h"
 
-/* Less than this is rounding: waiting for it would be no wait at all, and a
- * loop around it would spin. */
-#define ROUNDING 1e-6
+/* A smaller deficit is rounding error: the wait for it would be shorter than a timer's
+ * resolution, and a loop around that wait would spin. */
+#define TOKEN_EPSILON 1e-6
 
 void fc_token_bucket_init(fc_token_bucket *bucket, double per_s, double burst, double now) {
-  *bucket = (fc_token_bucket){.per_s = per_s, .burst = burst, .level = burst, .at = now};
+  *bucket = (fc_token_bucket){.per_s = per_s, .burst = burst, .tokens = burst, .refilled_at = now};
 }
 
 static void refill(fc_token_bucket *bucket, double now) {
-  if (now > bucket->at) bucket->level += (now - bucket->at) * bucket->per_s;
-  if (bucket->level > bucket->burst) bucket->level = bucket->burst;
-  bucket->at = now;
+  if (now > bucket->refilled_at) bucket->tokens += (now - bucket->refilled_at) * bucket->per_s;
+  if (bucket->tokens > bucket->burst) bucket->tokens = bucket->burst;
+  bucket->refilled_at = now;
 }
 
 void fc_token_bucket_set_rate(fc_token_bucket *bucket, double per_s, double now) {
@@ -19,15 +19,15 @@
   bucket->per_s = per_s;
 }
 
-bool fc_token_bucket_take(fc_token_bucket *bucket, double n, double reserve, double now) {
+bool fc_token_bucket_take(fc_token_bucket *bucket, double count, double reserve, double now) {
   refill(bucket, now);
-  if (bucket->level < n + reserve - ROUNDING) return false;
-  bucket->level -= n;
+  if (bucket->tokens < count + reserve - TOKEN_EPSILON) return false;
+  bucket->tokens -= count;
   return true;
 }
 
-double fc_token_bucket_wait(fc_token_bucket *bucket, double n, double reserve, double now) {
+double fc_token_bucket_wait(fc_token_bucket *bucket, double count, double reserve, double now) {
   refill(bucket, now);
-  double missing = n + reserve - bucket->level;
-  return missing <= ROUNDING ? 0 : missing / bucket->per_s;
+  double deficit = count + reserve - bucket->tokens;
+  return deficit <= TOKEN_EPSILON ? 0 : deficit / bucket->per_s;
 }
