--- a/src/bookkeeping/group_commit.h
+++ b/src/bookkeeping/group_commit.h
@@ -1,17 +1,17 @@
-/* Group commit: writes of many routines go out together, within the limits of
- * a transaction and of this member's share of the write rate, in ranks. The state
- * service may lower its write rate without notice: while it refuses, this one goes
- * down to the rate that was announced, and rises again when it no longer does. */
+/* Group commit: sends the write requests of many routines together in transactions, by priority,
+ * within the size limits of a transaction and this member's write rate (write_rate.h). */
 #ifndef FC_BOOKKEEPING_GROUP_COMMIT_H
 #define FC_BOOKKEEPING_GROUP_COMMIT_H
 
 #include <stdbool.h>
+#include <stddef.h>
 #include <stdint.h>
 
+#include "bookkeeping/write_request.h"
 #include "protocol/kv_store.h"
 
-/* Overload: reports of workers first, then decisions, then submissions; upkeep is
- * what nobody waits for. */
+/* The order in which requests are sent under overload: heartbeats of workers first, then
+ * scheduling decisions, then submissions, then maintenance, which nobody waits for. */
 typedef enum {
   FC_WRITE_PRIORITY_HEARTBEAT,
   FC_WRITE_PRIORITY_DECISION,
@@ -21,47 +21,53 @@
 } fc_write_priority;
 
 typedef struct fc_group_commit fc_group_commit;
-typedef struct fc_write fc_write;
 
-/* This member's even part of the limits. */
+/* The limits of the key-value store; the rates are this member's even share of them. */
 typedef struct fc_group_commit_limits {
-  unsigned txn_ops;                      /* changes of one transaction */
-  size_t value_bytes;                    /* of one value */
-  double writes_per_s, min_writes_per_s; /* now, and as far as the service may lower it */
-  double requests_per_s;
-  double response_timeout_s; /* a transaction is waited for so long */
+  unsigned txn_ops;          /* changes of one transaction */
+  size_t value_bytes;        /* size of one encoded value */
+  double writes_per_s;       /* changes per second, at present */
+  double min_writes_per_s;   /* what the store may lower that rate to without notice */
+  double requests_per_s;     /* transactions per second */
+  double response_timeout_s; /* after this a transaction's outcome is unknown */
 } fc_group_commit_limits;
 
-fc_group_commit *fc_group_commit_new(fc_kv *state, const fc_group_commit_limits *limits);
-/* This member's share of both rates: `share` of all, `even` of all at the start.
- * What may be saved up for a burst stays as it was. */
+/* `kv` has to outlive the result, which lives as long as the process. `limits` is copied. */
+fc_group_commit *fc_group_commit_new(fc_kv *kv, const fc_group_commit_limits *limits);
+
+/* This member's share of both rates: the fraction `share` of the total, `even` if all were equal.
+ * The burst sizes stay. */
 void fc_group_commit_set_share(fc_group_commit *commit, double share, double even);
-/* The writes a second that it sends at most now. */
+
+/* The greatest number of changes sent per second at present. */
 double fc_group_commit_rate(const fc_group_commit *commit);
-/* Takes one request out of what transactions leave of this member's share of the request rate,
- * for another purpose. False: there is none to spare. */
+
+/* Takes one request from this member's share of the request rate, for another purpose. False:
+ * transactions may need all that is left. */
 bool fc_group_commit_take_spare_request(fc_group_commit *commit);
-/* Writes that wait to be sent. */
+
+/* The number of changes that have no outcome yet, queued or sent. */
 unsigned fc_group_commit_backlog(const fc_group_commit *commit);
-/* The routine that sends; runs until cancelled. */
+
+/* The routine that sends transactions; `commit` is an fc_group_commit. Runs until cancelled. */
 void fc_group_commit_run(void *commit);
 
-fc_write *fc_write_new(void);
-void fc_write_free(fc_write *write); /* one that is not to be written after all */
-void fc_write_compare(fc_write *write, const char *key, uint64_t version);
-void fc_write_put(fc_write *write, const char *key, json_t *value); /* takes the reference */
-void fc_write_delete(fc_write *write, const char *key);
-
-/* Waits until the write is decided. Consumes `w`. CONFLICT: a condition of this
- * write failed. DOWN: certainly not executed (also: not before the deadline).
- * UNKNOWN: read before deciding. REFUSED: never executed, nor would it be if it were
- * sent again as it is; a value larger than the service stores is not sent at all. */
-fc_kv_result fc_group_commit_write(fc_group_commit *commit, fc_write *write, fc_write_priority rank, double deadline,
-                                   uint64_t *revision);
-/* Writes that one transaction holds at most. */
+/* Queues the request and waits until its outcome is known. Consumes `write`. May suspend the
+ * calling routine. `deadline` (fc_now()) bounds the time in the queue. OK: executed, at *revision
+ * (which may be NULL). CONFLICT: a condition of this request failed. DOWN: not executed, and not
+ * sent before the deadline. UNKNOWN: may have been executed; read before deciding. REFUSED: not
+ * executed, nor would it be if it were repeated; a value above the size limit is not sent at
+ * all. */
+fc_kv_result fc_group_commit_write(fc_group_commit *commit, fc_write *write, fc_write_priority priority,
+                                   double deadline, uint64_t *revision);
+
+/* The greatest number of changes in one transaction, and so in one request. */
 unsigned fc_group_commit_max_writes(const fc_group_commit *commit);
-/* Does the queue of this rank have room for another write within wait_s? */
-bool fc_group_commit_accepts(fc_group_commit *commit, fc_write_priority rank, double wait_s);
+
+/* Would another request of this priority be sent within `wait_s` seconds, at the present rate? */
+bool fc_group_commit_accepts(fc_group_commit *commit, fc_write_priority priority, double wait_s);
+
+/* What kind of record a change is for, by its key. */
 typedef enum {
   FC_WRITE_KIND_JOB,
   FC_WRITE_KIND_MACHINE,
@@ -71,14 +77,16 @@
   FC_WRITE_KINDS
 } fc_write_kind;
 
-/* What was sent so far, for the metrics; repeats count. */
+/* The label of each kind in metrics. */
+extern const char *const fc_write_kind_names[FC_WRITE_KINDS];
+
+/* Counters since the start, for metrics. */
 typedef struct fc_group_commit_counts {
-  uint64_t transactions;
-  uint64_t writes[FC_WRITE_KINDS];
-  double waited_s; /* for the rates, all transactions together */
+  uint64_t transactions;           /* sent */
+  uint64_t writes[FC_WRITE_KINDS]; /* changes sent, repetitions included */
+  double waited_s;                 /* total time that transactions waited for the rates */
 } fc_group_commit_counts;
 
 fc_group_commit_counts fc_group_commit_stats(const fc_group_commit *commit);
-extern const char *const fc_write_kind_names[FC_WRITE_KINDS];
 
 #endif
