--- a/src/bookkeeping/cluster.c
+++ b/src/bookkeeping/cluster.c
@@ -7,6 +7,15 @@
  * for a burst that is long over. */
 #define ARRIVAL_MEMORY_LEASES 8
 
+/* Before any time that the steady clock shows: nothing has been read yet. */
+#define NEVER (-1e9)
+
+/* Where nothing changes, a read takes half a heartbeat interval and counts from when it was sent:
+ * just before the next one ends, the last is a whole interval old. With that as the bound a quiet
+ * store counted as out of reach for a moment each second, and submissions were refused (scene
+ * users_get_of_jobs_put_away). */
+#define REACHABLE_HEARTBEATS 1.5
+
 static void incomplete_job_free(gpointer freed) {
   fc_incomplete_job *incomplete = freed;
   json_decref(incomplete->value);
@@ -20,6 +29,7 @@
 fc_cluster *fc_cluster_new(const fc_settings *settings) {
   fc_cluster *cluster = g_new0(fc_cluster, 1);
   cluster->settings = settings;
+  cluster->sync.read_at = NEVER;
   cluster->jobs = table_by_id(NULL, fc_job_free);
   cluster->machines = table_by_id(NULL, fc_machine_free);
   cluster->machine_types = g_ptr_array_new_with_free_func(fc_machine_type_free);
@@ -71,6 +81,20 @@
   return -1;
 }
 
+bool fc_cluster_store_reachable(const fc_cluster *cluster, double now) {
+  double max_age_s = cluster->settings->heartbeat_s * REACHABLE_HEARTBEATS;
+  return cluster->sync.loaded && now - cluster->sync.read_at < max_age_s;
+}
+
+bool fc_cluster_members_read_format(const fc_cluster *cluster, unsigned format) {
+  const fc_membership *membership = &cluster->membership;
+  for (size_t i = 0; i < membership->term.count; i++) {
+    const fc_member_key *key = g_hash_table_lookup(membership->keys, membership->term.members[i].name);
+    if (key && key->job_format < format) return false;
+  }
+  return true;
+}
+
 bool fc_cluster_is_cancelled(const fc_cluster *cluster, const char *id) {
   const fc_job *job = fc_cluster_find_job(cluster, id);
   return job ? job->phase == FC_PHASE_CANCELLED : g_hash_table_contains(cluster->unread_cancellations, id);
--- a/src/bookkeeping/cluster.h
+++ b/src/bookkeeping/cluster.h
@@ -37,6 +37,13 @@
   bool ordered; /* it was read as a change, not when everything was read anew */
 } fc_incomplete_job;
 
+/* How far the cluster state follows the key-value store. Written by the watch alone. */
+typedef struct fc_store_sync {
+  bool loaded;       /* everything was read, and no change has been missed since */
+  uint64_t revision; /* every change up to here has been applied */
+  double read_at;    /* when the last successful read of changes was sent, steady time */
+} fc_store_sync;
+
 /* The present term and the members' own keys. */
 typedef struct fc_membership {
   fc_term term;
@@ -71,6 +78,7 @@
  * records, and what workers and peers have reported. */
 typedef struct fc_cluster {
   const fc_settings *settings;
+  fc_store_sync sync;
   double clock_offset_s;              /* time of day less steady time */
   GHashTable *jobs;                   /* id -> fc_job */
   GHashTable *machines;               /* id -> fc_machine */
@@ -86,6 +94,7 @@
   fc_arrival_stats arrivals;
   bool archive_in_use;      /* jobs that have ended may have been archived */
   uint64_t returns_version; /* of the mark that every removal of machines' records writes; 0: none yet */
+  bool tasks_pending;       /* some task of ours had no place when that was last looked for */
   uint64_t next_queue_sequence;
   uint64_t view_number; /* of the newest view of our machines */
 } fc_cluster;
@@ -101,6 +110,13 @@
 /* Index of a machine type; -1: not known. */
 int fc_cluster_find_machine_type(const fc_cluster *cluster, const char *name);
 
+/* Has the key-value store been read lately, so that a write or a fresh read is worth trying? */
+bool fc_cluster_store_reachable(const fc_cluster *cluster, double now);
+
+/* Do all members that are there read job records of the format? The others would not know such
+ * jobs. */
+bool fc_cluster_members_read_format(const fc_cluster *cluster, unsigned format);
+
 /* Is the job cancelled, by what has been read or learned from peers? */
 bool fc_cluster_is_cancelled(const fc_cluster *cluster, const char *id);
 /* No user was told that the job is cancelled before this steady time; INFINITY: it is not, as
--- a/src/controller/archive.c
+++ b/src/controller/archive.c
@@ -33,15 +33,16 @@
   uint64_t revision = 0;
   fc_kv_result result = fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_MAINTENANCE,
                                               fc_now() + controller->settings->lease_s, &revision);
-  if (result == FC_KV_OK) return fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s);
-  (void)fc_wait_fresh(controller, fc_now() + controller->settings->heartbeat_s);
+  if (result == FC_KV_OK)
+    return fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + controller->settings->heartbeat_s);
+  (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + controller->settings->heartbeat_s);
   return controller->cluster->archive_in_use;
 }
 
 /* In one transaction the job leaves the one place and is in the other. */
 static void archive_job(fc_controller *controller, const char *id) {
   const fc_job *job = fc_cluster_find_job(controller->cluster, id);
-  if (!job || job->phase == FC_PHASE_ACCEPTED || !fc_may_act(controller)) return;
+  if (!job || job->phase == FC_PHASE_ACCEPTED || !fc_leadership_held(controller->leadership)) return;
   char *from = g_strconcat(FC_PREFIX_JOB, id, NULL), *to = g_strconcat(FC_PREFIX_ARCHIVED, id, NULL);
   fc_archived_job archived = {.done = job->phase == FC_PHASE_DONE, .tasks_done = job->completion.count};
   fc_write *write = fc_write_new();
@@ -72,11 +73,12 @@
 
 void fc_archive_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_COMMITS);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
   double pause = controller->settings->op.round_s * 2.5;
   while (!fc_routine_cancelled()) {
     if (fc_routine_sleep(pause) == FC_WAKE_CANCELLED) break;
-    if (!fc_may_act(controller) || !fc_state_reachable(controller)) continue;
+    if (!fc_leadership_held(controller->leadership) || !fc_cluster_store_reachable(controller->cluster, fc_now()))
+      continue;
     /* By the rate and not by what a transaction holds: with few changes in each, jobs came
      * faster than they were archived. */
     GPtrArray *ids = long_over(
--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -41,7 +41,7 @@
       continue;
     fc_machine_begin_return(machine, "overdue", ids);
   }
-  if (ids->len > 0 && fc_cloud_turn(controller) && fc_may_act(controller) &&
+  if (ids->len > 0 && fc_cloud_turn(controller) && fc_leadership_held(controller->leadership) &&
       fc_cloud_release(controller->cloud, (const char *const *)ids->pdata, ids->len,
                        fc_now() + controller->settings->heartbeat_s) == FC_CLOUD_OK)
     fc_machines_gone(controller, ids);
@@ -50,7 +50,7 @@
 
 void fc_overdue_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_RENTAL);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_RENTAL);
   while (fc_routine_sleep(controller->settings->heartbeat_s * 0.5) != FC_WAKE_CANCELLED)
-    if (fc_may_act(controller)) give_back_overdue(controller);
+    if (fc_leadership_held(controller->leadership)) give_back_overdue(controller);
 }
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -51,9 +51,9 @@
 
 /* `fresh`: the table was proved current since the submission came. */
 static awaited_verdict look_at(fc_controller *controller, const char *id, double deadline, bool *fresh) {
-  awaited_verdict verdict = controller->loaded ? in_table(controller, id) : ABSENT;
+  awaited_verdict verdict = controller->cluster->sync.loaded ? in_table(controller, id) : ABSENT;
   if (verdict == ABSENT && !*fresh) {
-    if (!fc_wait_fresh(controller, deadline)) return NOT_SURE;
+    if (!fc_kv_watch_wait_fresh(controller->watch, deadline)) return NOT_SURE;
     *fresh = true;
     verdict = in_table(controller, id);
   }
@@ -96,22 +96,13 @@
   return verdict;
 }
 
-bool fc_pipelines_supported(const fc_controller *controller) {
-  const fc_term *term = &controller->cluster->membership.term;
-  for (size_t i = 0; i < term->count; i++) {
-    const fc_member_key *key = g_hash_table_lookup(controller->cluster->membership.keys, term->members[i].name);
-    if (key && key->job_format < FC_JOB_FORMAT_AWAITING) return false;
-  }
-  return true;
-}
-
 /* False: the state service can't say now. */
 static bool look_up(fc_controller *controller, const char *id, double deadline) {
   fc_archived_job archived;
   if (find_archived(controller, id, deadline, &archived) != FC_FOUND) return false;
   fc_dependencies_learn(controller->cluster, id, archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED,
                         fc_now());
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
   return true;
 }
 
@@ -130,7 +121,8 @@
 /* The job's own record comes to say what follows from another's. */
 static void record_cancel(fc_controller *controller, const char *id) {
   const fc_job *job = fc_cluster_find_job(controller->cluster, id);
-  if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED || !fc_may_act(controller))
+  if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED ||
+      !fc_leadership_held(controller->leadership))
     return;
   fc_write *write = fc_job_record_write(controller->cluster, job, job->record.version, FC_PHASE_CANCELLED,
                                         job->completion.bitmap, job->record.handed_to, &job->record.origin);
@@ -139,7 +131,7 @@
   double now = fc_now();
   if (fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_MAINTENANCE,
                             now + controller->settings->lease_s, &revision) == FC_KV_OK)
-    (void)fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s);
+    (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + controller->settings->heartbeat_s);
 }
 
 static void each_id(fc_controller *controller, GPtrArray *ids, void (*fn)(fc_controller *controller, const char *id)) {
@@ -155,9 +147,9 @@
 
 void fc_pipelines_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_COMMITS);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
   while (fc_routine_sleep(controller->settings->heartbeat_s * 0.25) != FC_WAKE_CANCELLED) {
-    if (!controller->loaded || !fc_state_reachable(controller)) continue;
+    if (!controller->cluster->sync.loaded || !fc_cluster_store_reachable(controller->cluster, fc_now())) continue;
     each_id(controller, fc_dependencies_unknown(controller->cluster, AT_ONCE_MOST), look_up_soon);
     if (controller->cluster->membership.self >= 0)
       each_id(controller,
--- a/src/controller/dependency_resolver.h
+++ b/src/controller/dependency_resolver.h
@@ -17,10 +17,6 @@
  * is not to wait for them. */
 fc_awaits_verdict fc_pipelines_admit(fc_controller *controller, char *const *awaits, double deadline, char ***open);
 
-/* Do all members that are there read the records of jobs that await others? The others would
- * answer 404 for them. */
-bool fc_pipelines_supported(const fc_controller *controller);
-
 /* Looks up what the job awaits and is not known. False: it is still not known whether the job
  * is cancelled with another. The job may have left the table meanwhile. */
 bool fc_pipelines_resolve(fc_controller *controller, const char *id, double deadline);
--- a/src/controller/description_store.c
+++ b/src/controller/description_store.c
@@ -39,9 +39,9 @@
   while (result == FC_KV_OK && (write = next_parts(controller, spec->id, texts, parts))) {
     uint64_t revision = 0;
     result = fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_SUBMISSION, deadline, &revision);
-    if (result == FC_KV_OK && !fc_wait_revision(controller, revision, deadline)) result = FC_KV_UNKNOWN;
+    if (result == FC_KV_OK && !fc_kv_watch_wait_revision(controller->watch, revision, deadline)) result = FC_KV_UNKNOWN;
     /* Another controller writes the same ones, or one of ours was carried out late. */
-    if (result == FC_KV_CONFLICT && fc_wait_fresh(controller, deadline)) result = FC_KV_OK;
+    if (result == FC_KV_CONFLICT && fc_kv_watch_wait_fresh(controller->watch, deadline)) result = FC_KV_OK;
   }
   *first = fc_description_parts_version(controller->cluster->descriptions, spec->id, parts->digest, 0);
   g_ptr_array_free(texts, TRUE);
@@ -112,21 +112,22 @@
   uint64_t revision = 0;
   return fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_MAINTENANCE,
                                fc_now() + controller->settings->lease_s, &revision) == FC_KV_OK &&
-         fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s);
+         fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + controller->settings->heartbeat_s);
 }
 
 static void remove_all(fc_controller *controller, const leftover *l) {
   bool gone = !fc_description_parts_version(controller->cluster->descriptions, l->job, l->digest, 0) ||
               remove_some(controller, l, 0, 1);
-  while (gone && fc_may_act(controller))
+  while (gone && fc_leadership_held(controller->leadership))
     gone = remove_some(controller, l, 1, fc_group_commit_max_writes(controller->commit));
 }
 
 void fc_descriptions_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_COMMITS);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
   while (fc_routine_sleep(controller->settings->op.round_s * 2.5) != FC_WAKE_CANCELLED) {
-    if (!fc_may_act(controller) || !fc_state_reachable(controller) || fc_group_commit_backlog(controller->commit) > 0)
+    if (!fc_leadership_held(controller->leadership) || !fc_cluster_store_reachable(controller->cluster, fc_now()) ||
+        fc_group_commit_backlog(controller->commit) > 0)
       continue;
     search s = {.c = controller, .found = g_array_new(FALSE, FALSE, sizeof(leftover)), .before = fc_now() - KEEP_S};
     fc_description_parts_foreach(controller->cluster->descriptions, find_leftover, &s);
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -6,7 +6,9 @@
 #include "bookkeeping/dependencies.h"
 #include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
+#include "controller/machine_reachability.h"
 #include "coordination/assignment.h"
+#include "coordination/leader_lease.h"
 #include "scheduler/bin_packing.h"
 
 #define FAILS_BY_JOB 3u     /* machines that one job may fail on before it is to blame */
@@ -46,7 +48,7 @@
   }
   g_debug("exit task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s cause=%d", placement->job_id, placement->index,
           (guint64)placement->attempt, machine->id, placement->status.cause);
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
 /* A finished task's end has to be in the state service before it is cleared. */
@@ -59,7 +61,8 @@
     return;
   }
   /* With no such job any more it was over long ago, if all has been read since. */
-  if (done && !job && placement->created_at + controller->settings->heartbeat_s >= controller->kv_read_at) return;
+  if (done && !job && placement->created_at + controller->settings->heartbeat_s >= controller->cluster->sync.read_at)
+    return;
   placement->end_recorded = true;
 }
 
@@ -69,12 +72,13 @@
   placement->status.reported = placement->start.sent = true;
   if (task->state == FC_TASK_RUNNING && !placement->status.running_since) {
     placement->status.running_since = now;
-    fc_metrics_time(&controller->metrics, FC_TIME_START, now - placement->created_at);
+    fc_metrics_time(controller->metrics, FC_TIME_START, now - placement->created_at);
     g_debug("running task=%s/%u machine=%s", placement->job_id, placement->index, placement->machine->id);
   }
   if (task->state == FC_TASK_RUNNING && placement->job)
     fc_machine_touch_image(placement->machine, placement->job->spec.image);
-  if (placement->status.state != task->state || placement->status.cause != task->cause) fc_views_soon(controller);
+  if (placement->status.state != task->state || placement->status.cause != task->cause)
+    fc_wakeups_raise(controller->wakeups, FC_WAKEUP_REPLICATE);
   placement->status.state = task->state;
   placement->status.cause = task->cause;
   if (exited) note_exit(controller, placement);
@@ -150,8 +154,8 @@
     fc_placement *placement = machine->placements->pdata[i];
     if (placement->status.listed || !is_gone(placement, heartbeat, from)) continue;
     fc_placement_remove(placement);
-    fc_round_soon(controller);
-    fc_views_soon(controller);
+    fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
+    fc_wakeups_raise(controller->wakeups, FC_WAKEUP_REPLICATE);
   }
 }
 
@@ -164,11 +168,11 @@
    * again (fault test, seed 285). */
   for (guint i = 0; i < machine->placements->len; i++)
     ((fc_placement *)machine->placements->pdata[i])->first_view = cluster->view_number + 1;
-  fc_views_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_REPLICATE);
   g_debug("settled machine=%s term=%" G_GUINT64_FORMAT " tasks=%u", machine->id,
           (guint64)cluster->membership.term.number, machine->placements->len);
   (void)fc_cluster_update_reconciled(cluster);
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
 /* Takes the worker's list for what is on the machine. `asked_at`: it answers a direct call
@@ -207,7 +211,7 @@
 bool fc_workers_unwanted(const fc_controller *controller, const fc_placement *placement) {
   const fc_job *job = placement->job;
   if (job) return !fc_job_runnable(job) || fc_job_task_done(job, placement->index);
-  return placement->created_at + controller->settings->heartbeat_s < controller->kv_read_at ||
+  return placement->created_at + controller->settings->heartbeat_s < controller->cluster->sync.read_at ||
          fc_cluster_is_cancelled(controller->cluster, placement->job_id);
 }
 
@@ -309,7 +313,8 @@
       fc_machine_suspect(controller->cluster, machine, now))
     machine->probe.wanted = true;
   /* A member that has ended may have kept it: is it there? */
-  if (fc_workers_may_be_kept(controller, now) && fc_machine_suspect(controller->cluster, machine, now))
+  if (fc_reachability_may_be_renewed(controller->leadership, controller->settings, now) &&
+      fc_machine_suspect(controller->cluster, machine, now))
     machine->probe.wanted = true;
   return machine->probe.wanted;
 }
@@ -350,10 +355,10 @@
   uint64_t revision = 0;
   if (fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_HEARTBEAT,
                             fc_now() + controller->settings->heartbeat_s, &revision) == FC_KV_OK)
-    (void)fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s);
+    (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + controller->settings->heartbeat_s);
   machine = fc_cluster_find_machine(controller->cluster, a.id);
   if (machine) machine->announcing = false;
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
 static void announce(fc_controller *controller, fc_machine *machine) {
@@ -394,7 +399,9 @@
 static bool record_machine(fc_controller *controller, const fc_heartbeat *heartbeat) {
   fc_cluster *cluster = controller->cluster;
   /* Of a type or zone that nobody knows: never used; the sweep returns it. */
-  if (!known_place(controller, heartbeat) || !is_there(controller, heartbeat) || !fc_may_act(controller)) return false;
+  if (!known_place(controller, heartbeat) || !is_there(controller, heartbeat) ||
+      !fc_leadership_held(controller->leadership))
+    return false;
   fc_machine *machine = fc_cluster_ensure_machine(cluster, heartbeat->machine, fc_now());
   if (machine->record_write_pending) return false;
   machine->record_write_pending = true;
@@ -422,8 +429,8 @@
   /* The table may have changed meanwhile: look the machine up again. */
   machine = fc_cluster_find_machine(cluster, heartbeat->machine);
   if (machine) machine->record_write_pending = false;
-  if (res == FC_KV_OK) return fc_wait_revision(controller, revision, fc_now() + 1.5);
-  (void)fc_wait_fresh(controller, fc_now() + 1.0);
+  if (res == FC_KV_OK) return fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 1.5);
+  (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 1.0);
   machine = fc_cluster_find_machine(cluster, heartbeat->machine);
   return machine && machine->record_version;
 }
@@ -438,7 +445,7 @@
  * and not when the worker has just come back from there in vain. */
 static bool owner_reachable(fc_controller *controller, const fc_machine *machine, const fc_heartbeat *heartbeat) {
   double now = fc_now();
-  const fc_peer *owner = fc_peer_of(controller, machine->owner);
+  const fc_peer *owner = fc_peers_of_member(controller->peers, machine->owner);
   if (!owner || now > owner->heard_at + controller->settings->heartbeat_s * 1.5) return false;
   if (heartbeat->task_count > 0) {
     /* An owner that has not settled it yet, or not heard of it lately, asks it directly all
@@ -447,7 +454,8 @@
      * third member gone it took more than there was (scene out_of_reach). Where the owner
      * never gets through though reports do, it is sent there in the end. */
     bool settled = fc_machine_reconciled(controller->cluster, machine);
-    if (!settled && now < controller->term_since + controller->settings->lease_s * 0.6) return false;
+    if (!settled && now < fc_leadership_term_since(controller->leadership) + controller->settings->lease_s * 0.6)
+      return false;
     if (machine->reachability.owner_suspects &&
         now < machine->reachability.owner_suspects_since + controller->settings->lease_s * 3)
       return false;
@@ -496,9 +504,10 @@
  * member may not answer for it now. */
 static fc_machine *machine_of_report(fc_controller *controller, const fc_heartbeat *heartbeat) {
   fc_cluster *cluster = controller->cluster;
-  if (!fc_may_act(controller)) return NULL;
+  if (!fc_leadership_held(controller->leadership)) return NULL;
   fc_machine *machine = fc_cluster_find_machine(cluster, heartbeat->machine);
-  if ((!machine || !machine->record_version) && (!record_machine(controller, heartbeat) || !fc_may_act(controller)))
+  if ((!machine || !machine->record_version) &&
+      (!record_machine(controller, heartbeat) || !fc_leadership_held(controller->leadership)))
     return NULL;
   machine = fc_cluster_find_machine(cluster, heartbeat->machine);
   /* A fencing token above ours: somebody is entitled that we have not heard of. A 200
@@ -601,7 +610,7 @@
     g_info("malformed report: %s", error);
     return;
   }
-  controller->counts.reports++;
+  controller->metrics->counters.heartbeats++;
   if (!answer_report(controller, &heartbeat, req->connection, status, out)) refuse(status, out);
   fc_heartbeat_clear(&heartbeat);
 }
@@ -687,7 +696,7 @@
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
   fc_endpoint at;
   if (!machine || !fc_machine_owned_by_self(cluster, machine) || cluster->membership.term.number != term ||
-      !fc_may_act(controller))
+      !fc_leadership_held(controller->leadership))
     return false;
   if (!fc_endpoint_parse(machine->record.endpoint, &at)) return false;
   const direct_call call = {.term = term,
@@ -703,7 +712,7 @@
     result = fc_worker_call(&at, term, machine->agent.epoch, (const fc_command *)commands->data, commands->len,
                             fc_now() + controller->settings->heartbeat_s * 0.75, &heartbeat);
   g_array_free(commands, TRUE);
-  controller->counts.pushes += result != FC_WORKER_CALL_UNSENT;
+  controller->metrics->counters.worker_calls += result != FC_WORKER_CALL_UNSENT;
   machine = fc_cluster_find_machine(cluster, id); /* it may be gone by now */
   if (machine) note_call_end(machine, &call, result);
   if (!fc_worker_call_answered(result)) return false;
@@ -717,7 +726,7 @@
   push_arg a = *(push_arg *)arg;
   g_free(arg);
   fc_controller *controller = a.c;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_COMMANDS);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMANDS);
   uint64_t term = controller->cluster->membership.term.number;
   for (int calls = 0; calls < 2; calls++)
     if (!call_worker(controller, a.id, term)) break;
--- a/src/controller/job_api.c
+++ b/src/controller/job_api.c
@@ -80,8 +80,8 @@
 /* Waits until what the table says of the job is current, and known in full: whether it is
  * cancelled with another. Where that is hopeless, nobody is kept waiting; false. */
 static bool prove_current(fc_controller *controller, const char *id, double deadline) {
-  return fc_state_reachable(controller) && fc_wait_fresh(controller, deadline) &&
-         fc_pipelines_resolve(controller, id, deadline);
+  return fc_cluster_store_reachable(controller->cluster, fc_now()) &&
+         fc_kv_watch_wait_fresh(controller->watch, deadline) && fc_pipelines_resolve(controller, id, deadline);
 }
 
 /* A repeat of a known job is answered with its state, whatever else its body
@@ -106,7 +106,7 @@
 /* A repeat of a submission that the table knows is answered with the job's present state.
  * False: the job is not known. */
 static bool answered_as_known(fc_controller *controller, fc_http_response *res, const char *id, double deadline) {
-  fc_job *job = controller->loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
+  fc_job *job = controller->cluster->sync.loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
   if (job && !final(job)) {
     /* Where that is hopeless a repeat is not held until its user gives up either. */
     if (!prove_current(controller, id, deadline)) {
@@ -153,7 +153,7 @@
       s->phase = FC_PHASE_CANCELLED;
       return true;
     case FC_AWAITS_RESOLVED:
-      if (!s->open || fc_pipelines_supported(controller)) return true;
+      if (!s->open || fc_cluster_members_read_format(controller->cluster, FC_JOB_FORMAT_AWAITING)) return true;
       later(res, 503, "another controller can't read jobs that await others yet");
       return false;
     case FC_AWAITS_REFUSED:
@@ -168,7 +168,7 @@
 
 /* Can the job be accepted now? False: that has been answered. */
 static bool admitted(fc_controller *controller, fc_http_response *res, const fc_job_spec *spec, double deadline) {
-  if (!fc_state_reachable(controller)) {
+  if (!fc_cluster_store_reachable(controller->cluster, fc_now())) {
     later(res, 503, "the state service can't be reached");
     return false;
   }
@@ -197,7 +197,8 @@
       .awaiting = s->open != NULL,
       .slices = fc_job_slices(s->spec, controller->settings->op.split_limit)};
   bool fit[FC_MEMBERS_MAX];
-  for (size_t i = 0; i < controller->cluster->membership.term.count; i++) fit[i] = fc_member_fit(controller, (int)i);
+  for (size_t i = 0; i < controller->cluster->membership.term.count; i++)
+    fit[i] = fc_peers_member_fit(controller->peers, (int)i);
   fc_place_new_job_slices(controller->cluster, fit, s->spec, record.slices, record.handed);
   return record;
 }
@@ -217,7 +218,7 @@
   if (fits_a_value(controller, s->record)) return true;
   json_decref(s->record);
   s->record = NULL;
-  if (!fc_pipelines_supported(controller)) {
+  if (!fc_cluster_members_read_format(controller->cluster, FC_JOB_FORMAT_AWAITING)) {
     later(res, 503, "another controller can't read so long a description yet");
     return false;
   }
@@ -286,7 +287,7 @@
 }
 
 static void poll(fc_controller *controller, const char *id, fc_http_response *res) {
-  fc_job *job = controller->loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
+  fc_job *job = controller->cluster->sync.loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
   if (job && final(job)) {
     answer_job(res, 200, job, true);
     return;
@@ -316,13 +317,15 @@
   double deadline = fc_now() + controller->settings->heartbeat_s;
   bool fresh = false;
   for (;;) {
-    fc_job *job = controller->loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
+    fc_job *job = controller->cluster->sync.loaded ? fc_cluster_find_job(controller->cluster, id) : NULL;
     if (job && final(job)) {
       answer_job(res, 200, job, false);
       return;
     }
     if (!fresh) {
-      if (!fc_state_reachable(controller) || !fc_wait_fresh(controller, deadline)) break;
+      if (!fc_cluster_store_reachable(controller->cluster, fc_now()) ||
+          !fc_kv_watch_wait_fresh(controller->watch, deadline))
+        break;
       fresh = true;
       continue;
     }
@@ -339,7 +342,7 @@
     if (result == FC_KV_OK) {
       /* Before we read of it: the state service may be out of reach from here on, and
        * we would go on with the job, and start more of it, for as long. */
-      fc_cancel_learned(controller, id, revision, fc_now());
+      fc_cancellations_learned(controller->cancellations, id, revision, fc_now());
       res->status = 200;
       fc_job_answer(res->body, id, FC_STATUS_CANCELLED, 0, 0, false);
       return;
@@ -354,18 +357,20 @@
  * balancer would only add its pauses to the outage: we stay, and refuse at once
  * what we can't do. When a peer still reaches it, users are better off there. */
 static bool is_ready(const fc_controller *controller) {
-  if (fc_state_reachable(controller) && controller->cluster->machine_types->len > 0) return true;
+  if (fc_cluster_store_reachable(controller->cluster, fc_now()) && controller->cluster->machine_types->len > 0)
+    return true;
   double now = fc_now();
-  if (controller->loaded && now - controller->kv_read_at < controller->settings->heartbeat_s * 2)
+  if (controller->cluster->sync.loaded &&
+      now - controller->cluster->sync.read_at < controller->settings->heartbeat_s * 2)
     return controller->cluster->machine_types->len > 0;
   bool alone = controller->settings->peer_count > 0;
   for (size_t k = 0; k < controller->settings->peer_count; k++) {
-    if (now - controller->peers[k].kv_read_at < controller->settings->heartbeat_s * 2) return false;
-    if (now - controller->peers[k].heard_at < controller->settings->heartbeat_s * 2) alone = false;
+    if (now - fc_peers_at(controller->peers, k)->kv_read_at < controller->settings->heartbeat_s * 2) return false;
+    if (now - fc_peers_at(controller->peers, k)->heard_at < controller->settings->heartbeat_s * 2) alone = false;
   }
   /* Without the state service and without any other controller it is more likely
    * us than them. */
-  if (alone && !fc_may_act(controller)) return false;
+  if (alone && !fc_leadership_held(controller->leadership)) return false;
   return now > controller->started_at + controller->settings->heartbeat_s;
 }
 
@@ -374,27 +379,27 @@
   char id[FC_ROUTE_ID_MAX];
   const char *allow;
   double began = fc_now();
-  controller->counts.requests++;
+  controller->metrics->counters.requests++;
   fc_route route = fc_route_of(req->method, req->path, id, &allow);
   /* The last connections are for workers: users can come back for the next. */
   res->close = req->crowded && route != FC_ROUTE_HEARTBEAT;
   switch (route) {
     case FC_ROUTE_HEARTBEAT:
-      fc_metrics_duty(&controller->metrics, FC_DUTY_HEARTBEATS);
+      fc_metrics_enter_duty(controller->metrics, FC_DUTY_HEARTBEATS);
       fc_workers_report(controller, req, &res->status, res->body);
       break;
     case FC_ROUTE_SUBMIT:
-      fc_metrics_duty(&controller->metrics, FC_DUTY_SUBMISSIONS);
+      fc_metrics_enter_duty(controller->metrics, FC_DUTY_SUBMISSIONS);
       submit(controller, req, res);
-      fc_metrics_time(&controller->metrics, FC_TIME_SUBMIT, fc_now() - began);
+      fc_metrics_time(controller->metrics, FC_TIME_SUBMIT, fc_now() - began);
       break;
     case FC_ROUTE_POLL:
-      fc_metrics_duty(&controller->metrics, FC_DUTY_QUERIES);
+      fc_metrics_enter_duty(controller->metrics, FC_DUTY_QUERIES);
       poll(controller, id, res);
-      fc_metrics_time(&controller->metrics, FC_TIME_POLL, fc_now() - began);
+      fc_metrics_time(controller->metrics, FC_TIME_POLL, fc_now() - began);
       break;
     case FC_ROUTE_CANCEL:
-      fc_metrics_duty(&controller->metrics, FC_DUTY_QUERIES);
+      fc_metrics_enter_duty(controller->metrics, FC_DUTY_QUERIES);
       withdraw(controller, id, res);
       break;
     case FC_ROUTE_READY:
--- /dev/null
+++ b/src/controller/machine_reachability.c
@@ -0,0 +1,76 @@
+#include "controller/machine_reachability.h"
+
+#include "coordination/leader_lease.h"
+#include "transport/routine.h"
+
+#define MS_PER_S 1000.0
+
+/* Peers repeat which leases they renewed for so long. */
+#define RENEWALS_KNOWN_LEASES 2
+
+static double age_s(uint32_t age_ms) {
+  return age_ms / MS_PER_S;
+}
+
+void fc_reachability_note_renewal(fc_cluster *cluster, const fc_frame_lease_renewal *renewal, double now) {
+  fc_machine *machine = fc_cluster_find_machine(cluster, renewal->machine);
+  if (!machine) return;
+  double renewed_at = now - age_s(renewal->age_ms);
+  const fc_machine_agent *agent = &machine->agent;
+  /* A heartbeat from before what has come to us is a late copy, or the machine was restarted and
+   * its lease is renewed in its new incarnation. The copy may cost a lease of waiting; when the
+   * new incarnation was taken for a copy its tasks were started twice, as a direct start that was
+   * held back reached it (fault test, seed 158). */
+  bool outdated =
+      renewal->epoch < agent->epoch || (renewal->epoch == agent->epoch && renewal->sequence < agent->sequence);
+  machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, renewed_at);
+  /* Peers repeat what they answered for two leases. What a machine has told us directly since then
+   * settles it: probed again at every acknowledgement, machines that had come back from another
+   * member cost more than all heartbeats. */
+  double latest = renewed_at + age_s(renewal->age_ms) * 2 * FC_CLOCK_DRIFT;
+  if (outdated && machine->owner == cluster->membership.self && latest >= machine->probe.confirmed_at)
+    machine->probe.wanted = true;
+  if (outdated) return;
+  fc_machine_reachability *reach = &machine->reachability;
+  if (renewal->bidirectional) {
+    reach->peer_bidirectional_at = MAX(reach->peer_bidirectional_at, renewed_at);
+  } else if (renewed_at > reach->peer_bidirectional_at &&
+             reach->peer_unidirectional_at <= reach->peer_bidirectional_at) {
+    reach->peer_unidirectional_at = renewed_at;
+  }
+}
+
+void fc_reachability_note_probe(fc_cluster *cluster, size_t peer, const fc_frame_probe *probe, double sent_at,
+                                double now) {
+  fc_machine *machine = fc_cluster_find_machine(cluster, probe->machine);
+  if (!machine) return;
+  /* The age was taken between `sent_at` and now. If in question the machine counts as reached: the
+   * latest time for an answer, the earliest for none. */
+  if (probe->answered) {
+    machine->probe.peer_answered_at = MAX(machine->probe.peer_answered_at, now - age_s(probe->age_ms));
+  } else {
+    double *unanswered_at = &machine->probe.peer_unanswered_at[peer];
+    *unanswered_at = MAX(*unanswered_at, sent_at - age_s(probe->age_ms));
+  }
+}
+
+bool fc_reachability_may_be_renewed(const fc_leadership *leadership, const fc_settings *settings, double now) {
+  double left_at = fc_leadership_peer_left_at(leadership);
+  return left_at > 0 && now < left_at + settings->lease_s * RENEWALS_KNOWN_LEASES;
+}
+
+bool fc_reachability_probed_in_vain(const fc_cluster *cluster, const fc_leadership *leadership,
+                                    const fc_machine *machine) {
+  const fc_membership *membership = &cluster->membership;
+  double left_at = fc_leadership_peer_left_at(leadership);
+  /* A probe of long ago shows nothing of now. */
+  double since = MAX(left_at, fc_now() - fc_machine_silence_timeout_s(cluster->settings));
+  if (machine->probe.answered || machine->probe.sent_at <= since || machine->probe.peer_answered_at > left_at)
+    return false;
+  for (int member = 0; member < (int)membership->term.count; member++) {
+    if (member == membership->self) continue;
+    int peer = fc_leadership_peer_of(leadership, member);
+    if (peer < 0 || machine->probe.peer_unanswered_at[peer] <= since) return false;
+  }
+  return true;
+}
--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -1,189 +1,253 @@
-/* Membership: our lease, our place in the term, and who has to leave it. */
+#include "controller/membership.h"
+
 #include <string.h>
 
-#include "controller/controller.h"
+/* Requests to the key-value store, and the reads after them, are given up after so long. */
+#define REQUEST_TIMEOUT_S 1.0
+#define READ_TIMEOUT_S 2.0
+
+/* Pauses before a retry, as upper bounds of a random time. */
+#define LEASE_RETRY_S 0.3
+#define ENTRY_RETRY_S 0.1
+
+/* Parts of the member's lease. */
+#define TICK_LEASES 0.04
+#define RENEWAL_LEASES 0.25
+#define ABSENCE_LEASES 0.15 /* a member that is away for less is not excluded: shards would move */
+
+struct fc_membership_duty {
+  fc_cluster *cluster;
+  fc_kv *kv;
+  fc_kv_watch *watch;
+  fc_leadership *leadership;
+  fc_peers *peers;
+  fc_metrics *metrics;
+  uint64_t lease; /* in the store; 0: none */
+};
+
+fc_membership_duty *fc_membership_duty_new(fc_cluster *cluster, fc_kv *kv, fc_kv_watch *watch,
+                                           fc_leadership *leadership, fc_peers *peers, fc_metrics *metrics) {
+  fc_membership_duty *duty = g_new0(fc_membership_duty, 1);
+  duty->cluster = cluster;
+  duty->kv = kv;
+  duty->watch = watch;
+  duty->leadership = leadership;
+  duty->peers = peers;
+  duty->metrics = metrics;
+  return duty;
+}
+
+static void pause_before_retry(double max_s) {
+  (void)fc_routine_sleep(max_s * g_random_double_range(0.5, 1.0));
+}
 
-static double jitter(double s) {
-  return s * g_random_double_range(0.5, 1.0);
+static char *member_key(const char *name) {
+  return g_strconcat(FC_PREFIX_MEMBER, name, NULL);
 }
 
-static bool open_lease(fc_controller *controller) {
-  double sent = fc_now();
-  if (fc_kv_lease_open(controller->kv, controller->authority.lease_s, sent + 1.0, &controller->lease) != FC_KV_OK)
-    return false;
-  fc_leader_lease_renewed(&controller->authority, sent);
+static bool open_lease(fc_membership_duty *duty) {
+  double sent_at = fc_now();
+  double lease_s = fc_leadership_lease_s(duty->leadership);
+  if (fc_kv_lease_open(duty->kv, lease_s, sent_at + REQUEST_TIMEOUT_S, &duty->lease) != FC_KV_OK) return false;
+  fc_leadership_lease_renewed(duty->leadership, sent_at);
   return true;
 }
 
-/* Draws this life's number: the revision of our member key. */
-static bool draw_boot(fc_controller *controller) {
-  char *key = g_strconcat(FC_PREFIX_MEMBER, controller->settings->name, NULL);
-  const fc_member_key *known = g_hash_table_lookup(controller->cluster->membership.keys, controller->settings->name);
+/* Draws the number of this incarnation: the revision of our member key. */
+static bool draw_incarnation(fc_membership_duty *duty) {
+  const char *name = duty->cluster->settings->name;
+  const fc_member_key *known = g_hash_table_lookup(duty->cluster->membership.keys, name);
+  char *key = member_key(name);
   fc_txn *txn = fc_txn_new();
   /* Conditional: a late copy of an earlier attempt must not replace this one. */
   fc_txn_compare(txn, key, known ? known->version : 0);
-  fc_txn_put_leased(txn, key, fc_member_key_encode(), controller->lease);
+  fc_txn_put_leased(txn, key, fc_member_key_encode(), duty->lease);
+  g_free(key);
   uint64_t revision = 0;
-  fc_kv_result result = fc_kv_commit(controller->kv, txn, fc_now() + 1.0, &revision, NULL);
+  fc_kv_result result = fc_kv_commit(duty->kv, txn, fc_now() + REQUEST_TIMEOUT_S, &revision, NULL);
   fc_txn_free(txn);
-  g_free(key);
   if (result == FC_KV_OK) {
-    controller->incarnation = revision;
-    return fc_wait_revision(controller, revision, fc_now() + 2.0);
+    fc_leadership_set_incarnation(duty->leadership, revision);
+    return fc_kv_watch_wait_revision(duty->watch, revision, fc_now() + READ_TIMEOUT_S);
   }
-  (void)fc_wait_fresh(controller, fc_now() + 2.0);
+  (void)fc_kv_watch_wait_fresh(duty->watch, fc_now() + READ_TIMEOUT_S);
   return false;
 }
 
-/* Commits `next` in place of the present term. */
-static fc_kv_result commit_term(fc_controller *controller, const fc_term *next, const char *gone_member) {
+/* Commits `next` in place of the present term. `excluded`: a member whose lease must have expired
+ * at that very moment; NULL: none is. */
+static fc_kv_result commit_term(fc_membership_duty *duty, const fc_term *next, const char *excluded) {
   fc_txn *txn = fc_txn_new();
-  fc_txn_compare(txn, FC_KEY_TERM, controller->cluster->membership.term_version);
-  char *key = NULL;
-  if (gone_member) {
-    /* Its lease must have ended at the very moment it is excluded. */
-    key = g_strconcat(FC_PREFIX_MEMBER, gone_member, NULL);
+  fc_txn_compare(txn, FC_KEY_TERM, duty->cluster->membership.term_version);
+  if (excluded) {
+    char *key = member_key(excluded);
     fc_txn_compare(txn, key, 0);
+    g_free(key);
   }
-  char *own = g_strconcat(FC_PREFIX_MEMBER, controller->settings->name, NULL);
-  fc_txn_compare(txn, own, controller->incarnation);
+  char *own_key = member_key(duty->cluster->settings->name);
+  fc_txn_compare(txn, own_key, fc_leadership_incarnation(duty->leadership));
+  g_free(own_key);
   fc_txn_put(txn, FC_KEY_TERM, fc_term_encode(next));
   uint64_t revision = 0;
-  controller->term_unknown = true;
-  fc_kv_result result = fc_kv_commit(controller->kv, txn, fc_now() + 1.0, &revision, NULL);
+  fc_leadership_set_term_write_pending(duty->leadership, true);
+  fc_kv_result result = fc_kv_commit(duty->kv, txn, fc_now() + REQUEST_TIMEOUT_S, &revision, NULL);
   fc_txn_free(txn);
-  g_free(key);
-  g_free(own);
-  if (result != FC_KV_UNKNOWN) controller->term_unknown = false;
-  if (result == FC_KV_OK) {
-    (void)fc_wait_revision(controller, revision, fc_now() + 2.0);
-  } else {
-    (void)fc_wait_fresh(controller, fc_now() + 2.0);
-  }
+  if (result != FC_KV_UNKNOWN) fc_leadership_set_term_write_pending(duty->leadership, false);
+  fc_kv_watch_wait_outcome(duty->watch, result, revision, fc_now() + READ_TIMEOUT_S);
   return result;
 }
 
-static int by_name(const void *a, const void *b) {
-  return strcmp(((const fc_member *)a)->name, ((const fc_member *)b)->name);
-}
-
-static bool in_term(const fc_controller *controller) {
-  const fc_cluster *cluster = controller->cluster;
-  return cluster->membership.self >= 0 &&
-         cluster->membership.term.members[cluster->membership.self].incarnation == controller->incarnation;
+static int compare_names(const void *left, const void *right) {
+  return strcmp(((const fc_member *)left)->name, ((const fc_member *)right)->name);
 }
 
-/* Every start enters by a new term: commands of an earlier life may still be
- * under way with the old token. */
-static bool enter(fc_controller *controller) {
-  fc_term next = controller->cluster->membership.term;
+/* Every start enters by a new term: commands of an earlier incarnation may still be under way
+ * with the old fencing token. */
+static bool enter_term(fc_membership_duty *duty) {
+  const fc_membership *membership = &duty->cluster->membership;
+  const char *name = duty->cluster->settings->name;
+  fc_term next = membership->term;
   next.number++;
-  if (!controller->cluster->membership.term_version) next.seed = g_random_int();
-  int at = fc_term_find(&next, controller->settings->name);
-  if (at < 0) {
+  if (!membership->term_version) next.seed = g_random_int();
+  int self = fc_term_find(&next, name);
+  if (self < 0) {
     if (next.count == FC_MEMBERS_MAX) return false;
-    at = (int)next.count++;
+    self = (int)next.count++;
     next.names_since = next.number;
-    g_strlcpy(next.members[at].name, controller->settings->name, sizeof next.members[at].name);
+    g_strlcpy(next.members[self].name, name, sizeof next.members[self].name);
   }
-  next.members[at].incarnation = controller->incarnation;
-  qsort(next.members, next.count, sizeof next.members[0], by_name);
-  (void)commit_term(controller, &next, NULL);
-  if (!in_term(controller)) return false;
-  controller->entered_at = fc_now();
+  next.members[self].incarnation = fc_leadership_incarnation(duty->leadership);
+  qsort(next.members, next.count, sizeof next.members[0], compare_names);
+  (void)commit_term(duty, &next, NULL);
+  if (!fc_leadership_in_term(duty->leadership)) return false;
+  fc_leadership_entered(duty->leadership);
   return true;
 }
 
-static bool lease_ended(const fc_controller *controller, const char *name) {
-  return g_hash_table_lookup(controller->cluster->membership.keys, name) == NULL;
+/* ---- exclusion of members whose leases have expired ---- */
+
+static bool lease_expired(const fc_membership_duty *duty, const char *name) {
+  return g_hash_table_lookup(duty->cluster->membership.keys, name) == NULL;
 }
 
-/* Excludes the first member whose lease has ended, once nothing forbids it. */
-static void exclude(fc_controller *controller, GHashTable *gone_since) {
-  const fc_term *term = &controller->cluster->membership.term;
-  double now = fc_now();
-  if (now < controller->entered_at + fc_leader_lease_entry_wait(&controller->authority)) return;
-  unsigned rank = 0; /* live members before us: they go first */
-  for (int i = 0; i < controller->cluster->membership.self; i++)
-    rank += !lease_ended(controller, term->members[i].name);
-  for (size_t i = 0; i < term->count; i++) {
-    const char *name = term->members[i].name;
-    if ((int)i == controller->cluster->membership.self) continue;
-    if (!lease_ended(controller, name)) {
-      g_hash_table_remove(gone_since, name);
+/* When the member's lease was first seen to be expired. */
+static double absent_since(GHashTable *absences, const char *name) {
+  double *since = g_hash_table_lookup(absences, name);
+  if (!since) {
+    since = g_new(double, 1);
+    *since = fc_now();
+    g_hash_table_insert(absences, g_strdup(name), since);
+  }
+  return *since;
+}
+
+/* Live members before us in the term: they exclude first. */
+static unsigned live_members_before(const fc_membership_duty *duty) {
+  const fc_membership *membership = &duty->cluster->membership;
+  unsigned live = 0;
+  for (int i = 0; i < membership->self; i++) live += !lease_expired(duty, membership->term.members[i].name);
+  return live;
+}
+
+static bool grant_expired(fc_membership_duty *duty, const char *name) {
+  const fc_peer *peer = fc_peers_find(duty->peers, name);
+  return !peer || fc_now() >= peer->grant_given_until;
+}
+
+static void exclude_member(fc_membership_duty *duty, size_t index) {
+  fc_term next = duty->cluster->membership.term;
+  char name[sizeof next.members[0].name];
+  g_strlcpy(name, next.members[index].name, sizeof name);
+  memmove(&next.members[index], &next.members[index + 1], (next.count - index - 1) * sizeof next.members[0]);
+  next.count--;
+  next.number++;
+  next.names_since = next.number;
+  fc_kv_result result = commit_term(duty, &next, name);
+  g_info("excluded member=%s result=%d", name, result);
+}
+
+/* Excludes the first member whose lease has expired, once nothing forbids it. */
+static void exclude_expired(fc_membership_duty *duty, GHashTable *absences) {
+  const fc_membership *membership = &duty->cluster->membership;
+  if (!fc_leadership_may_exclude(duty->leadership)) return;
+  double absence_s = fc_leadership_lease_s(duty->leadership) * ABSENCE_LEASES * (1 + live_members_before(duty));
+  for (size_t i = 0; i < membership->term.count; i++) {
+    const char *name = membership->term.members[i].name;
+    if ((int)i == membership->self) continue;
+    if (!lease_expired(duty, name)) {
+      g_hash_table_remove(absences, name);
       continue;
     }
-    double *since = g_hash_table_lookup(gone_since, name);
-    if (!since) {
-      since = g_new(double, 1);
-      *since = now;
-      g_hash_table_insert(gone_since, g_strdup(name), since);
-    }
-    /* A short absence must not shuffle the parts. */
-    if (now < *since + controller->authority.lease_s * 0.15 * (1 + rank)) continue;
-    double promised = 0;
-    for (size_t k = 0; k < controller->settings->peer_count; k++)
-      if (strcmp(controller->settings->peers[k].name, name) == 0) promised = controller->peers[k].grant_given_until;
-    if (now < promised) continue;
-    char gone[64];
-    g_strlcpy(gone, name, sizeof gone);
-    fc_term next = *term;
-    memmove(&next.members[i], &next.members[i + 1], (next.count - i - 1) * sizeof next.members[0]);
-    next.count--;
-    next.number++;
-    next.names_since = next.number;
-    fc_kv_result result = commit_term(controller, &next, gone);
-    g_info("excluded member=%s result=%d", gone, result);
+    if (fc_now() < absent_since(absences, name) + absence_s || !grant_expired(duty, name)) continue;
+    exclude_member(duty, i);
     return;
   }
 }
 
-static void stay(fc_controller *controller) {
-  GHashTable *gone_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  double renewed = fc_now();
+/* ---- the routine ---- */
+
+typedef enum { LEASE_HELD, LEASE_GONE } lease_state;
+
+/* Renews the lease when it is time. *renewed_at: when that last succeeded. */
+static lease_state renew_lease(fc_membership_duty *duty, double *renewed_at) {
+  double now = fc_now();
+  if (now < *renewed_at + fc_leadership_lease_s(duty->leadership) * RENEWAL_LEASES) return LEASE_HELD;
+  fc_kv_result result = fc_kv_lease_renew(duty->kv, duty->lease, now + REQUEST_TIMEOUT_S);
+  if (result == FC_KV_GONE) return LEASE_GONE;
+  if (result == FC_KV_OK) {
+    fc_leadership_lease_renewed(duty->leadership, now);
+    *renewed_at = now;
+  } else {
+    pause_before_retry(LEASE_RETRY_S);
+  }
+  return LEASE_HELD;
+}
+
+/* Stays a member as long as the lease and the term allow. */
+static void stay_member(fc_membership_duty *duty) {
+  GHashTable *absences = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  double renewed_at = fc_now();
   while (!fc_routine_cancelled()) {
-    if (fc_routine_sleep(controller->authority.lease_s * 0.04) == FC_WAKE_CANCELLED) break;
-    if (!in_term(controller)) {
-      g_warning("we are no longer in the term");
+    if (fc_routine_sleep(fc_leadership_lease_s(duty->leadership) * TICK_LEASES) == FC_WAKE_CANCELLED) break;
+    if (!fc_leadership_in_term(duty->leadership)) {
+      g_warning("no longer a member of the term");
       break;
     }
-    double now = fc_now();
-    if (now >= renewed + controller->authority.lease_s * 0.25) {
-      fc_kv_result result = fc_kv_lease_renew(controller->kv, controller->lease, now + 1.0);
-      if (result == FC_KV_OK) {
-        fc_leader_lease_renewed(&controller->authority, now);
-        renewed = now;
-      } else if (result == FC_KV_GONE) {
-        g_warning("our lease has ended");
-        break;
-      } else {
-        (void)fc_routine_sleep(jitter(0.3));
-      }
+    if (renew_lease(duty, &renewed_at) == LEASE_GONE) {
+      g_warning("member lease expired");
+      break;
     }
-    if (fc_may_act(controller) && fc_state_reachable(controller)) exclude(controller, gone_since);
+    if (fc_leadership_held(duty->leadership) && fc_cluster_store_reachable(duty->cluster, fc_now()))
+      exclude_expired(duty, absences);
   }
-  g_hash_table_destroy(gone_since);
+  g_hash_table_destroy(absences);
 }
 
-void fc_member_main(void *arg) {
-  fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_MEMBERSHIP);
+static bool lease_valid(const fc_membership_duty *duty) {
+  return fc_now() < fc_leadership_lease_until(duty->leadership) && !fc_routine_cancelled();
+}
+
+static void run(void *arg) {
+  fc_membership_duty *duty = arg;
+  fc_leadership *leadership = duty->leadership;
+  fc_metrics_enter_duty(duty->metrics, FC_DUTY_MEMBERSHIP);
   while (!fc_routine_cancelled()) {
-    fc_leader_lease_lost(&controller->authority);
-    controller->incarnation = 0;
-    controller->lease = 0;
-    if (!fc_wait_fresh(controller, fc_now() + 1.0)) continue;
-    if (!open_lease(controller)) {
-      (void)fc_routine_sleep(jitter(0.3));
+    fc_leadership_lease_lost(leadership);
+    duty->lease = 0;
+    if (!fc_kv_watch_wait_fresh(duty->watch, fc_now() + REQUEST_TIMEOUT_S)) continue;
+    if (!open_lease(duty)) {
+      pause_before_retry(LEASE_RETRY_S);
       continue;
     }
-    while (!controller->incarnation && fc_now() < controller->authority.lease_until && !fc_routine_cancelled()) {
-      if (!draw_boot(controller)) (void)fc_routine_sleep(jitter(0.1));
-    }
-    if (!controller->incarnation) continue;
-    while (!in_term(controller) && fc_now() < controller->authority.lease_until && !fc_routine_cancelled()) {
-      if (!enter(controller)) (void)fc_routine_sleep(jitter(0.1));
-    }
-    if (in_term(controller)) stay(controller);
+    while (!fc_leadership_incarnation(leadership) && lease_valid(duty))
+      if (!draw_incarnation(duty)) pause_before_retry(ENTRY_RETRY_S);
+    if (!fc_leadership_incarnation(leadership)) continue;
+    while (!fc_leadership_in_term(leadership) && lease_valid(duty))
+      if (!enter_term(duty)) pause_before_retry(ENTRY_RETRY_S);
+    if (fc_leadership_in_term(leadership)) stay_member(duty);
   }
 }
+
+bool fc_membership_duty_start(fc_membership_duty *duty) {
+  return fc_routine_spawn(run, duty) != NULL;
+}
--- /dev/null
+++ b/src/controller/membership.h
@@ -0,0 +1,16 @@
+/* Membership: opens and renews this controller's lease in the key-value store, enters the term,
+ * and excludes members whose leases have expired (failover). */
+#ifndef FC_CONTROLLER_MEMBERSHIP_H
+#define FC_CONTROLLER_MEMBERSHIP_H
+
+#include "controller/kv_watch.h"
+
+typedef struct fc_membership_duty fc_membership_duty;
+
+/* The arguments have to outlive it, and it lives as long as its routine. */
+fc_membership_duty *fc_membership_duty_new(fc_cluster *cluster, fc_kv *kv, fc_kv_watch *watch,
+                                           fc_leadership *leadership, fc_peers *peers, fc_metrics *metrics);
+/* Starts its routine; false: out of memory. */
+bool fc_membership_duty_start(fc_membership_duty *duty);
+
+#endif
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -1,4 +1,5 @@
-/* What an operator can read of a running controller. */
+/* Metrics: counters, durations and the use of the processor, recorded by the duties of a
+ * controller. What an operator reads of them is put together in metrics_page.h. */
 #ifndef FC_CONTROLLER_METRICS_H
 #define FC_CONTROLLER_METRICS_H
 
@@ -7,15 +8,19 @@
 
 #include "transport/routine.h"
 
-typedef struct fc_controller fc_controller;
-
-/* Where time goes, in seconds; bins grow by a half each. */
-typedef enum { FC_TIME_SUBMIT, FC_TIME_POLL, FC_TIME_START, FC_TIME_ROUND, FC_TIMES } fc_time;
+/* Durations in seconds. */
+typedef enum {
+  FC_TIME_SUBMIT, /* from a submission until its answer */
+  FC_TIME_POLL,   /* from a question about a job until its answer */
+  FC_TIME_START,  /* from placing a task until it runs */
+  FC_TIME_ROUND,  /* a scheduling round */
+  FC_TIMES
+} fc_time;
 
 /* What the processor is used for. */
 typedef enum {
   FC_DUTY_OTHER,       /* connections that have not asked for anything yet */
-  FC_DUTY_HEARTBEATS,  /* workers' reports and the answers to them */
+  FC_DUTY_HEARTBEATS,  /* workers' heartbeats and the answers to them */
   FC_DUTY_COMMANDS,    /* direct calls to workers */
   FC_DUTY_ROUNDS,      /* placing, preempting, handing over */
   FC_DUTY_RENTAL,      /* renting and returning machines */
@@ -24,24 +29,43 @@
   FC_DUTY_WATCH,       /* reads of changes */
   FC_DUTY_LOAD,        /* reading everything: at start, or after too long a silence */
   FC_DUTY_COMMITS,     /* transactions */
-  FC_DUTY_MEMBERSHIP,  /* the lease, terms, shares of limits */
+  FC_DUTY_MEMBERSHIP,  /* the lease, terms, quota shares */
   FC_DUTY_SUBMISSIONS,
   FC_DUTY_QUERIES, /* questions about jobs, and cancellations */
   FC_DUTIES
 } fc_duty;
 
+/* Events since the start. */
+typedef struct fc_counters {
+  uint64_t rounds;     /* scheduling rounds */
+  uint64_t reads;      /* reads of changes from the key-value store */
+  uint64_t heartbeats; /* well-formed ones */
+  uint64_t requests;   /* at the address for users and workers */
+  uint64_t exchanges;  /* views begun to be sent to peers */
+  uint64_t views_received;
+  uint64_t worker_calls;  /* direct ones that were sent */
+  uint64_t machines_sent; /* in views */
+  uint64_t placed;        /* tasks */
+  uint64_t preempted;     /* tasks */
+  uint64_t handed_over;   /* jobs */
+  uint64_t machines_transferred;
+} fc_counters;
+
 typedef struct fc_metrics {
+  fc_counters counters;
   gsl_histogram *times[FC_TIMES];
   fc_usage usage[FC_DUTIES];
 } fc_metrics;
 
-void fc_metrics_init(fc_metrics *metrics);
+/* The caller frees it with fc_metrics_free(). */
+fc_metrics *fc_metrics_new(void);
+void fc_metrics_free(fc_metrics *metrics);
 void fc_metrics_time(fc_metrics *metrics, fc_time which, double seconds);
 /* Counts what the calling routine uses from now on as the duty's. */
-void fc_metrics_duty(fc_metrics *metrics, fc_duty duty);
+void fc_metrics_enter_duty(fc_metrics *metrics, fc_duty duty);
 /* Logs, one line a duty, what has been used since the start. */
 void fc_metrics_log_usage(const fc_metrics *metrics);
-/* Appends all of it, one figure a line: "name value". */
-void fc_metrics_write(const fc_controller *controller, GString *out);
+/* Appends the use of the processor and the durations, one figure a line: "name value". */
+void fc_metrics_append(const fc_metrics *metrics, GString *out);
 
 #endif
--- /dev/null
+++ b/src/controller/peers.c
@@ -0,0 +1,83 @@
+#include "controller/peers.h"
+
+#include <string.h>
+
+#include "transport/routine.h"
+
+/* Before any time that the steady clock shows. */
+#define NEVER (-1e9)
+
+/* A peer is fit as long as it was heard, and has read the store, within so many heartbeat
+ * intervals. */
+#define FIT_HEARTBEATS 2
+
+struct fc_peers {
+  const fc_cluster *cluster;
+  const fc_leadership *leadership;
+  size_t count;
+  fc_peer items[FC_MEMBERS_MAX];
+};
+
+fc_peers *fc_peers_new(const fc_cluster *cluster, const fc_leadership *leadership) {
+  fc_peers *peers = g_new0(fc_peers, 1);
+  peers->cluster = cluster;
+  peers->leadership = leadership;
+  peers->count = cluster->settings->peer_count;
+  for (size_t i = 0; i < peers->count; i++) {
+    peers->items[i].settings = &cluster->settings->peers[i];
+    peers->items[i].kv_read_at = NEVER;
+    peers->items[i].heard_at = NEVER;
+  }
+  return peers;
+}
+
+void fc_peers_free(fc_peers *peers) {
+  g_free(peers);
+}
+
+size_t fc_peers_count(const fc_peers *peers) {
+  return peers->count;
+}
+
+fc_peer *fc_peers_at(fc_peers *peers, size_t index) {
+  return &peers->items[index];
+}
+
+fc_peer *fc_peers_of_member(fc_peers *peers, int member) {
+  if (member < 0 || member >= (int)peers->cluster->membership.term.count) return NULL;
+  return fc_peers_find(peers, peers->cluster->membership.term.members[member].name);
+}
+
+fc_peer *fc_peers_find(fc_peers *peers, const char *name) {
+  for (size_t i = 0; i < peers->count; i++)
+    if (strcmp(peers->items[i].settings->name, name) == 0) return &peers->items[i];
+  return NULL;
+}
+
+bool fc_peers_member_fit(fc_peers *peers, int member) {
+  if (member == peers->cluster->membership.self) return true;
+  const fc_peer *peer = fc_peers_of_member(peers, member);
+  if (!peer) return false;
+  double now = fc_now(), max_age_s = peers->cluster->settings->heartbeat_s * FIT_HEARTBEATS;
+  return now - peer->heard_at < max_age_s && now - peer->kv_read_at < max_age_s;
+}
+
+bool fc_peers_all_covered(fc_peers *peers, double until) {
+  const fc_membership *membership = &peers->cluster->membership;
+  for (int member = 0; member < (int)membership->term.count; member++) {
+    if (member == membership->self) continue;
+    const fc_peer *peer = fc_peers_of_member(peers, member);
+    if (!peer || peer->acknowledged.renewals_known_until < until) return false;
+  }
+  return true;
+}
+
+uint64_t fc_peers_common_revision(const fc_peers *peers) {
+  uint64_t common = peers->cluster->sync.revision;
+  for (size_t i = 0; i < peers->count; i++) common = MIN(common, peers->items[i].revision);
+  return common;
+}
+
+void fc_peers_forget_acknowledged(fc_peers *peers) {
+  for (size_t i = 0; i < peers->count; i++) peers->items[i].acknowledged = (fc_peer_acknowledged){0};
+}
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -248,19 +248,20 @@
   fc_kv_result result =
       fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + 2.0, &revision);
   if (result == FC_KV_OK) {
-    (void)fc_wait_revision(controller, revision, fc_now() + 2.0);
+    (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
   } else {
-    (void)fc_wait_fresh(controller, fc_now() + 2.0);
+    (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 2.0);
   }
   if (result != FC_KV_OK && result != FC_KV_UNKNOWN) lift_caps(controller);
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
 /* Has every other member's present life acknowledged this term? */
 static bool all_acked(fc_controller *controller) {
   for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
-    const fc_peer *peer = fc_peer_of(controller, i);
-    if (i != controller->cluster->membership.self && (!peer || peer->renewals_known_until < controller->term_since))
+    const fc_peer *peer = fc_peers_of_member(controller->peers, i);
+    if (i != controller->cluster->membership.self &&
+        (!peer || peer->acknowledged.renewals_known_until < fc_leadership_term_since(controller->leadership)))
       return false;
   }
   return true;
@@ -276,13 +277,16 @@
 static bool first_shares(fc_controller *controller, tally *now_used, fc_quota_record *quota, double now) {
   fc_cluster *cluster = controller->cluster;
   /* Everybody could write it; the first in the term does at once. */
-  if (now < controller->term_since + controller->settings->op.round_s * 0.5 * cluster->membership.self) return false;
+  if (now < fc_leadership_term_since(controller->leadership) +
+                controller->settings->op.round_s * 0.5 * cluster->membership.self)
+    return false;
   /* A hung machine of a dead owner would hold everybody up for a lease: after
    * a while it counts as full instead. Whatever is settled by then can only
    * have shrunk since; members we have not heard from are waited for. */
   bool settled = fc_cluster_update_reconciled(cluster);
   if (carry_over(cluster, quota)) return true;
-  if (!settled && (now < controller->term_since + controller->settings->heartbeat_s * 1.5 || !all_acked(controller)))
+  if (!settled && (now < fc_leadership_term_since(controller->leadership) + controller->settings->heartbeat_s * 1.5 ||
+                   !all_acked(controller)))
     return false;
   take_tally(cluster, !settled, now_used);
   return divide(controller, now_used, quota) || settled;
@@ -300,7 +304,7 @@
 
 void fc_quota_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_MEMBERSHIP);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_MEMBERSHIP);
   lift_caps(controller);
   if (!any_limited(controller->settings)) return;
   double adjusted_at = 0;
@@ -312,7 +316,8 @@
     /* A write of unknown outcome can be applied until the record has moved past
      * the version it was conditional on; so long the caps stay. */
     if (cluster->quota.version != controller->share_cap_version) lift_caps(controller);
-    if (!fc_may_act(controller) || !fc_state_reachable(controller)) continue;
+    if (!fc_leadership_held(controller->leadership) || !fc_cluster_store_reachable(controller->cluster, fc_now()))
+      continue;
     double now = fc_now();
     memset(quota, 0, sizeof *quota);
     if (cluster->quota.record.term != cluster->membership.term.number) {
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -5,6 +5,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
+#include "controller/machine_reachability.h"
 #include "scheduler/capacity_planning.h"
 
 typedef struct refusals {
@@ -115,8 +116,8 @@
   }
   g_free(intent);
   /* Not all written: the intent is still there, and is repeated. */
-  if (ok) return ids->len == 0 || fc_wait_revision(controller, revision, fc_now() + 2.0);
-  (void)fc_wait_fresh(controller, fc_now() + 2.0);
+  if (ok) return ids->len == 0 || fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
+  (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 2.0);
   return false;
 }
 
@@ -129,8 +130,8 @@
   uint64_t revision = 0;
   if (fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + 5.0, &revision) ==
       FC_KV_OK)
-    return fc_wait_revision(controller, revision, fc_now() + 2.0);
-  (void)fc_wait_fresh(controller, fc_now() + 2.0);
+    return fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
+  (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 2.0);
   return false;
 }
 
@@ -152,7 +153,7 @@
  * controller. */
 static void ask_cloud(fc_controller *controller, rental *h, refusals *ref) {
   const fc_rental_record *rental = &h->record;
-  if (!fc_cloud_turn(controller) || !fc_may_act(controller)) return;
+  if (!fc_cloud_turn(controller) || !fc_leadership_held(controller->leadership)) return;
   fc_cloud_result res = fc_cloud_rent(controller->cloud, h->name, rental->type, rental->zone, rental->spot,
                                       rental->count, fc_now() + 4.0, h->ids);
   g_info("hire name=%s type=%s zone=%s spot=%d count=%u result=%d got=%u", h->name, rental->type, rental->zone,
@@ -181,7 +182,7 @@
   for (guint i = 0; i < rentals->len; i++) ask_cloud(controller, rentals->pdata[i], ref);
   for (guint i = 0; i < rentals->len; i++) {
     const rental *h = rentals->pdata[i];
-    if (h->decided && fc_may_act(controller))
+    if (h->decided && fc_leadership_held(controller->leadership))
       (void)(record_rented(controller, h->name, &h->record, h->ids) && end_rental(controller, h->name));
   }
   g_ptr_array_free(rentals, TRUE);
@@ -197,7 +198,8 @@
   g_strlcpy(rental.owner, want->owner >= 0 ? cluster->membership.term.members[want->owner].name : "*",
             sizeof rental.owner);
   /* The life's number never comes again, so neither does the name. */
-  char *name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, (guint64)controller->incarnation,
+  char *name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+                               (guint64)fc_leadership_incarnation(controller->leadership),
                                (guint64)++controller->rental_counter);
   char *key = g_strconcat(FC_PREFIX_RENTAL, name, NULL);
   fc_write *write = fc_write_new();
@@ -209,7 +211,7 @@
                                               fc_now() + controller->settings->lease_s * 0.5, &revision);
   g_free(name);
   g_free(key);
-  return result == FC_KV_OK && fc_wait_revision(controller, revision, fc_now() + 2.0);
+  return result == FC_KV_OK && fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
 }
 
 static void rent(fc_controller *controller, refusals *ref) {
@@ -240,11 +242,14 @@
    * asks such a machine directly, and it stays if one reaches it or has not tried. Waiting
    * for its lease instead, hung machines held a team's freed share for up to 14 s (scene
    * a_limit_and_a_cancellation). */
-  if (controller->ended_at > since && !fc_workers_unreachable(controller, machine)) return false;
+  if (fc_leadership_peer_left_at(controller->leadership) > since &&
+      !fc_reachability_probed_in_vain(controller->cluster, controller->leadership, machine))
+    return false;
   for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
     if (i == controller->cluster->membership.self) continue;
-    const fc_peer *peer = fc_peer_of(controller, i);
-    if (!peer || peer->renewals_known_until < fc_now() - controller->settings->heartbeat_s * 2) return false;
+    const fc_peer *peer = fc_peers_of_member(controller->peers, i);
+    if (!peer || peer->acknowledged.renewals_known_until < fc_now() - controller->settings->heartbeat_s * 2)
+      return false;
   }
   return true;
 }
@@ -297,8 +302,9 @@
     if (!machine->record_version || !machine->announced || machine->owner < 0) continue;
     /* Of others' machines we know as much as they tell us: those of a member that is cut
      * off too once counted as well, and half a zone was returned (fleet day "zone"). */
-    bool known = ours ? machine->agent.reported || mute
-                      : fc_machine_reconciled(cluster, machine) && fc_member_fit(controller, machine->owner);
+    bool known =
+        ours ? machine->agent.reported || mute
+             : fc_machine_reconciled(cluster, machine) && fc_peers_member_fit(controller->peers, machine->owner);
     /* Nor do machines that we know nothing of yet speak for their zone: dealt anew as a
      * member in it was excluded, they left one old machine to judge it by, which went. */
     count_mute(&zones[machine->zone], mute || !known);
@@ -364,7 +370,7 @@
     machine->reconciled_term = cluster->membership.term.number;
   }
   (void)fc_cluster_update_reconciled(cluster);
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
 /* Takes the records of machines that the cloud has confirmed gone out of the state
@@ -392,9 +398,9 @@
   }
   /* What is still on record is tried again: it stays marked as being returned. */
   if (ok) {
-    (void)fc_wait_revision(controller, revision, fc_now() + 2.0);
+    (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
   } else {
-    (void)fc_wait_fresh(controller, fc_now() + 2.0);
+    (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 2.0);
   }
 }
 
@@ -421,7 +427,7 @@
     if (f == STAYS) continue;
     fc_machine_begin_return(machine, why[f], ids);
   }
-  if (ids->len > 0 && fc_cloud_turn(controller) && fc_may_act(controller) &&
+  if (ids->len > 0 && fc_cloud_turn(controller) && fc_leadership_held(controller->leadership) &&
       fc_cloud_release(controller->cloud, (const char *const *)ids->pdata, ids->len, fc_now() + 4.0) == FC_CLOUD_OK)
     forget_returned(controller, ids); /* if not, they are still closed: tried again */
   if (surplus) g_hash_table_destroy(surplus);
@@ -448,7 +454,7 @@
   char *after = NULL;
   bool more = true;
   GPtrArray *stray = g_ptr_array_new_with_free_func(g_free);
-  while (more && stray->len < 20 && fc_cloud_turn(controller) && fc_may_act(controller)) {
+  while (more && stray->len < 20 && fc_cloud_turn(controller) && fc_leadership_held(controller->leadership)) {
     GPtrArray *page = g_ptr_array_new_with_free_func(fc_listed_machine_free);
     more = false;
     fc_cloud_result result = fc_cloud_list(controller->cloud, after, 500, fc_now() + 3.0, page, &more);
@@ -463,7 +469,7 @@
     if (result != FC_CLOUD_OK || page->len == 0) more = false;
     g_ptr_array_free(page, TRUE);
   }
-  if (stray->len > 0 && fc_cloud_turn(controller) && fc_may_act(controller)) {
+  if (stray->len > 0 && fc_cloud_turn(controller) && fc_leadership_held(controller->leadership)) {
     fc_cloud_result result =
         fc_cloud_release(controller->cloud, (const char *const *)stray->pdata, stray->len, fc_now() + 4.0);
     g_info("return stray machines count=%u first=%s result=%d", stray->len, (char *)stray->pdata[0], result);
@@ -475,16 +481,17 @@
 /* What one member does for all. */
 static void rent_round(fc_controller *controller, refusals *ref, double *swept_at) {
   carry_out_all(controller, ref);
-  if (g_hash_table_size(controller->cluster->rentals) == 0 && fc_may_act(controller)) rent(controller, ref);
+  if (g_hash_table_size(controller->cluster->rentals) == 0 && fc_leadership_held(controller->leadership))
+    rent(controller, ref);
   carry_out_all(controller, ref);
   if (fc_now() <= *swept_at + MAX(controller->settings->lease_s, controller->settings->cloud_list_lag_s) * 3) return;
   *swept_at = fc_now();
-  if (fc_may_act(controller)) sweep(controller);
+  if (fc_leadership_held(controller->leadership)) sweep(controller);
 }
 
 void fc_rent_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_RENTAL);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_RENTAL);
   double swept_at = fc_now();
   refusals ref = {.until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
   while (!fc_routine_cancelled()) {
@@ -492,10 +499,11 @@
     if (controller->cluster->machine_types->len == 0 ||
         fc_now() > controller->types_at + controller->settings->lease_s * 2)
       read_types(controller);
-    if (controller->cluster->machine_types->len > 0 && fc_may_act(controller) && fc_state_reachable(controller)) {
+    if (controller->cluster->machine_types->len > 0 && fc_leadership_held(controller->leadership) &&
+        fc_cluster_store_reachable(controller->cluster, fc_now())) {
       if (controller->cluster->membership.self == 0 && controller->settings->op.rent)
         rent_round(controller, &ref, &swept_at);
-      if (fc_may_act(controller)) give_back(controller);
+      if (fc_leadership_held(controller->leadership)) give_back(controller);
     }
     (void)fc_routine_sleep(controller->settings->op.round_s * (controller->cluster->machine_types->len ? 0.5 : 0.1));
   }
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -85,7 +85,7 @@
   for (guint i = 0; i < stops->len; i++) {
     fc_placement *placement = stops->pdata[i];
     fc_workers_stop(controller, placement);
-    controller->counts.preempted++;
+    controller->metrics->counters.preempted++;
     g_debug("preempt task=%s/%u machine=%s", placement->job_id, placement->index, placement->machine->id);
     if (!g_ptr_array_find(push, placement->machine, NULL)) g_ptr_array_add(push, placement->machine);
   }
@@ -110,11 +110,11 @@
     gang = decision->job;
     (void)fc_cluster_add_placement(cluster, decision->machine, decision->job->spec.id, decision->index, attempt, now);
     fc_machine_touch_image(decision->machine, decision->job->spec.image);
-    controller->counts.placed++; /* decisions left out of this round are none */
+    controller->metrics->counters.placed++; /* decisions left out of this round are none */
     g_debug("place task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s", decision->job->spec.id, decision->index,
             (guint64)attempt, decision->machine->id);
   }
-  if (plan->len > 0) fc_views_soon(controller);
+  if (plan->len > 0) fc_wakeups_raise(controller->wakeups, FC_WAKEUP_REPLICATE);
   fc_image_search_free(search);
   g_array_free(plan, TRUE);
   send_stops(controller, stops, push);
@@ -142,7 +142,7 @@
 
 static void tick(fc_controller *controller) {
   fc_cluster *cluster = controller->cluster;
-  controller->counts.rounds++;
+  controller->metrics->counters.rounds++;
   fc_workers_expire(controller);
   (void)fc_cluster_update_reconciled(cluster);
   GHashTableIter it;
@@ -166,11 +166,11 @@
    * need not follow every event. */
   double now = fc_now();
   bool due = now >= controller->looked_at + controller->settings->op.round_s * 0.25;
-  if (due) controller->waiting = anything_waits(cluster);
-  if (due && controller->waiting) {
+  if (due) controller->cluster->tasks_pending = anything_waits(cluster);
+  if (due && controller->cluster->tasks_pending) {
     controller->looked_at = now;
     preempt(controller, push);
-    if (fc_state_reachable(controller)) fc_share_round(controller);
+    if (fc_cluster_store_reachable(controller->cluster, fc_now())) fc_share_round(controller);
   }
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
@@ -206,51 +206,48 @@
   }
   g_info("status term=%" G_GUINT64_FORMAT " self=%d may_act=%d fresh_s=%.1f latched=%d quota_term=%" G_GUINT64_FORMAT
          " waiting=%u unclear=%u machines=%u silent=%u unsettled=%u e.g. %s routines=%zu",
-         (guint64)cluster->membership.term.number, cluster->membership.self, fc_may_act(controller),
-         fc_now() - controller->kv_read_at, cluster->reconciliation.complete_in_term == cluster->membership.term.number,
+         (guint64)cluster->membership.term.number, cluster->membership.self, fc_leadership_held(controller->leadership),
+         fc_now() - controller->cluster->sync.read_at,
+         cluster->reconciliation.complete_in_term == cluster->membership.term.number,
          (guint64)cluster->quota.record.term, waiting, unclear, mine, silent, unsettled, unsettled_id,
          fc_routine_count());
-  const fc_counts *counts = &controller->counts;
+  const fc_counters *counters = &controller->metrics->counters;
   g_info("counts rounds=%" G_GUINT64_FORMAT " reads=%" G_GUINT64_FORMAT " reports=%" G_GUINT64_FORMAT
          " requests=%" G_GUINT64_FORMAT " exchanges=%" G_GUINT64_FORMAT " views=%" G_GUINT64_FORMAT
          " pushes=%" G_GUINT64_FORMAT " placed=%" G_GUINT64_FORMAT " preempted=%" G_GUINT64_FORMAT
          " handed_over=%" G_GUINT64_FORMAT " lent=%" G_GUINT64_FORMAT,
-         (guint64)counts->rounds, (guint64)counts->reads, (guint64)counts->reports, (guint64)counts->requests,
-         (guint64)counts->exchanges, (guint64)counts->views, (guint64)counts->pushes, (guint64)counts->placed,
-         (guint64)counts->preempted, (guint64)counts->handed_over, (guint64)counts->lent);
+         (guint64)counters->rounds, (guint64)counters->reads, (guint64)counters->heartbeats,
+         (guint64)counters->requests, (guint64)counters->exchanges, (guint64)counters->views_received,
+         (guint64)counters->worker_calls, (guint64)counters->placed, (guint64)counters->preempted,
+         (guint64)counters->handed_over, (guint64)counters->machines_transferred);
   fc_group_commit_counts w = fc_group_commit_stats(controller->commit);
   g_info("writes transactions=%" G_GUINT64_FORMAT " job=%" G_GUINT64_FORMAT " machine=%" G_GUINT64_FORMAT
          " hire=%" G_GUINT64_FORMAT " quota=%" G_GUINT64_FORMAT " other=%" G_GUINT64_FORMAT " waited_s=%.1f",
          (guint64)w.transactions, (guint64)w.writes[FC_WRITE_KIND_JOB], (guint64)w.writes[FC_WRITE_KIND_MACHINE],
          (guint64)w.writes[FC_WRITE_KIND_RENTAL], (guint64)w.writes[FC_WRITE_KIND_QUOTA],
          (guint64)w.writes[FC_WRITE_KIND_OTHER], w.waited_s);
-  fc_metrics_log_usage(&controller->metrics);
-}
-
-void fc_round_soon(fc_controller *controller) {
-  controller->round_events++;
-  fc_cond_broadcast(&controller->round_now);
+  fc_metrics_log_usage(controller->metrics);
 }
 
 void fc_round_main(void *arg) {
   fc_controller *controller = arg;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_ROUNDS);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_ROUNDS);
   double logged_at = fc_now();
   /* Between rounds that events ask for, so that a burst is placed together. */
   double least = controller->settings->op.round_s * 0.05;
   while (!fc_routine_cancelled()) {
     double began = fc_now();
-    uint64_t events = controller->round_events;
-    if (fc_may_act(controller)) tick(controller);
+    uint64_t wakeups = fc_wakeups_count(controller->wakeups, FC_WAKEUP_SCHEDULE);
+    if (fc_leadership_held(controller->leadership)) tick(controller);
     double took = fc_now() - began;
-    fc_metrics_time(&controller->metrics, FC_TIME_ROUND, took);
+    fc_metrics_time(controller->metrics, FC_TIME_ROUND, took);
     if (fc_now() > logged_at + controller->settings->lease_s) {
       log_status(controller);
       logged_at = fc_now();
     }
     /* Rounds leave most of the processor to reports, which come before decisions. */
     (void)fc_routine_sleep(MAX(least, took * 4));
-    if (events == controller->round_events)
-      (void)fc_cond_wait(&controller->round_now, began + controller->settings->op.round_s);
+    if (wakeups == fc_wakeups_count(controller->wakeups, FC_WAKEUP_SCHEDULE))
+      (void)fc_wakeups_wait(controller->wakeups, FC_WAKEUP_SCHEDULE, began + controller->settings->op.round_s);
   }
 }
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -20,7 +20,7 @@
     fc_kv_result result = fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_DECISION,
                                                 fc_now() + controller->settings->heartbeat_s, &revision);
     if (result == FC_KV_OK) {
-      while (!fc_wait_revision(controller, revision, fc_now() + controller->settings->heartbeat_s) &&
+      while (!fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + controller->settings->heartbeat_s) &&
              !fc_routine_cancelled()) {
       }
       return;
@@ -31,7 +31,8 @@
     (void)fc_routine_sleep(controller->settings->heartbeat_s * 0.1);
   }
   /* A copy may be what the conflict was with: see it before going on. */
-  while (!fc_wait_fresh(controller, fc_now() + controller->settings->heartbeat_s) && !fc_routine_cancelled()) {
+  while (!fc_kv_watch_wait_fresh(controller->watch, fc_now() + controller->settings->heartbeat_s) &&
+         !fc_routine_cancelled()) {
   }
 }
 
@@ -72,18 +73,18 @@
   write_decided(controller, make_handover, a);
   fc_job *job = fc_cluster_find_job(controller->cluster, a->id);
   if (job) job->slices.handover_pending = 0;
-  fc_round_soon(controller);
+  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
   g_free(a);
 }
 
 static fc_peer_progress what_is_told(fc_controller *controller) {
   fc_peer_progress told = {{0}, {0}, {0}};
   for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
-    const fc_peer *peer = fc_peer_of(controller, i);
+    const fc_peer *peer = fc_peers_of_member(controller->peers, i);
     if (!peer) continue;
-    told.view[i] = peer->acked_view;
-    told.revision[i] = peer->acked_revision;
-    told.fit[i] = fc_member_fit(controller, i);
+    told.view[i] = peer->acknowledged.view;
+    told.revision[i] = peer->acknowledged.revision;
+    told.fit[i] = fc_peers_member_fit(controller->peers, i);
   }
   return told;
 }
@@ -109,7 +110,7 @@
                 sizeof a->to[handover->slice]);
       g_debug("hand over job=%s slice=%u to=%s", a->id, handover->slice, a->to[handover->slice]);
     }
-    controller->counts.handed_over++;
+    controller->metrics->counters.handed_over++;
     job->slices.handover_pending = a->slices;
     job->slices.handover_at = fc_now();
     job->slices.handover_count++;
@@ -156,7 +157,7 @@
     if (placement->stop.requested || !fc_placement_active(placement) || !fc_preemptible_for_gang(placement, gang))
       continue;
     fc_workers_stop(controller, placement);
-    controller->counts.preempted++;
+    controller->metrics->counters.preempted++;
     any = true;
   }
   if (!any) return;
@@ -186,7 +187,7 @@
     g_strlcpy(a->id, transfer->machine->id, sizeof a->id);
     g_strlcpy(a->to, controller->cluster->membership.term.members[transfer->to].name, sizeof a->to);
     g_debug("lend machine=%s to=%s", a->id, a->to);
-    controller->counts.lent++;
+    controller->metrics->counters.machines_transferred++;
     transfer->machine->record_write_pending = true;
     if (!fc_routine_spawn(loan_main, a)) {
       transfer->machine->record_write_pending = false;
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -3,20 +3,33 @@
 #include "controller/dependency_resolver.h"
 #include "controller/description_store.h"
 #include "controller/duties.h"
+#include "controller/membership.h"
+#include "controller/view_receiver.h"
+#include "controller/view_sender.h"
+
+/* The routine of group commit. */
+static void run_group_commit(void *arg) {
+  fc_controller *controller = arg;
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
+  fc_group_commit_run(controller->commit);
+}
 
 fc_controller *fc_controller_start(const fc_settings *settings, const char **why) {
   fc_controller *controller = g_new0(fc_controller, 1);
   controller->settings = settings;
-  controller->started_at = controller->cancel_at = controller->types_at = fc_now();
-  /* Nothing has been read by anybody yet. */
-  controller->kv_read_at = -1e9;
-  for (size_t k = 0; k < settings->peer_count; k++)
-    controller->peers[k].kv_read_at = controller->peers[k].heard_at = -1e9;
+  controller->started_at = controller->types_at = fc_now();
   controller->cluster = fc_cluster_new(settings);
   controller->cluster->clock_offset_s = fc_time_of_day() - fc_now();
-  controller->cancels = fc_cancellation_log_new();
-  fc_metrics_init(&controller->metrics);
+  controller->metrics = fc_metrics_new();
+  controller->wakeups = fc_wakeups_new();
+  controller->leadership = fc_leadership_new(controller->cluster);
+  controller->peers = fc_peers_new(controller->cluster, controller->leadership);
+  controller->cancellations = fc_cancellations_new(controller->cluster, controller->wakeups);
   controller->kv = fc_kv_new(&settings->state_at);
+  fc_record_applier *applier = fc_record_applier_new(controller->cluster, controller->leadership, controller->peers,
+                                                     controller->cancellations, controller->wakeups);
+  controller->watch = fc_kv_watch_new(controller->cluster, controller->kv, applier, controller->leadership,
+                                      controller->wakeups, controller->metrics);
   controller->cloud = fc_cloud_new(&settings->cloud_at);
   controller->archived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -34,19 +47,36 @@
                        fc_now());
   fc_token_bucket_init(&controller->lookup_budget, settings->state_rps / nodes * 0.1,
                        MAX(1.0, settings->state_rps / nodes * 0.1), fc_now());
-  fc_leader_lease_init(&controller->authority, settings->lease_s * settings->op.member_lease_share, settings->lease_s,
-                       settings->cancel_s, settings->heartbeat_s, settings->peer_count);
   if (!fc_front_start(controller)) {
     *why = "client_listen: can't listen there";
     return NULL;
   }
-  if (!fc_peers_start(controller)) {
+  fc_peer_views *views =
+      fc_peer_views_new(controller->cluster, controller->leadership, controller->peers, controller->cancellations,
+                        controller->commit, controller->wakeups, controller->metrics);
+  fc_view_receiver *receiver = fc_view_receiver_new(&(fc_view_receiver_deps){.cluster = controller->cluster,
+                                                                             .leadership = controller->leadership,
+                                                                             .peers = controller->peers,
+                                                                             .views = views,
+                                                                             .cancellations = controller->cancellations,
+                                                                             .commit = controller->commit,
+                                                                             .metrics = controller->metrics});
+  if (!fc_view_receiver_start(receiver)) {
     *why = "peer_listen: can't listen there";
     return NULL;
   }
-  fc_routine_fn duties[] = {fc_watch_main,   fc_read_index_main, fc_commit_duty,      fc_member_main,
-                            fc_round_main,   fc_quota_main,      fc_rent_main,        fc_archive_main,
-                            fc_overdue_main, fc_pipelines_main,  fc_descriptions_main};
+  fc_view_sender *sender = fc_view_sender_new(controller->cluster, controller->leadership, controller->peers, views,
+                                              controller->cancellations, controller->wakeups, controller->metrics);
+  fc_membership_duty *membership =
+      fc_membership_duty_new(controller->cluster, controller->kv, controller->watch, controller->leadership,
+                             controller->peers, controller->metrics);
+  if (!fc_view_sender_start(sender) || !fc_kv_watch_start(controller->watch) ||
+      !fc_routine_spawn(run_group_commit, controller) || !fc_membership_duty_start(membership)) {
+    *why = "out of memory";
+    return NULL;
+  }
+  fc_routine_fn duties[] = {fc_round_main,   fc_quota_main,     fc_rent_main,        fc_archive_main,
+                            fc_overdue_main, fc_pipelines_main, fc_descriptions_main};
   for (size_t i = 0; i < G_N_ELEMENTS(duties); i++) {
     if (!fc_routine_spawn(duties[i], controller)) {
       *why = "out of memory";
@@ -55,3 +85,11 @@
   }
   return controller;
 }
+
+const fc_counters *fc_controller_counters(const fc_controller *controller) {
+  return &controller->metrics->counters;
+}
+
+const fc_cluster *fc_controller_cluster(const fc_controller *controller) {
+  return controller->cluster;
+}
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -91,7 +91,7 @@
   record_arg a = *(record_arg *)arg;
   g_free(arg);
   fc_controller *controller = a.c;
-  fc_metrics_duty(&controller->metrics, FC_DUTY_COMMITS);
+  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
   for (;;) {
     gather_ends(controller, a.id);
     fc_job *job = fc_cluster_find_job(controller->cluster, a.id);
@@ -104,10 +104,10 @@
         fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_HEARTBEAT, fc_now() + 10.0, &revision);
     if (res == FC_KV_OK) {
       g_debug("recorded job=%s done=%u", a.id, count);
-      (void)fc_wait_revision(controller, revision, fc_now() + 2.0);
+      (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
     } else {
       (void)fc_routine_sleep(g_random_double_range(0.05, 0.2));
-      (void)fc_wait_fresh(controller, fc_now() + 2.0);
+      (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 2.0);
     }
   }
   g_hash_table_remove(controller->recording, a.id);
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -6,61 +6,8 @@
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
-
-/* Has the incarnation of another member ended so lately that a worker it answered last may
- * not have come to others yet? Their leases are over well before that. */
-bool fc_workers_may_be_kept(const fc_controller *controller, double now) {
-  return controller->ended_at > 0 && now < controller->ended_at + controller->settings->lease_s * 2;
-}
-
-void fc_workers_kept(fc_controller *controller, const fc_frame_lease_renewal *k, double now) {
-  fc_machine *machine = fc_cluster_find_machine(controller->cluster, k->machine);
-  if (!machine) return;
-  double at = now - k->age_ms / 1000.0;
-  /* One that counts from below what has come to us is a late copy, or the machine was
-   * started anew and is kept alive in its new life. The copy may cost a lease of
-   * waiting; taking the new life for a copy started its tasks twice, for a direct
-   * start that was held back reached it (fault test, seed 158). */
-  bool old =
-      k->epoch < machine->agent.epoch || (k->epoch == machine->agent.epoch && k->sequence < machine->agent.sequence);
-  machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, at);
-  /* Peers repeat what they answered for two leases. What a machine has told us directly
-   * since then settles it: asked again at every acknowledgement, machines that had come
-   * back from another member cost more than all reports. */
-  double latest = at + k->age_ms / 1000.0 * 2 * FC_CLOCK_DRIFT;
-  if (old && fc_machine_owned_by_self(controller->cluster, machine) && latest >= machine->probe.confirmed_at)
-    machine->probe.wanted = true;
-  if (old) return;
-  if (k->bidirectional)
-    machine->reachability.peer_bidirectional_at = MAX(machine->reachability.peer_bidirectional_at, at);
-  if (!k->bidirectional && at > machine->reachability.peer_bidirectional_at &&
-      machine->reachability.peer_unidirectional_at <= machine->reachability.peer_bidirectional_at)
-    machine->reachability.peer_unidirectional_at = at;
-}
-
-void fc_workers_asked(fc_controller *controller, size_t peer, const fc_frame_probe *a, double sent, double now) {
-  fc_machine *machine = fc_cluster_find_machine(controller->cluster, a->machine);
-  if (!machine) return;
-  /* The age was taken between `sent` and now. In doubt the machine counts as reached: the
-   * latest time for an answer, the earliest for none. */
-  if (a->answered) machine->probe.peer_answered_at = MAX(machine->probe.peer_answered_at, now - a->age_ms / 1000.0);
-  if (!a->answered)
-    machine->probe.peer_unanswered_at[peer] = MAX(machine->probe.peer_unanswered_at[peer], sent - a->age_ms / 1000.0);
-}
-
-bool fc_workers_unreachable(const fc_controller *controller, const fc_machine *machine) {
-  /* A question of long ago shows nothing of now. */
-  double from = MAX(controller->ended_at, fc_now() - fc_machine_silence_timeout_s(controller->settings));
-  if (machine->probe.answered || machine->probe.sent_at <= from ||
-      machine->probe.peer_answered_at > controller->ended_at)
-    return false;
-  for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
-    if (i == controller->cluster->membership.self) continue;
-    int k = controller->peer_of[i];
-    if (k < 0 || machine->probe.peer_unanswered_at[k] <= from) return false;
-  }
-  return true;
-}
+#include "controller/machine_reachability.h"
+#include "coordination/leader_lease.h"
 
 typedef struct question {
   fc_controller *c;
@@ -98,12 +45,14 @@
   const fc_settings *settings = controller->settings;
   double now = fc_now();
   if (machine->probe.in_flight || machine->owner < 0 || !machine->announced || !machine->record.endpoint[0] ||
-      !fc_workers_may_be_kept(controller, now))
+      !fc_reachability_may_be_renewed(controller->leadership, controller->settings, now))
     return;
   /* Its owner is out of touch with it, or should have settled it by now. */
-  bool doubtful = fc_machine_reconciled(cluster, machine) ? machine->reachability.owner_suspects
-                                                          : now > controller->term_since + settings->heartbeat_s * 1.5;
-  if (!doubtful || now < machine->probe.sent_at + settings->heartbeat_s || !fc_may_act(controller)) return;
+  bool doubtful = fc_machine_reconciled(cluster, machine)
+                      ? machine->reachability.owner_suspects
+                      : now > fc_leadership_term_since(controller->leadership) + settings->heartbeat_s * 1.5;
+  if (!doubtful || now < machine->probe.sent_at + settings->heartbeat_s || !fc_leadership_held(controller->leadership))
+    return;
   /* Our own machines come first: of the sockets for calls these take a quarter at most. */
   if (controller->worker_calls >= MAX(settings->fd_limit / 32, 1)) return;
   question *a = g_new0(question, 1);
@@ -123,7 +72,7 @@
  * it did not; what dead lives answered, they did before we learned of the term. */
 static double lease_over_at(const fc_controller *controller, const fc_machine *machine) {
   double last = MAX(MAX(machine->lease.answered_at, machine->lease.peer_renewed_at),
-                    MAX(machine->owned_since, controller->term_since));
+                    MAX(machine->owned_since, fc_leadership_term_since(controller->leadership)));
   /* A new session has its full time from its own beginning, though nobody has
    * answered it yet: what was started on it by direct commands alone was once
    * taken for gone, and started elsewhere (fault test, seed 43). */
@@ -135,14 +84,14 @@
 static bool others_covered(fc_controller *controller, double over) {
   for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
     if (i == controller->cluster->membership.self) continue;
-    const fc_peer *peer = fc_peer_of(controller, i);
-    if (!peer || peer->renewals_known_until < over) return false;
+    const fc_peer *peer = fc_peers_of_member(controller->peers, i);
+    if (!peer || peer->acknowledged.renewals_known_until < over) return false;
   }
   /* One that was no member may have entered since we last read of it, and keep the
    * worker alive: alone in a term, and cut off from the state service, we started its
    * tasks again (fault test, seed 353). */
   return controller->cluster->membership.term.count >= controller->settings->peer_count + 1 ||
-         controller->kv_read_at >= over;
+         controller->cluster->sync.read_at >= over;
 }
 
 /* The worker has given up its tasks and is in a later session, or will be when it goes
@@ -168,7 +117,7 @@
       fc_machine_remove_placements(machine);
       end_session(machine);
       machine->reconciled_term = cluster->membership.term.number;
-      if (fc_cluster_update_reconciled(cluster)) fc_round_soon(controller);
+      if (fc_cluster_update_reconciled(cluster)) fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
     }
   }
 }
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -362,10 +362,10 @@
   int n = node_of(ip);
   const fc_controller *controller = g_controllers[n];
   if (!controller) return 0;
-  uint64_t rounds = controller->counts.rounds, before = MIN(seen[n], rounds);
+  uint64_t rounds = fc_controller_counters(controller)->rounds, before = MIN(seen[n], rounds);
   seen[n] = rounds;
-  return (double)(rounds - before) * (machine_s * g_hash_table_size(controller->cluster->machines) +
-                                      job_s * g_hash_table_size(controller->cluster->jobs));
+  return (double)(rounds - before) * (machine_s * g_hash_table_size(fc_controller_cluster(controller)->machines) +
+                                      job_s * g_hash_table_size(fc_controller_cluster(controller)->jobs));
 }
 
 void world_slow(unsigned node, double of_processor, double timers_late_s) {
@@ -387,8 +387,8 @@
   checks_end();
 }
 
-fc_counts world_counts(unsigned node) {
-  return g_controllers[node]->counts;
+fc_counters world_counts(unsigned node) {
+  return *fc_controller_counters(g_controllers[node]);
 }
 
 void world_machines_up(unsigned zone, unsigned count) {
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -62,7 +62,7 @@
 void world_keep_idle(void);         /* idle machines are not returned */
 void world_keep_over(double for_s); /* jobs that are over are archived after so long */
 /* What a controller has counted since its last start. */
-fc_counts world_counts(unsigned node);
+fc_counters world_counts(unsigned node);
 void world_machines_up(unsigned zone, unsigned count); /* ordinary ones, there from the start */
 /* "job-000007"; good until the fourth call after it. */
 const char *world_id(unsigned k);
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -45,13 +45,13 @@
   sim_run_until(sim_now() + 40);
   assert_int_equal(world_so_far().starts, services * 6 + 150);
   /* Nothing happens: views say nothing, and few machines are asked anything. */
-  fc_counts before = world_counts(0);
+  fc_counters before = world_counts(0);
   sim_run_until(sim_now() + 20);
-  fc_counts after = world_counts(0);
+  fc_counters after = world_counts(0);
   assert_true(after.exchanges > before.exchanges);
-  assert_true(after.shown - before.shown <= after.exchanges - before.exchanges);
-  assert_true(after.reports - before.reports > machines / 3);
-  assert_true(after.pushes - before.pushes < machines / 20);
+  assert_true(after.machines_sent - before.machines_sent <= after.exchanges - before.exchanges);
+  assert_true(after.heartbeats - before.heartbeats > machines / 3);
+  assert_true(after.worker_calls - before.worker_calls < machines / 20);
   /* Two of three are gone for longer than any lease. */
   world_crash(1, 100);
   world_crash(2, 100);
@@ -68,7 +68,7 @@
     check_row(id, world_began(id) > 0);
   }
   after = world_counts(0);
-  assert_true(after.reports - before.reports > (uint64_t)machines * 20);
+  assert_true(after.heartbeats - before.heartbeats > (uint64_t)machines * 20);
   sim_run_until(sim_now() + 45);
   /* All from nothing at once. */
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
@@ -323,9 +323,9 @@
   sim_run_until(sim_now() + 25);
   world_crash(1, 8);
   sim_run_until(sim_now() + 8);
-  uint64_t before = world_counts(0).pushes + world_counts(2).pushes;
+  uint64_t before = world_counts(0).worker_calls + world_counts(2).worker_calls;
   sim_run_until(sim_now() + 30);
-  uint64_t asked = world_counts(0).pushes + world_counts(1).pushes + world_counts(2).pushes - before;
+  uint64_t asked = world_counts(0).worker_calls + world_counts(1).worker_calls + world_counts(2).worker_calls - before;
   print_message("%u machines, %u direct calls\n", machines, (unsigned)asked);
   world_result r = world_so_far();
   if (r.broken) fail_msg("%s", r.first);
--- a/tests/test_small_costs.c
+++ b/tests/test_small_costs.c
@@ -14,7 +14,7 @@
 
 typedef struct sample {
   sim_load load;
-  fc_counts counts;
+  fc_counters counts;
   heap_use heap;
 } sample;
 
@@ -38,7 +38,7 @@
 static void figures_between(const sample *a, const sample *b, double out[FIGURES]) {
   const sim_way *w0 = &a->load.workers, *w1 = &b->load.workers;
   const sim_way *p0 = &a->load.peers, *p1 = &b->load.peers;
-  double reports = (double)(b->counts.reports - a->counts.reports);
+  double reports = (double)(b->counts.heartbeats - a->counts.heartbeats);
   out[REPORT_MESSAGES] =
       (double)(w1->got.messages - w0->got.messages + w1->sent.messages - w0->sent.messages) / reports;
   out[ANSWER_BYTES] = (double)(w1->sent.bytes - w0->sent.bytes) / reports;
@@ -62,7 +62,7 @@
   sample after = sample_now(0);
   figures_between(&before, &after, out);
   check_rules("idle");
-  return (double)(after.counts.reports - before.counts.reports) / WATCHED_S;
+  return (double)(after.counts.heartbeats - before.counts.heartbeats) / WATCHED_S;
 }
 
 static void an_idle_fleet_costs_its_reports(void **state) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -90,7 +90,8 @@
     sim_run_until(sim_now() + 82);
     world_result r = world_so_far();
     unsigned moved = 0;
-    for (unsigned n = 0; n < WORLD_NODES; n++) moved += (unsigned)(world_counts(n).handed_over + world_counts(n).lent);
+    for (unsigned n = 0; n < WORLD_NODES; n++)
+      moved += (unsigned)(world_counts(n).handed_over + world_counts(n).machines_transferred);
     print_message("%s: %u done, %u cancelled, %u handed over or lent, %u tasks ended by a lease\n", row->name,
                   r.finished, r.cancelled, moved, r.lease_kills);
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
--- a/tests/test_views.c
+++ b/tests/test_views.c
@@ -3,14 +3,22 @@
 
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/shard_ownership.h"
-#include "controller/controller.h"
+#include "controller/kv_watch.h"
+#include "controller/peer_view.h"
 #include "world.h"
 
 static const fc_term k_term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
 
 typedef struct side {
   fc_settings settings;
-  fc_controller c;
+  fc_cluster *cluster;
+  fc_metrics *metrics;
+  fc_wakeups *wakeups;
+  fc_leadership *leadership;
+  fc_peers *peers;
+  fc_cancellations *cancellations;
+  fc_group_commit *commit;
+  fc_peer_views *views;
 } side;
 
 /* One of two controllers in term 5; its only peer is the other. */
@@ -27,42 +35,66 @@
   s->settings.name = (char *)name;
   s->settings.peer_count = 1;
   s->settings.peers[0].name = (char *)other;
-  fc_controller *controller = &s->c;
-  controller->settings = &s->settings;
-  controller->peers[0].settings = &s->settings.peers[0];
-  controller->cluster = world_table(&s->settings);
-  controller->cancels = fc_cancellation_log_new();
-  controller->commit = fc_group_commit_new(NULL, &k_limits);
-  fc_cluster_apply_term(controller->cluster, &k_term, 9, false, 0);
-  controller->incarnation = boot;
+  s->cluster = world_table(&s->settings);
+  s->metrics = fc_metrics_new();
+  s->wakeups = fc_wakeups_new();
+  s->leadership = fc_leadership_new(s->cluster);
+  s->peers = fc_peers_new(s->cluster, s->leadership);
+  s->cancellations = fc_cancellations_new(s->cluster, s->wakeups);
+  s->commit = fc_group_commit_new(NULL, &k_limits);
+  s->views =
+      fc_peer_views_new(s->cluster, s->leadership, s->peers, s->cancellations, s->commit, s->wakeups, s->metrics);
+  fc_cluster_apply_term(s->cluster, &k_term, 9, false, 0);
+  fc_leadership_set_incarnation(s->leadership, boot);
   return s;
 }
 
 static void side_free(side *s) {
-  fc_cluster_free(s->c.cluster);
-  fc_cancellation_log_free(s->c.cancels);
-  g_free(s->c.commit);
+  fc_peer_views_free(s->views);
+  g_free(s->commit);
+  fc_cancellations_free(s->cancellations);
+  fc_peers_free(s->peers);
+  fc_leadership_free(s->leadership);
+  fc_wakeups_free(s->wakeups);
+  fc_metrics_free(s->metrics);
+  fc_cluster_free(s->cluster);
   g_free(s);
 }
 
+static fc_peer *only_peer(side *s) {
+  return fc_peers_at(s->peers, 0);
+}
+
 /* The same machines and jobs on both sides, all of paddock-0, `tasks` on each. */
 static void fill(side *a, side *b, unsigned machines, unsigned tasks) {
   for (unsigned i = 0; i < machines; i++) {
     char id[32], job[32];
     g_snprintf(id, sizeof id, "vm-%06u", i);
     g_snprintf(job, sizeof job, "job-%06u", i);
-    fc_machine *machine = world_machine(a->c.cluster, id, i % 2 ? "a" : "b", false);
-    fc_machine *n = world_machine(b->c.cluster, id, i % 2 ? "a" : "b", false);
+    fc_machine *machine = world_machine(a->cluster, id, i % 2 ? "a" : "b", false);
+    fc_machine *n = world_machine(b->cluster, id, i % 2 ? "a" : "b", false);
     n->reconciled_term = 0;
     for (unsigned k = 0; k < tasks; k++)
-      fc_cluster_add_placement(a->c.cluster, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
+      fc_cluster_add_placement(a->cluster, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
           FC_TASK_RUNNING;
   }
 }
 
+/* The side learns of a cancellation that it has not heard of before. */
+static void learn(side *s, const char *job, uint64_t revision) {
+  size_t before, after;
+  fc_frame_cancellation *list;
+  assert_true(fc_cancellations_since(s->cancellations, 0, &list, &before));
+  g_free(list);
+  fc_cancellations_learned(s->cancellations, job, revision, 0);
+  assert_true(fc_cancellations_since(s->cancellations, 0, &list, &after));
+  g_free(list);
+  assert_int_equal(after, before + 1);
+}
+
 static GPtrArray *frames_of(side *from, uint64_t seq) {
   GByteArray *out = g_byte_array_new();
-  fc_view_make(&from->c, &from->c.peers[0], seq, out);
+  fc_peer_views_encode(from->views, only_peer(from), seq, out);
   GPtrArray *frames = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
   for (guint at = 0; at < out->len;) {
     fc_frame_type type;
@@ -75,28 +107,28 @@
   return frames;
 }
 
-static fc_view_fate deliver(side *to, const GPtrArray *frames, guint piece) {
+static fc_view_result deliver(side *to, const GPtrArray *frames, guint piece) {
   gsize len;
   const uint8_t *p = g_bytes_get_data(frames->pdata[piece], &len);
   fc_view view;
   assert_true(fc_view_decode(p, len, &view));
-  fc_view_fate fate = fc_view_take(&to->c, &view);
+  fc_view_result fate = fc_peer_views_apply(to->views, &view);
   fc_view_clear(&view);
   return fate;
 }
 
 /* The sender learns that the view was applied, at this state of the other's table. */
 static void acked(side *from, uint64_t seq, uint64_t revision) {
-  from->c.peers[0].acked_sequence = seq;
-  from->c.peers[0].acked_view = from->c.cluster->view_number;
-  from->c.peers[0].acked_revision = revision;
+  only_peer(from)->acknowledged.sequence = seq;
+  only_peer(from)->acknowledged.view = from->cluster->view_number;
+  only_peer(from)->acknowledged.revision = revision;
 }
 
 static unsigned held(const side *s) {
   unsigned n = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init(&it, s->c.cluster->machines);
+  g_hash_table_iter_init(&it, s->cluster->machines);
   while (g_hash_table_iter_next(&it, NULL, &value)) n += ((fc_machine *)value)->placements->len;
   return n;
 }
@@ -115,23 +147,23 @@
     for (guint k = 0; k < whole->len; k++) {
       bytes += g_bytes_get_size(whole->pdata[k]);
       assert_true(g_bytes_get_size(whole->pdata[k]) < 2 * FC_PIECE_BYTES);
-      assert_int_equal(deliver(b, whole, k), FC_VIEW_TAKEN);
+      assert_int_equal(deliver(b, whole, k), FC_VIEW_APPLIED);
     }
     assert_true(whole->len >= bytes / (2 * FC_PIECE_BYTES));
     assert_int_equal(held(b), sizes[i] * 4);
-    assert_int_equal(b->c.peers[0].view_sequence, 1);
+    assert_int_equal(only_peer(b)->received.sequence, 1);
     g_ptr_array_free(whole, TRUE);
     acked(a, 1, 100);
-    uint64_t told = a->c.counts.shown;
+    uint64_t told = a->metrics->counters.machines_sent;
     assert_int_equal(told, sizes[i]);
-    fc_machine *machine = fc_cluster_find_machine(a->c.cluster, "vm-000000");
+    fc_machine *machine = fc_cluster_find_machine(a->cluster, "vm-000000");
     if (machine) ((fc_placement *)machine->placements->pdata[0])->status.state = FC_TASK_SAVING;
     GPtrArray *news = frames_of(a, 2);
     assert_int_equal(news->len, 1);
-    assert_int_equal(a->c.counts.shown - told, machine ? 1 : 0);
-    assert_int_equal(deliver(b, news, 0), FC_VIEW_TAKEN);
+    assert_int_equal(a->metrics->counters.machines_sent - told, machine ? 1 : 0);
+    assert_int_equal(deliver(b, news, 0), FC_VIEW_APPLIED);
     if (machine) {
-      const fc_machine *n = fc_cluster_find_machine(b->c.cluster, "vm-000000");
+      const fc_machine *n = fc_cluster_find_machine(b->cluster, "vm-000000");
       assert_int_equal(((fc_placement *)n->placements->pdata[0])->status.state, FC_TASK_SAVING);
     }
     g_ptr_array_free(news, TRUE);
@@ -145,16 +177,16 @@
   (void)state;
   static const struct {
     const char *name, *order;
-    fc_view_fate last;
+    fc_view_result last;
     bool holds; /* the receiver holds view 2 afterwards */
   } rows[] = {
-      {"in order", "012", FC_VIEW_TAKEN, true},
+      {"in order", "012", FC_VIEW_APPLIED, true},
       {"one is lost", "02", FC_VIEW_BROKEN, false},
       {"the first is lost", "12", FC_VIEW_BROKEN, false},
       {"one comes twice", "0112", FC_VIEW_BROKEN, false},
       {"the first comes twice", "00", FC_VIEW_BROKEN, false},
       {"two change places", "021", FC_VIEW_BROKEN, false},
-      {"the last does not come", "01", FC_VIEW_TAKEN, false},
+      {"the last does not come", "01", FC_VIEW_APPLIED, false},
       {"the whole again, later", "0120", FC_VIEW_BROKEN, true},
       {"a copy of the view before", "x", FC_VIEW_BROKEN, false},
   };
@@ -163,15 +195,15 @@
     fill(a, b, 1500, 4);
     GPtrArray *first = frames_of(a, 1), *second = frames_of(a, 2);
     assert_int_equal(second->len, 3);
-    for (guint k = 0; k < 3; k++) assert_int_equal(deliver(b, first, k), FC_VIEW_TAKEN);
-    fc_view_fate fate = FC_VIEW_IGNORED;
+    for (guint k = 0; k < 3; k++) assert_int_equal(deliver(b, first, k), FC_VIEW_APPLIED);
+    fc_view_result fate = FC_VIEW_IGNORED;
     bool closed = false;
     for (const char *p = rows[i].order; *p && !closed; p++) {
       fate = *p == 'x' ? deliver(b, first, 0) : deliver(b, second, (guint)(*p - '0'));
       closed = fate == FC_VIEW_BROKEN;
     }
     check_row(rows[i].name, fate == rows[i].last);
-    check_row(rows[i].name, (b->c.peers[0].view_sequence == 2) == rows[i].holds);
+    check_row(rows[i].name, (only_peer(b)->received.sequence == 2) == rows[i].holds);
     g_ptr_array_free(first, TRUE);
     g_ptr_array_free(second, TRUE);
     side_free(a);
@@ -185,22 +217,22 @@
   static const struct {
     const char *name;
     bool other_life, other_term, missed, knows_late;
-    fc_view_fate fate;
+    fc_view_result fate;
   } rows[] = {
-      {"on its base", false, false, false, false, FC_VIEW_TAKEN},
+      {"on its base", false, false, false, false, FC_VIEW_APPLIED},
       {"the sender has begun anew", true, false, false, false, FC_VIEW_IGNORED},
       {"of the term before", false, true, false, false, FC_VIEW_IGNORED},
       {"the receiver has not got the base", false, false, true, false, FC_VIEW_IGNORED},
-      {"the machine was not known to be theirs", false, false, false, true, FC_VIEW_TAKEN},
+      {"the machine was not known to be theirs", false, false, false, true, FC_VIEW_APPLIED},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 10, 1);
     GPtrArray *first = frames_of(a, 1);
-    fc_machine *known = fc_cluster_find_machine(b->c.cluster, "vm-000003");
+    fc_machine *known = fc_cluster_find_machine(b->cluster, "vm-000003");
     if (rows[i].knows_late) known->owner = 1;
-    if (!rows[i].missed) assert_int_equal(deliver(b, first, 0), FC_VIEW_TAKEN);
-    fc_machine *machine = fc_cluster_find_machine(a->c.cluster, "vm-000003");
+    if (!rows[i].missed) assert_int_equal(deliver(b, first, 0), FC_VIEW_APPLIED);
+    fc_machine *machine = fc_cluster_find_machine(a->cluster, "vm-000003");
     machine->record_version = 50;
     acked(a, 1, rows[i].knows_late ? 49 : 50);
     if (!rows[i].knows_late) fc_placement_remove(machine->placements->pdata[0]);
@@ -209,9 +241,9 @@
     fc_term next = k_term;
     if (rows[i].other_life) next.members[0].incarnation = 7;
     if (rows[i].other_term) next.number++;
-    if (rows[i].other_life || rows[i].other_term) fc_cluster_apply_term(b->c.cluster, &next, 10, true, 2);
+    if (rows[i].other_life || rows[i].other_term) fc_cluster_apply_term(b->cluster, &next, 10, true, 2);
     check_row(rows[i].name, deliver(b, second, 0) == rows[i].fate);
-    if (rows[i].fate == FC_VIEW_TAKEN) {
+    if (rows[i].fate == FC_VIEW_APPLIED) {
       check_row(rows[i].name, known->placements->len == (rows[i].knows_late ? 1 : 0));
       check_row(rows[i].name, held(b) == (rows[i].knows_late ? 10 : 9));
     }
@@ -238,14 +270,14 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 2, 1);
-    fc_machine *machine = fc_cluster_find_machine(a->c.cluster, "vm-000000");
+    fc_machine *machine = fc_cluster_find_machine(a->cluster, "vm-000000");
     for (unsigned k = 1; k < rows[i].tasks; k++)
-      fc_cluster_add_placement(a->c.cluster, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
+      fc_cluster_add_placement(a->cluster, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
           FC_TASK_RUNNING;
     GPtrArray *frames = frames_of(a, 1);
-    for (guint k = 0; k < frames->len; k++) check_row(rows[i].name, deliver(b, frames, k) == FC_VIEW_TAKEN);
+    for (guint k = 0; k < frames->len; k++) check_row(rows[i].name, deliver(b, frames, k) == FC_VIEW_APPLIED);
     check_row(rows[i].name, held(b) == (rows[i].told ? rows[i].tasks + 1 : 1));
-    check_row(rows[i].name, (fc_cluster_find_machine(b->c.cluster, "vm-000000")->reconciled_term == 5) == rows[i].told);
+    check_row(rows[i].name, (fc_cluster_find_machine(b->cluster, "vm-000000")->reconciled_term == 5) == rows[i].told);
     g_ptr_array_free(frames, TRUE);
     side_free(a);
     side_free(b);
@@ -264,9 +296,9 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     side *a = side_new("paddock-0", "paddock-1", 1), *b = side_new("paddock-1", "paddock-0", 2);
     fill(a, b, 2000, 3);
-    assert_true(fc_cancellation_log_add(a->c.cancels, "job-000020", 20, 0));
-    assert_true(fc_cancellation_log_add(a->c.cancels, "job-000021", 21, 0));
-    a->c.peers[0].revision = rows[i].read;
+    learn(a, "job-000020", 20);
+    learn(a, "job-000021", 21);
+    only_peer(a)->revision = rows[i].read;
     GPtrArray *frames = frames_of(a, 1);
     assert_true(frames->len > 1);
     for (guint k = 0; k < frames->len; k++) {
@@ -309,7 +341,7 @@
     fc_settings settings = world_settings();
     settings.cpu = rows[i].cpu;
     settings.peer_count = rows[i].peers;
-    double spacing = fc_view_spacing(&settings, rows[i].lag_s) / settings.heartbeat_s;
+    double spacing = fc_peer_view_spacing_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
     check_row(rows[i].name, spacing >= rows[i].least - 1e-9 && spacing <= rows[i].most + 1e-9);
   }
 }
@@ -326,7 +358,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = world_settings();
     settings.cpu = rows[i].cpu;
-    check_row(rows[i].name, fc_watch_page_rows(&settings) == rows[i].rows);
+    check_row(rows[i].name, fc_kv_watch_page_rows(&settings) == rows[i].rows);
   }
 }
 
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -5,6 +5,7 @@
 #include "bookkeeping/job_records.h"
 #include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
+#include "controller/machine_reachability.h"
 #include "scheduler/bin_packing.h"
 #include "transport/routine.h"
 #include "world.h"
@@ -23,24 +24,30 @@
   b->settings.peers[0].name = "paddock-1";
   fc_controller *controller = &b->c;
   controller->settings = &b->settings;
-  controller->peers[0].settings = &b->settings.peers[0];
   controller->cluster = world_table(&b->settings);
+  controller->metrics = fc_metrics_new();
+  controller->wakeups = fc_wakeups_new();
+  controller->leadership = fc_leadership_new(controller->cluster);
+  controller->peers = fc_peers_new(controller->cluster, controller->leadership);
+  controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   fc_term term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
   fc_cluster_apply_term(controller->cluster, &term, 9, false, 0);
-  controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  controller->incarnation = 1;
-  controller->loaded = true;
+  fc_leadership_term_applied(controller->leadership, 0, false);
+  fc_leadership_set_incarnation(controller->leadership, 1);
+  controller->cluster->sync.loaded = true;
   double now = fc_now();
-  controller->peers[0].heard_at = now;
-  controller->peer_of[0] = -1;
-  fc_leader_lease_init(&controller->authority, 7, 14, 34, 2, 1);
-  fc_leader_lease_renewed(&controller->authority, now);
-  fc_leader_lease_read_fresh(&controller->authority, now);
+  fc_peers_at(controller->peers, 0)->heard_at = now;
+  fc_leadership_lease_renewed(controller->leadership, now);
+  fc_leadership_read_fresh(controller->leadership, now);
   return b;
 }
 
 static void bench_free(bench *b) {
   g_hash_table_destroy(b->c.recording);
+  fc_peers_free(b->c.peers);
+  fc_leadership_free(b->c.leadership);
+  fc_wakeups_free(b->c.wakeups);
+  fc_metrics_free(b->c.metrics);
   fc_cluster_free(b->c.cluster);
   g_free(b);
 }
@@ -86,8 +93,8 @@
     fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = false;
-    if (!rows[i].lease) fc_leader_lease_lost(&b->c.authority);
-    if (!rows[i].owner_heard) b->c.peers[0].heard_at = -1e9;
+    if (!rows[i].lease) fc_leadership_lease_lost(b->c.leadership);
+    if (!rows[i].owner_heard) fc_peers_at(b->c.peers, 0)->heard_at = -1e9;
     GString *out = g_string_new(NULL);
     check_row(rows[i].name, report(b, 1, 1, rows[i].token, "", out) == rows[i].status);
     check_row(rows[i].name, says(out, rows[i].text));
@@ -308,7 +315,7 @@
     }
     if (!rows[i].owner) {
       machine->owner = 1;
-      b->c.peers[0].heard_at = -1e9;
+      fc_peers_at(b->c.peers, 0)->heard_at = -1e9;
     }
     if (rows[i].cancelled == READ) job->phase = FC_PHASE_CANCELLED;
     if (rows[i].cancelled >= TOLD) fc_cluster_apply_cancellation(cluster, "job-000001", 99, fc_now(), fc_now());
@@ -393,7 +400,7 @@
   fc_cluster *cluster = b->c.cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->owner = 1;
-  b->c.peers[0].heard_at = -1e9; /* we keep it for its owner */
+  fc_peers_at(b->c.peers, 0)->heard_at = -1e9; /* we keep it for its owner */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 20, 5, "", out), 200);
   double answered = machine->lease.answered_at;
@@ -501,18 +508,19 @@
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0)->start.sent = true;
     double now = fc_now();
-    b->c.peers[0].renewals_known_until = now + 100;
-    b->c.term_since = machine->owned_since = now - 100;
+    fc_peers_at(b->c.peers, 0)->acknowledged.renewals_known_until = now + 100;
+    machine->owned_since = now - 100;
+    fc_leadership_term_applied(b->c.leadership, now - 100, false);
     machine->lease.answered_at = now - rows[i].answered;
     machine->agent.epoch_began_at = now - rows[i].session;
     machine->agent.reported = true;
     machine->agent.epoch = 1;
     machine->agent.sequence = 9;
-    b->c.kv_read_at = now - rows[i].read;
+    b->c.cluster->sync.read_at = now - rows[i].read;
     if (rows[i].alone) cluster->membership.term.count = 1;
     fc_frame_lease_renewal k = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].kept * 1000), .epoch = 1};
     k.sequence = rows[i].kept_seq;
-    if (k.sequence) fc_workers_kept(&b->c, &k, now);
+    if (k.sequence) fc_reachability_note_renewal(b->c.cluster, &k, now);
     fc_workers_expire(&b->c);
     check_row(rows[i].name, (machine->placements->len == 0) == rows[i].over);
     bench_free(b);
@@ -550,7 +558,7 @@
     machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
     fc_frame_lease_renewal k = {.machine = "vm-1", .epoch = rows[i].session, .sequence = rows[i].seq};
     k.age_ms = (uint32_t)(rows[i].answered_s * 1000);
-    fc_workers_kept(&b->c, &k, now);
+    fc_reachability_note_renewal(b->c.cluster, &k, now);
     check_row(rows[i].name, machine->probe.wanted == rows[i].asks);
     bench_free(b);
   }
@@ -634,17 +642,16 @@
     bench *b = bench_new();
     fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
     double now = fc_now();
-    b->c.peer_of[0] = -1;
-    b->c.peer_of[1] = 0;
-    b->c.ended_at = now - rows[i].ended;
+    fc_leadership_term_applied(b->c.leadership, now - rows[i].ended, true);
     machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
     machine->probe.answered = rows[i].answered;
     fc_frame_probe a = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
-    if (rows[i].theirs >= 0) fc_workers_asked(&b->c, 0, &a, now - rows[i].view, now);
+    if (rows[i].theirs >= 0) fc_reachability_note_probe(b->c.cluster, 0, &a, now - rows[i].view, now);
     a.age_ms = (uint32_t)(rows[i].again * 1000);
     a.answered = false;
-    if (rows[i].again > 0) fc_workers_asked(&b->c, 0, &a, now, now);
-    check_row(rows[i].name, fc_workers_unreachable(&b->c, machine) == rows[i].unreachable);
+    if (rows[i].again > 0) fc_reachability_note_probe(b->c.cluster, 0, &a, now, now);
+    check_row(rows[i].name,
+              fc_reachability_probed_in_vain(b->c.cluster, b->c.leadership, machine) == rows[i].unreachable);
     bench_free(b);
   }
 }
@@ -678,8 +685,8 @@
     double now = fc_now();
     b->settings.fd_limit = 800;
     b->c.worker_calls = rows[i].under_way;
-    b->c.ended_at = now - rows[i].ended;
-    b->c.term_since = now - rows[i].term;
+    fc_leadership_term_applied(b->c.leadership, now - rows[i].ended, true);
+    fc_leadership_term_applied(b->c.leadership, now - rows[i].term, false);
     machine->owner = rows[i].owner;
     machine->announced = rows[i].announced;
     machine->reachability.owner_suspects = rows[i].mute;
