--- a/src/controller/job_api.c
+++ b/src/controller/job_api.c
@@ -198,7 +198,7 @@
       .slices = fc_job_slices(s->spec, controller->settings->op.split_limit)};
   bool fit[FC_MEMBERS_MAX];
   for (size_t i = 0; i < controller->table->membership.term.count; i++) fit[i] = fc_member_fit(controller, (int)i);
-  fc_place_new_job_slices(controller->table, fit, s->spec, record.slices, record.handed);
+  fc_assign_new_job_slices(controller->table, fit, s->spec, record.slices, record.handed);
   return record;
 }
 
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -81,9 +81,9 @@
   for (int i = 0; i < (int)controller->table->membership.term.count; i++) {
     const fc_peer *peer = fc_peer_of(controller, i);
     if (!peer) continue;
-    told.view[i] = peer->acked_view;
-    told.revision[i] = peer->acked_revision;
-    told.fit[i] = fc_member_fit(controller, i);
+    told.acked_view[i] = peer->acked_view;
+    told.acked_revision[i] = peer->acked_revision;
+    told.available[i] = fc_member_fit(controller, i);
   }
   return told;
 }
@@ -103,7 +103,7 @@
       const fc_handover *handover = &g_array_index(plan, fc_handover, k);
       if (handover->job != job) continue;
       a->slices |= 1u << handover->slice;
-      a->homes[handover->slice] = handover->homes;
+      a->homes[handover->slice] = handover->machine_owners;
       a->unseen |= (unsigned)handover->unseen << handover->slice;
       g_strlcpy(a->to[handover->slice], controller->table->membership.term.members[handover->to].name,
                 sizeof a->to[handover->slice]);
@@ -172,7 +172,7 @@
     if (machine->record_write_pending || fc_machine_returning(machine)) continue;
     g_strlcpy(machine->reservation.gang, transfer->gang->spec.id, sizeof machine->reservation.gang);
     machine->reservation.until = fc_now() + controller->settings->op.round_s * 2;
-    if (transfer->clear && machine->placements->len > 0) {
+    if (transfer->preempt && machine->placements->len > 0) {
       clear_for(controller, machine, transfer->gang);
       continue;
     }
--- a/src/scheduler/shard_balancing.c
+++ b/src/scheduler/shard_balancing.c
@@ -94,8 +94,8 @@
   return false;
 }
 
-void fc_place_new_job_slices(const fc_cluster *cluster, const bool *fit, const fc_job_spec *spec, unsigned slices,
-                             char **handed) {
+void fc_assign_new_job_slices(const fc_cluster *cluster, const bool *fit, const fc_job_spec *spec, unsigned slices,
+                              char **handed) {
   fc_term good = cluster->membership.term, able = cluster->membership.term;
   good.count = able.count = 0;
   for (size_t i = 0; i < cluster->membership.term.count; i++) {
@@ -175,7 +175,8 @@
      * slice was handed over and started again (fault test with meetings, seed 566). */
     if (machine->reconciled_term != cluster->membership.term.number) return KNOWS_NOT;
     if (machine->owner == cluster->membership.self) {
-      if (told->view[to] < placement->first_view || told->revision[to] < machine->record_version) return KNOWS_NOT;
+      if (told->acked_view[to] < placement->first_view || told->acked_revision[to] < machine->record_version)
+        return KNOWS_NOT;
       continue;
     }
     if (machine->owner == to) continue;
@@ -262,7 +263,8 @@
   int best = -1;
   unsigned best_n = 0;
   for (int m = 0; m < (int)cluster->membership.term.count; m++) {
-    if (m == cluster->membership.self || !told->fit[m] || knows(cluster, told, job, slice, m) == KNOWS_NOT) continue;
+    if (m == cluster->membership.self || !told->available[m] || knows(cluster, told, job, slice, m) == KNOWS_NOT)
+      continue;
     unsigned n = hold_job(room, cluster, job, m, want, false);
     if (job->spec.kind == FC_JOB_GANG && n < want) continue;
     if (n <= best_n) continue;
@@ -282,7 +284,7 @@
     int to = best_holder(cluster, told, room, job, s, q->want[s]);
     if (to < 0) continue;
     (void)hold_job(room, cluster, job, to, q->want[s], true);
-    fc_handover h = {.job = job, .slice = s, .to = to, .homes = homes_of(job, s) | 1u << to};
+    fc_handover h = {.job = job, .slice = s, .to = to, .machine_owners = homes_of(job, s) | 1u << to};
     h.unseen = knows(cluster, told, job, s, to) != KNOWS_ALL;
     g_array_append_val(out, h);
   }
@@ -405,7 +407,7 @@
       g->left--;
     }
     if (machine->owner != cluster->membership.self || (of_owner && !clearing)) continue;
-    fc_machine_transfer l = {.machine = machine, .to = g->owner, .gang = g->job, .clear = clearing};
+    fc_machine_transfer l = {.machine = machine, .to = g->owner, .gang = g->job, .preempt = clearing};
     g_array_append_val(out, l);
   }
 }
@@ -460,7 +462,7 @@
     fc_job *job = jobs->pdata[i];
     if (fc_gang_precedes(cluster, turn[job->team], job, now)) continue;
     int owner = fc_job_slice_owner(job, 0);
-    if (owner >= 0 && (owner == cluster->membership.self || told->fit[owner]))
+    if (owner >= 0 && (owner == cluster->membership.self || told->available[owner]))
       lend_to_gang(cluster, room, job, now, out);
   }
   g_ptr_array_free(jobs, TRUE);
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -350,10 +350,10 @@
     fc_job *gang = world_job(cluster, "job-000002", "gang", "high", "red", 2, 4, "\"samePlace\":true");
     gang->record.handed_to[0] = g_strdup(rows[i].gang_ours ? "paddock-0" : "paddock-1");
     fc_cluster_assign_slices(cluster, gang);
-    fc_peer_progress told = {.fit = {true, true}};
+    fc_peer_progress told = {.available = {true, true}};
     GArray *loans = fc_plan_machine_transfers(cluster, &told, 90);
     check_row(rows[i].name, loans->len == rows[i].loans);
-    if (loans->len) check_row(rows[i].name, g_array_index(loans, fc_machine_transfer, 0).clear == rows[i].clear);
+    if (loans->len) check_row(rows[i].name, g_array_index(loans, fc_machine_transfer, 0).preempt == rows[i].clear);
     g_array_free(loans, TRUE);
     fc_cluster_free(cluster);
   }
@@ -474,16 +474,16 @@
     if (rows[i].theirs) fc_cluster_add_placement(cluster, n, job->spec.id, 1, 4, 10)->status.state = FC_TASK_RUNNING;
     if (rows[i].theirs == THERE_UNSETTLED) n->reconciled_term = 0;
     if (rows[i].ours_unsettled) machine->reconciled_term = 0;
-    fc_peer_progress told = {.fit = {true, !rows[i].away}};
+    fc_peer_progress told = {.available = {true, !rows[i].away}};
     if (rows[i].told) {
-      told.view[1] = 100;
-      told.revision[1] = 100;
+      told.acked_view[1] = 100;
+      told.acked_revision[1] = 100;
     }
     GArray *plan = fc_plan_handovers(cluster, &told, 90);
     check_row(rows[i].name, plan->len == rows[i].expect);
     if (plan->len) {
       const fc_handover *handover = &g_array_index(plan, fc_handover, 0);
-      check_row(rows[i].name, handover->to == 1 && handover->homes == (rows[i].running ? 3 : 2));
+      check_row(rows[i].name, handover->to == 1 && handover->machine_owners == (rows[i].running ? 3 : 2));
     }
     g_array_free(plan, TRUE);
     fc_cluster_free(cluster);
@@ -520,7 +520,7 @@
     ours->record.handed_to[0] = g_strdup("paddock-0");
     world_deal(cluster);
     ours->slices.resolved = 1;
-    fc_peer_progress told = {.fit = {true, true}};
+    fc_peer_progress told = {.available = {true, true}};
     GArray *plan = fc_plan_handovers(cluster, &told, 90);
     check_row(rows[i].name, plan->len == rows[i].expect);
     if (plan->len) check_row(rows[i].name, g_array_index(plan, fc_handover, 0).job == ours);
@@ -574,7 +574,7 @@
     if (!k_mates[i].settled) machine->reconciled_term = 4;
     fc_machine *spare = world_machine(cluster, "vm-4", "a", false); /* room at the receiver in any case */
     spare->owner = 1;
-    fc_peer_progress told = {.fit = {true, true, true}};
+    fc_peer_progress told = {.available = {true, true, true}};
     GArray *plan = fc_plan_handovers(cluster, &told, 90);
     check_row(k_mates[i].name, plan->len == k_mates[i].expect);
     if (plan->len) {
@@ -627,7 +627,7 @@
       char id[32], *handed[1] = {NULL};
       g_snprintf(id, sizeof id, "job-%06d", k);
       fc_job *job = world_job(cluster, id, "gang", "high", "red", 2, 1, "\"ground\":\"b\"");
-      fc_place_new_job_slices(cluster, fit, &job->spec, 1, handed);
+      fc_assign_new_job_slices(cluster, fit, &job->spec, 1, handed);
       g_free(job->record.handed_to[0]);
       job->record.handed_to[0] = g_strdup(handed[0]);
       fc_cluster_assign_slices(cluster, job);
