--- a/src/controller/duties.h
+++ b/src/controller/duties.h
@@ -3,7 +3,7 @@
 #define FC_CONTROLLER_DUTIES_H
 
 #include "controller/controller.h"
-#include "scheduler/bin_packing.h"
+#include "scheduler/team_quota.h"
 
 void fc_quota_main(void *controller);
 /* What this part may start now for each team. */
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -5,7 +5,6 @@
 #include "bookkeeping/dependencies.h"
 #include "controller/controller.h"
 #include "coordination/assignment.h"
-#include "scheduler/bin_packing.h"
 
 #define FAILS_BY_JOB 3u     /* machines that one job may fail on before it is to blame */
 #define FAILS_BY_MACHINE 2u /* jobs that fail on a machine before it is */
--- a/src/controller/job_api.c
+++ b/src/controller/job_api.c
@@ -5,7 +5,7 @@
 #include "controller/dependency_resolver.h"
 #include "controller/description_store.h"
 #include "protocol/routes.h"
-#include "scheduler/shard_balancing.h"
+#include "scheduler/slice_assignment.h"
 #include "transport/http.h"
 
 static void say(fc_http_response *res, int status, const char *error) {
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -7,8 +7,9 @@
 #include "controller/controller.h"
 #include "controller/duties.h"
 #include "coordination/quota_division.h"
-#include "scheduler/bin_packing.h"
-#include "scheduler/shard_balancing.h"
+#include "scheduler/gang_precedence.h"
+#include "scheduler/pending_tasks.h"
+#include "scheduler/team_quota.h"
 
 static bool limited(const fc_team_settings *team_settings) {
   return team_settings->cpus_max > 0 || team_settings->gpus_max > 0;
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -3,7 +3,8 @@
 #include <string.h>
 
 #include "controller/controller.h"
-#include "scheduler/capacity_planning.h"
+#include "scheduler/scale_in.h"
+#include "scheduler/scale_out.h"
 
 typedef struct refusals {
   GHashTable *until; /* "type zone kind" -> double* */
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -5,6 +5,9 @@
 #include "controller/controller.h"
 #include "controller/duties.h"
 #include "scheduler/bin_packing.h"
+#include "scheduler/image_preemption.h"
+#include "scheduler/limit_preemption.h"
+#include "scheduler/pending_tasks.h"
 #include "scheduler/preemption.h"
 
 static uint64_t next_attempt(fc_controller *controller) {
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -3,7 +3,8 @@
 
 #include "controller/controller.h"
 #include "controller/duties.h"
-#include "scheduler/shard_balancing.h"
+#include "scheduler/handover_planning.h"
+#include "scheduler/machine_transfer.h"
 
 typedef fc_write *(*make_write_fn)(fc_controller *c, void *arg);
 
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "controller/controller.h"
-#include "scheduler/bin_packing.h"
+#include "scheduler/pending_tasks.h"
 
 typedef struct record_arg {
   fc_controller *c;
--- /dev/null
+++ b/src/scheduler/free_capacity.c
@@ -0,0 +1,65 @@
+#include "scheduler/free_capacity.h"
+
+#include <string.h>
+
+bool fc_machine_usable(const fc_cluster *cluster, const fc_machine *machine, double now) {
+  if (cluster->membership.self < 0 || machine->owner != cluster->membership.self || !machine->announced ||
+      machine->reconciled_term != cluster->membership.term.number)
+    return false;
+  if (fc_machine_cordoned(machine) || machine->record_write_pending || machine->type < 0 ||
+      machine->drain.spot_notice_until)
+    return false;
+  return fc_machine_reachable(cluster, machine, now);
+}
+
+bool fc_machine_usable_by_owner(const fc_cluster *cluster, const fc_machine *machine, double now) {
+  if (!machine->announced || machine->owner < 0 || machine->type < 0 ||
+      machine->reconciled_term != cluster->membership.term.number)
+    return false;
+  if (fc_machine_cordoned(machine) || machine->drain.owner_cordoned || machine->drain.spot_notice_until ||
+      machine->record_write_pending)
+    return false;
+  return machine->owner != cluster->membership.self || fc_machine_reachable(cluster, machine, now);
+}
+
+bool fc_machine_suits_job(const fc_machine *machine, const fc_job *job) {
+  if (job->failures.machines && g_hash_table_contains(job->failures.machines, machine->id)) return false;
+  return fc_job_spec_allows(&job->spec, machine->record.type, machine->record.zone, machine->record.spot);
+}
+
+fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type) {
+  return (fc_resources){machine_type->cpus, machine_type->gpus, machine_type->memory_gb};
+}
+
+GArray *fc_free_capacity_gather(const fc_cluster *cluster, fc_machine_filter_fn filter, double now) {
+  GArray *capacity = g_array_new(FALSE, TRUE, sizeof(fc_free_capacity));
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, cluster->machines);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    fc_machine *machine = value;
+    if (!filter(cluster, machine, now)) continue;
+    fc_free_capacity entry = {.machine = machine, .room = fc_machine_free_resources(cluster, machine)};
+    g_array_append_val(capacity, entry);
+  }
+  return capacity;
+}
+
+static gint compare_machine_id(gconstpointer left_entry, gconstpointer right_entry) {
+  const fc_free_capacity *left = left_entry;
+  const fc_free_capacity *right = right_entry;
+  return strcmp(left->machine->id, right->machine->id);
+}
+
+void fc_free_capacity_sort(GArray *capacity) {
+  g_array_sort(capacity, compare_machine_id);
+}
+
+void fc_free_capacity_keep_fitting(GArray *capacity, const fc_job_spec *least) {
+  guint kept = 0;
+  for (guint i = 0; i < capacity->len; i++) {
+    const fc_free_capacity entry = g_array_index(capacity, fc_free_capacity, i);
+    if (fc_resources_fit(&entry.room, least)) g_array_index(capacity, fc_free_capacity, kept++) = entry;
+  }
+  g_array_set_size(capacity, kept);
+}
--- /dev/null
+++ b/src/scheduler/gang_precedence.c
@@ -0,0 +1,80 @@
+#include "scheduler/gang_precedence.h"
+
+#include "bookkeeping/dependencies.h"
+#include "scheduler/job_order.h"
+#include "scheduler/team_quota.h"
+
+static bool gang_pending(const fc_job *job) {
+  return job->spec.kind == FC_JOB_GANG && fc_job_runnable(job) && job->placements->len == 0 &&
+         job->completion.count < job->spec.tasks;
+}
+
+static unsigned active_placements(const fc_job *job) {
+  unsigned count = 0;
+  for (guint i = 0; i < job->placements->len; i++) count += fc_placement_active(job->placements->pdata[i]);
+  return count;
+}
+
+/* What of the team's usage can't be preempted for a gang of the priority. */
+static fc_resources unpreemptible_usage(const fc_cluster *cluster, int team, fc_priority priority) {
+  fc_resources usage = {0, 0, 0};
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, cluster->jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const fc_job *job = value;
+    if (job->team != team || (job->spec.kind == FC_JOB_ARRAY && job->queue.priority < priority)) continue;
+    unsigned tasks = active_placements(job);
+    usage.cpus += job->spec.cpus * tasks;
+    usage.gpus += job->spec.gpus * tasks;
+  }
+  return usage;
+}
+
+/* The pending gangs of teams that have a limit, in the same order on every member. */
+static GPtrArray *pending_gangs_under_limit(const fc_cluster *cluster) {
+  GPtrArray *gangs = g_ptr_array_new();
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, cluster->jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const fc_job *job = value;
+    if (job->team < 0 || !gang_pending(job)) continue;
+    const fc_team_settings *team_settings = &cluster->settings->teams[job->team];
+    if (team_settings->cpus_max > 0 || team_settings->gpus_max > 0) g_ptr_array_add(gangs, (gpointer)job);
+  }
+  g_ptr_array_sort(gangs, fc_job_compare_priority_and_id);
+  return gangs;
+}
+
+void fc_gang_precedence(const fc_cluster *cluster, const fc_job *preceding[FC_TEAMS_MAX]) {
+  for (size_t team = 0; team < cluster->settings->team_count; team++) preceding[team] = NULL;
+  GPtrArray *gangs = pending_gangs_under_limit(cluster);
+  /* Neighbours in the list often share team and priority: then the usage is the same. */
+  fc_resources usage = {0, 0, 0};
+  int usage_team = -1;
+  int usage_priority = -1;
+  for (guint i = 0; i < gangs->len; i++) {
+    const fc_job *job = gangs->pdata[i];
+    if (preceding[job->team]) continue;
+    if (usage_team != job->team || usage_priority != (int)job->queue.priority)
+      usage = unpreemptible_usage(cluster, job->team, job->queue.priority);
+    usage_team = job->team;
+    usage_priority = (int)job->queue.priority;
+    double tasks = job->spec.tasks;
+    if (fc_team_limit_allows(&cluster->settings->teams[job->team], usage.cpus + tasks * job->spec.cpus,
+                             usage.gpus + tasks * job->spec.gpus))
+      preceding[job->team] = job;
+  }
+  g_ptr_array_free(gangs, TRUE);
+}
+
+bool fc_gang_precedes(const fc_cluster *cluster, const fc_job *gang, const fc_job *job, double now) {
+  if (!gang || job == gang || job->team != gang->team) return false;
+  if (job->spec.kind == FC_JOB_GANG) return true;
+  /* Arrays of the same priority too: an array of a pipeline has the priority of the pipeline's last
+   * job. While such an array went on, some of the limit stayed in a shard that had no room for the
+   * gang, and both were pending forever (fault test with upgrades and meetings, seed 149). */
+  return job->spec.kind == FC_JOB_ARRAY && job->queue.priority <= gang->queue.priority &&
+         now > gang->queue.entered_at + cluster->settings->op.handover_wait_s;
+}
--- /dev/null
+++ b/src/scheduler/gang_precedence.h
@@ -0,0 +1,17 @@
+/* Precedence of a gang under its team's limit. Two gangs that each gather half of the limit would
+ * both be pending forever, and so would one whose team's limit is used up task by task (fault
+ * test, seed 249): one gang of the team at a time gathers, and arrays of its priority or lower start
+ * nothing until it runs. Pure functions over the cluster state. */
+#ifndef FC_SCHEDULER_GANG_PRECEDENCE_H
+#define FC_SCHEDULER_GANG_PRECEDENCE_H
+
+#include "bookkeeping/cluster.h"
+
+/* Sets for each team of the settings the gang that has precedence, of those pending in any shard:
+ * the first, in an order that is the same on every member, that fits the limit beside what can't be
+ * preempted for it. NULL: none, or the team has no limit. */
+void fc_gang_precedence(const fc_cluster *cluster, const fc_job *preceding[FC_TEAMS_MAX]);
+/* Must the job leave its team's limit to that gang (NULL: no gang)? */
+bool fc_gang_precedes(const fc_cluster *cluster, const fc_job *gang, const fc_job *job, double now);
+
+#endif
--- /dev/null
+++ b/src/scheduler/handover_planning.c
@@ -0,0 +1,242 @@
+#include "scheduler/handover_planning.h"
+
+#include <string.h>
+
+#include "scheduler/free_capacity.h"
+#include "scheduler/job_order.h"
+#include "scheduler/least_resources.h"
+#include "scheduler/pending_tasks.h"
+#include "scheduler/team_quota.h"
+#include "scheduler/zone_spread.h"
+
+/* A job's pause between handovers grows by a round with each, up to this many rounds more. */
+#define HANDOVER_BACKOFF_MAX 7u
+
+/* Drops machines without room for `least`: in a long queue nearly all are full, and they need not be
+ * looked at again. Returns whether other members own any of the rest. */
+static bool keep_fitting(const fc_cluster *cluster, GArray *capacity, const fc_job_spec *least) {
+  fc_free_capacity_keep_fitting(capacity, least);
+  for (guint i = 0; i < capacity->len; i++)
+    if (g_array_index(capacity, fc_free_capacity, i).machine->owner != cluster->membership.self) return true;
+  return false;
+}
+
+/* Jobs with a pending task in any shard. */
+static GPtrArray *pending_jobs(const fc_cluster *cluster) {
+  GPtrArray *jobs = fc_cluster_open_jobs(cluster);
+  guint kept = 0;
+  for (guint i = 0; i < jobs->len; i++)
+    if (fc_job_has_pending_tasks(jobs->pdata[i], -1)) jobs->pdata[kept++] = jobs->pdata[i];
+  g_ptr_array_set_size(jobs, (gint)kept);
+  return jobs;
+}
+
+static bool fits(const fc_free_capacity *entry, const fc_job *job, int owner, unsigned zone) {
+  const fc_machine *machine = entry->machine;
+  if (machine->owner != owner || (zone != FC_ANY_ZONE && machine->zone != zone)) return false;
+  return fc_resources_fit(&entry->room, &job->spec) && fc_machine_suits_job(machine, job);
+}
+
+/* How many of the tasks the owner's machines in the zone hold; `take`: the room is then taken. */
+static unsigned tasks_fitting_in_zone(GArray *capacity, const fc_job *job, int owner, unsigned zone, unsigned tasks,
+                                      bool take) {
+  unsigned count = 0;
+  if (tasks == 0) return 0;
+  const fc_zone_spread spread = fc_job_zone_spread(job);
+  for (guint i = 0; i < capacity->len && count < tasks; i++) {
+    fc_free_capacity *entry = &g_array_index(capacity, fc_free_capacity, i);
+    if (!fits(entry, job, owner, zone) || !fc_zone_spread_allows(&spread, &job->spec, entry->machine->zone)) continue;
+    fc_resources room_before = entry->room;
+    while (count < tasks && fc_resources_fit(&entry->room, &job->spec)) {
+      fc_resources_subtract(&entry->room, &job->spec);
+      count++;
+    }
+    if (!take) entry->room = room_before;
+  }
+  return count;
+}
+
+/* The same of all zones, or of the best one where the job must be in one. */
+static unsigned tasks_fitting(GArray *capacity, const fc_cluster *cluster, const fc_job *job, int owner, unsigned tasks,
+                              bool take) {
+  if (!job->spec.one_zone) return tasks_fitting_in_zone(capacity, job, owner, FC_ANY_ZONE, tasks, take);
+  unsigned most = 0;
+  unsigned best_zone = FC_ANY_ZONE;
+  for (unsigned zone = 0; zone < cluster->settings->zone_count; zone++) {
+    unsigned count = tasks_fitting_in_zone(capacity, job, owner, zone, tasks, false);
+    if (count <= most) continue;
+    most = count;
+    best_zone = zone;
+  }
+  if (take && best_zone != FC_ANY_ZONE) (void)tasks_fitting_in_zone(capacity, job, owner, best_zone, tasks, true);
+  return most;
+}
+
+static void count_pending_by_slice(const fc_job *job, unsigned pending[FC_SLICES_MAX]) {
+  memset(pending, 0, FC_SLICES_MAX * sizeof pending[0]);
+  GArray *tasks = fc_job_pending_tasks(job, -1, FC_PENDING_TASKS_MAX);
+  for (guint i = 0; i < tasks->len; i++) pending[fc_job_slice_of(job, g_array_index(tasks, uint32_t, i))]++;
+  g_array_free(tasks, TRUE);
+}
+
+typedef enum {
+  KNOWLEDGE_INCOMPLETE,
+  KNOWLEDGE_ONCE_RECONCILED, /* complete once the machines are reconciled in this term */
+  KNOWLEDGE_COMPLETE,
+} slice_knowledge;
+
+/* Does `peer` know of every task of the slice that may be on a machine? After a change of term some
+ * tasks of a job may be on machines of other members; while that kept the slice from being handed
+ * over, a replica that was lost or never started stayed pending beside free room for as long as the
+ * other ran (scene ten_in_two_minutes). What is on a machine of the peer we know from its own views. What
+ * was started before the term on a third member's machine it sees before that machine is reconciled
+ * for it; only news of what was started there in this term could come too late. */
+static slice_knowledge peer_knowledge(const fc_cluster *cluster, const fc_peer_progress *peers, const fc_job *job,
+                                      unsigned slice, int peer) {
+  slice_knowledge knowledge = KNOWLEDGE_COMPLETE;
+  for (guint i = 0; i < job->placements->len; i++) {
+    const fc_placement *placement = job->placements->pdata[i];
+    const fc_machine *machine = placement->machine;
+    if (placement->index >= job->spec.tasks || fc_job_slice_of(job, placement->index) != slice) continue;
+    if (job->spec.kind == FC_JOB_GANG) return KNOWLEDGE_INCOMPLETE;
+    /* No peer relies on our view of a machine of ours either while it isn't reconciled: views of
+     * this term show it so, though its tasks were in a view of an earlier one. A slice was handed
+     * over and started again (fault test with meetings, seed 566). */
+    if (machine->reconciled_term != cluster->membership.term.number) return KNOWLEDGE_INCOMPLETE;
+    if (machine->owner == cluster->membership.self) {
+      if (peers->acked_view[peer] < placement->first_view || peers->acked_revision[peer] < machine->record_version)
+        return KNOWLEDGE_INCOMPLETE;
+      continue;
+    }
+    if (machine->owner == peer) continue;
+    if (fc_attempt_term(placement->attempt) >= cluster->membership.term.number) return KNOWLEDGE_INCOMPLETE;
+    knowledge = KNOWLEDGE_ONCE_RECONCILED;
+  }
+  return knowledge;
+}
+
+/* A bit for each member on whose machines tasks of the slice are. */
+static unsigned machine_owners_of_slice(const fc_job *job, unsigned slice) {
+  unsigned owners = 0;
+  for (guint i = 0; i < job->placements->len; i++) {
+    const fc_placement *placement = job->placements->pdata[i];
+    if (placement->index >= job->spec.tasks || fc_job_slice_of(job, placement->index) != slice ||
+        placement->machine->owner < 0)
+      continue;
+    owners |= 1u << placement->machine->owner;
+  }
+  return owners;
+}
+
+typedef struct queued_job {
+  fc_job *job;
+  unsigned pending[FC_SLICES_MAX]; /* tasks by slice */
+  unsigned staying;                /* a bit a slice of ours that is not to be handed over */
+} queued_job;
+
+/* How many of the pending tasks the limit of the job's team leaves room for. */
+static unsigned tasks_within_limit(const fc_cluster *cluster, const fc_team_usage *usage, const fc_job *job,
+                                   unsigned pending) {
+  if (job->team < 0) return pending;
+  const fc_team_settings *team_settings = &cluster->settings->teams[job->team];
+  unsigned count = 0;
+  while (count < pending && fc_team_limit_allows(team_settings, usage->cpus[job->team] + (count + 1) * job->spec.cpus,
+                                                 usage->gpus[job->team] + (count + 1) * job->spec.gpus))
+    count++;
+  return count;
+}
+
+/* Gives each slice the room that its own shard has for it. */
+static void pack_in_own_shards(const fc_cluster *cluster, GArray *capacity, fc_team_usage *usage, queued_job *queued) {
+  fc_job *job = queued->job;
+  for (unsigned slice = 0; slice < job->slices.count; slice++) {
+    int owner = fc_job_slice_owner(job, slice);
+    if (owner < 0) continue;
+    /* What is pending for its team's limit claims no room: beside it others' jobs were pending for
+     * minutes at full shards (days with meetings, seed 6038). */
+    unsigned allowed = tasks_within_limit(cluster, usage, job, queued->pending[slice]);
+    unsigned packed = tasks_fitting(capacity, cluster, job, owner, allowed, true);
+    if (job->team >= 0) {
+      usage->cpus[job->team] += packed * job->spec.cpus;
+      usage->gpus[job->team] += packed * job->spec.gpus;
+    }
+    /* Nor does it gain anything in another shard. */
+    bool at_limit = allowed == 0 && queued->pending[slice] > 0;
+    if (owner == cluster->membership.self && (packed > 0 || at_limit)) queued->staying |= 1u << slice;
+  }
+}
+
+/* The queue (queued_job), once each shard has packed its own slices. */
+static GArray *pack_own_queues(const fc_cluster *cluster, GArray *capacity, const GPtrArray *jobs) {
+  GArray *queue = g_array_sized_new(FALSE, TRUE, sizeof(queued_job), jobs->len);
+  fc_team_usage usage = fc_cluster_team_usage(cluster);
+  for (guint i = 0; i < jobs->len; i++) {
+    queued_job queued = {.job = jobs->pdata[i]};
+    count_pending_by_slice(queued.job, queued.pending);
+    pack_in_own_shards(cluster, capacity, &usage, &queued);
+    g_array_append_val(queue, queued);
+  }
+  return queue;
+}
+
+/* The member that holds most of the slice; -1: none that may get it has room. */
+static int best_peer(const fc_cluster *cluster, const fc_peer_progress *peers, GArray *capacity, const fc_job *job,
+                     unsigned slice, unsigned pending) {
+  int best = -1;
+  unsigned most = 0;
+  for (int member = 0; member < (int)cluster->membership.term.count; member++) {
+    if (member == cluster->membership.self || !peers->available[member]) continue;
+    if (peer_knowledge(cluster, peers, job, slice, member) == KNOWLEDGE_INCOMPLETE) continue;
+    unsigned count = tasks_fitting(capacity, cluster, job, member, pending, false);
+    if (job->spec.kind == FC_JOB_GANG && count < pending) continue;
+    if (count <= most) continue;
+    most = count;
+    best = member;
+  }
+  return best;
+}
+
+/* Plans the handovers of the job's slices that are ours and resolved and fit only elsewhere. */
+static void hand_over_slices(const fc_cluster *cluster, const fc_peer_progress *peers, GArray *capacity,
+                             const queued_job *queued, GArray *handovers) {
+  fc_job *job = queued->job;
+  for (unsigned slice = 0; slice < job->slices.count; slice++) {
+    unsigned pending = queued->pending[slice];
+    if (fc_job_slice_owner(job, slice) != cluster->membership.self || !(job->slices.resolved >> slice & 1)) continue;
+    if (pending == 0 || (queued->staying >> slice & 1)) continue;
+    int peer = best_peer(cluster, peers, capacity, job, slice, pending);
+    if (peer < 0) continue;
+    (void)tasks_fitting(capacity, cluster, job, peer, pending, true);
+    fc_handover handover = {
+        .job = job, .slice = slice, .to = peer, .machine_owners = machine_owners_of_slice(job, slice) | 1u << peer};
+    handover.unseen = peer_knowledge(cluster, peers, job, slice, peer) != KNOWLEDGE_COMPLETE;
+    g_array_append_val(handovers, handover);
+  }
+}
+
+/* Has the job been pending, and its last handover been made, long enough ago? */
+static bool handover_allowed(const fc_cluster *cluster, const fc_job *job, double now) {
+  /* Where all shards are full, the job would be handed over again and again. */
+  double pause = cluster->settings->op.round_s * (1 + MIN(job->slices.handover_count, HANDOVER_BACKOFF_MAX));
+  if (now < job->queue.entered_at + cluster->settings->op.handover_wait_s || now < job->slices.handover_at + pause)
+    return false;
+  return !job->slices.handover_pending && now >= job->queue.blocked_until;
+}
+
+GArray *fc_plan_handovers(const fc_cluster *cluster, const fc_peer_progress *peers, double now) {
+  GArray *handovers = g_array_new(FALSE, TRUE, sizeof(fc_handover));
+  if (cluster->membership.self < 0 || cluster->membership.term.count < 2) return handovers;
+  GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable_by_owner, now);
+  fc_free_capacity_sort(capacity);
+  GPtrArray *jobs = pending_jobs(cluster);
+  const fc_job_spec least = fc_least_resources_of(jobs);
+  GArray *queue = keep_fitting(cluster, capacity, &least) ? pack_own_queues(cluster, capacity, jobs) : NULL;
+  for (guint i = 0; queue && i < queue->len && keep_fitting(cluster, capacity, &least); i++) {
+    const queued_job *queued = &g_array_index(queue, queued_job, i);
+    if (handover_allowed(cluster, queued->job, now)) hand_over_slices(cluster, peers, capacity, queued, handovers);
+  }
+  if (queue) g_array_free(queue, TRUE);
+  g_ptr_array_free(jobs, TRUE);
+  g_array_free(capacity, TRUE);
+  return handovers;
+}
--- /dev/null
+++ b/src/scheduler/machine_transfer.c
@@ -0,0 +1,178 @@
+#include "scheduler/machine_transfer.h"
+
+#include "bookkeeping/dependencies.h"
+#include "scheduler/free_capacity.h"
+#include "scheduler/gang_precedence.h"
+#include "scheduler/job_order.h"
+#include "scheduler/zone_spread.h"
+
+/* Nothing is preempted for a gang before it has been pending for so many rounds. */
+#define ROUNDS_BEFORE_PREEMPTION 2
+
+/* What a gang still needs, and where. */
+typedef struct gang_need {
+  fc_job *job;
+  int owner;           /* member */
+  unsigned zone;       /* or FC_ANY_ZONE */
+  unsigned tasks_left; /* that have no room yet */
+} gang_need;
+
+bool fc_preemptible_for_gang(const fc_placement *placement, const fc_job *gang) {
+  return placement->job && placement->job->spec.kind == FC_JOB_ARRAY &&
+         placement->job->queue.priority < gang->queue.priority;
+}
+
+/* The machine's room once everything that may be preempted for the gang has been; *whole: nothing
+ * else is on it. */
+static fc_resources room_after_preemption(const fc_free_capacity *entry, const fc_job *gang, bool *whole) {
+  fc_resources room = entry->room;
+  *whole = true;
+  for (guint i = 0; i < entry->machine->placements->len; i++) {
+    const fc_placement *placement = entry->machine->placements->pdata[i];
+    if (placement->status.state == FC_TASK_EXITED) continue;
+    if (!fc_preemptible_for_gang(placement, gang)) {
+      *whole = false;
+      continue;
+    }
+    fc_resources_add(&room, &placement->job->spec);
+  }
+  return room;
+}
+
+/* Finds the room that the gang may use of this machine: any on machines of its owner, only whole
+ * machines of others; with `preempt`, also what can be preempted. Returns false for none. */
+static bool room_for_gang(const fc_free_capacity *entry, const fc_job *job, int owner, unsigned zone, bool preempt,
+                          fc_resources *room) {
+  const fc_machine *machine = entry->machine;
+  if (entry->claimed || (zone != FC_ANY_ZONE && machine->zone != zone)) return false;
+  if (!fc_machine_suits_job(machine, job)) return false;
+  bool whole = machine->placements->len == 0;
+  *room = entry->room;
+  if (preempt) *room = room_after_preemption(entry, job, &whole);
+  return (machine->owner == owner || whole) && fc_resources_fit(room, &job->spec);
+}
+
+/* How many of the needed tasks find room in the zone; *on_own: of those, on machines of the gang's
+ * owner. */
+static unsigned gang_tasks_fitting(const GArray *capacity, const gang_need *need, unsigned zone, bool preempt,
+                                   unsigned *on_own) {
+  const fc_job *job = need->job;
+  unsigned count = 0;
+  *on_own = 0;
+  for (guint i = 0; i < capacity->len; i++) {
+    const fc_free_capacity *entry = &g_array_index(capacity, fc_free_capacity, i);
+    fc_resources room;
+    if (!room_for_gang(entry, job, need->owner, zone, preempt, &room)) continue;
+    while (count < need->tasks_left && fc_resources_fit(&room, &job->spec)) {
+      fc_resources_subtract(&room, &job->spec);
+      count++;
+      *on_own += entry->machine->owner == need->owner;
+    }
+  }
+  return count;
+}
+
+/* Sets the need's zone to the one that holds the whole gang with the most tasks on machines of its
+ * owner (*best_on_own). Returns false when no zone holds it. */
+static bool find_zone(const fc_cluster *cluster, const GArray *capacity, gang_need *need, bool preempt,
+                      unsigned *best_on_own) {
+  bool found = false;
+  bool one_zone = need->job->spec.one_zone;
+  size_t zone_count = one_zone ? cluster->settings->zone_count : 1;
+  for (unsigned i = 0; i < zone_count; i++) {
+    unsigned zone = one_zone ? i : FC_ANY_ZONE;
+    unsigned on_own;
+    if (gang_tasks_fitting(capacity, need, zone, preempt, &on_own) < need->tasks_left ||
+        (found && on_own <= *best_on_own))
+      continue;
+    found = true;
+    need->zone = zone;
+    *best_on_own = on_own;
+  }
+  return found;
+}
+
+/* One step over the machines of the gang's owner, or over those of others: claims the ones it needs,
+ * with or without preemption. Ours among them become transfers. */
+static void claim_machines(const fc_cluster *cluster, GArray *capacity, gang_need *need, bool of_owner, bool preempt,
+                           GArray *transfers) {
+  for (guint i = 0; i < capacity->len && need->tasks_left > 0; i++) {
+    fc_free_capacity *entry = &g_array_index(capacity, fc_free_capacity, i);
+    fc_machine *machine = entry->machine;
+    fc_resources room;
+    if ((machine->owner == need->owner) != of_owner ||
+        !room_for_gang(entry, need->job, need->owner, need->zone, preempt, &room))
+      continue;
+    entry->claimed = true;
+    while (need->tasks_left > 0 && fc_resources_fit(&room, &need->job->spec)) {
+      fc_resources_subtract(&room, &need->job->spec);
+      need->tasks_left--;
+    }
+    if (machine->owner != cluster->membership.self || (of_owner && !preempt)) continue;
+    fc_machine_transfer transfer = {.machine = machine, .to = need->owner, .gang = need->job, .preempt = preempt};
+    g_array_append_val(transfers, transfer);
+  }
+}
+
+static void transfer_for_gang(const fc_cluster *cluster, GArray *capacity, fc_job *job, double now, GArray *transfers) {
+  gang_need need = {.job = job,
+                    .owner = fc_job_slice_owner(job, 0),
+                    .zone = FC_ANY_ZONE,
+                    .tasks_left = job->spec.tasks - job->completion.count};
+  unsigned on_own = 0;
+  bool preempt = !find_zone(cluster, capacity, &need, false, &on_own);
+  if (preempt) {
+    if (now < job->queue.entered_at + ROUNDS_BEFORE_PREEMPTION * cluster->settings->op.round_s) return;
+    if (!find_zone(cluster, capacity, &need, true, &on_own)) return;
+  } else if (on_own >= need.tasks_left) {
+    return; /* its owner places it alone */
+  }
+  /* The owner's own machines first, then idle ones of others, then what has to be preempted: all
+   * members make the same choice from what they know. */
+  claim_machines(cluster, capacity, &need, true, false, transfers);
+  claim_machines(cluster, capacity, &need, false, false, transfers);
+  if (!preempt) return;
+  claim_machines(cluster, capacity, &need, true, true, transfers);
+  claim_machines(cluster, capacity, &need, false, true, transfers);
+}
+
+/* Gangs that are still pending after the time for a handover, in the same order on every member. */
+static GPtrArray *pending_gangs(const fc_cluster *cluster, double now) {
+  GPtrArray *gangs = g_ptr_array_new();
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, cluster->jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    fc_job *job = value;
+    if (job->spec.kind != FC_JOB_GANG || !fc_job_runnable(job) || job->team < 0) continue;
+    if (job->placements->len > 0 || job->completion.count == job->spec.tasks) continue;
+    if (now >= job->queue.entered_at + cluster->settings->op.handover_wait_s) g_ptr_array_add(gangs, job);
+  }
+  g_ptr_array_sort(gangs, fc_job_compare_priority_and_id);
+  return gangs;
+}
+
+static void transfer_for_gangs(const fc_cluster *cluster, const fc_peer_progress *peers, const GPtrArray *gangs,
+                               double now, GArray *transfers) {
+  GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable_by_owner, now);
+  fc_free_capacity_sort(capacity);
+  const fc_job *preceding[FC_TEAMS_MAX];
+  fc_gang_precedence(cluster, preceding);
+  for (guint i = 0; i < gangs->len; i++) {
+    fc_job *gang = gangs->pdata[i];
+    if (fc_gang_precedes(cluster, preceding[gang->team], gang, now)) continue;
+    int owner = fc_job_slice_owner(gang, 0);
+    if (owner >= 0 && (owner == cluster->membership.self || peers->available[owner]))
+      transfer_for_gang(cluster, capacity, gang, now, transfers);
+  }
+  g_array_free(capacity, TRUE);
+}
+
+GArray *fc_plan_machine_transfers(const fc_cluster *cluster, const fc_peer_progress *peers, double now) {
+  GArray *transfers = g_array_new(FALSE, TRUE, sizeof(fc_machine_transfer));
+  if (cluster->membership.self < 0 || cluster->membership.term.count < 2) return transfers;
+  GPtrArray *gangs = pending_gangs(cluster, now);
+  if (gangs->len > 0) transfer_for_gangs(cluster, peers, gangs, now, transfers);
+  g_ptr_array_free(gangs, TRUE);
+  return transfers;
+}
--- /dev/null
+++ b/src/scheduler/team_quota.c
@@ -0,0 +1,39 @@
+#include "scheduler/team_quota.h"
+
+fc_team_usage fc_cluster_team_usage(const fc_cluster *cluster) {
+  fc_team_usage usage = {{0}, {0}};
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, cluster->machines);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) fc_machine_add_usage(value, usage.cpus, usage.gpus);
+  return usage;
+}
+
+void fc_team_usage_add(fc_team_usage *usage, const fc_job *job) {
+  usage->cpus[job->team] += job->spec.cpus;
+  usage->gpus[job->team] += job->spec.gpus;
+}
+
+bool fc_team_limit_allows(const fc_team_settings *team_settings, double cpus, double gpus) {
+  return (team_settings->cpus_max <= 0 || cpus <= team_settings->cpus_max + FC_QUOTA_TOLERANCE) &&
+         (team_settings->gpus_max <= 0 || gpus <= team_settings->gpus_max + FC_QUOTA_TOLERANCE);
+}
+
+bool fc_team_over_guarantee(const fc_cluster *cluster, const fc_team_usage *usage, int team) {
+  const fc_team_settings *team_settings = &cluster->settings->teams[team];
+  /* A guarantee of 0 means that nothing of the kind is guaranteed, not that nothing may be used: a
+   * team guaranteed only GPUs always counted as over its guarantee of CPUs, and teams preempted
+   * each other's tasks round after round. */
+  if (team_settings->gpus <= 0 && team_settings->cpus <= 0) return true;
+  return (team_settings->gpus > 0 && usage->gpus[team] > team_settings->gpus + FC_QUOTA_TOLERANCE) ||
+         (team_settings->cpus > 0 && usage->cpus[team] > team_settings->cpus + FC_QUOTA_TOLERANCE);
+}
+
+bool fc_job_within_guarantee(const fc_cluster *cluster, const fc_team_usage *usage, const fc_job *job) {
+  const fc_team_settings *team_settings = &cluster->settings->teams[job->team];
+  if (team_settings->gpus <= 0 && team_settings->cpus <= 0) return false;
+  if (team_settings->gpus > 0 && usage->gpus[job->team] + job->spec.gpus > team_settings->gpus + FC_QUOTA_TOLERANCE)
+    return false;
+  return team_settings->cpus <= 0 ||
+         usage->cpus[job->team] + job->spec.cpus <= team_settings->cpus + FC_QUOTA_TOLERANCE;
+}
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -8,6 +8,7 @@
 #include "bookkeeping/description_parts.h"
 #include "protocol/json.h"
 #include "scheduler/bin_packing.h"
+#include "scheduler/job_order.h"
 
 /* ---- what is parsed and stored ---- */
 
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -4,9 +4,14 @@
 #include <math.h>
 
 #include "scheduler/bin_packing.h"
-#include "scheduler/capacity_planning.h"
+#include "scheduler/gang_precedence.h"
+#include "scheduler/handover_planning.h"
+#include "scheduler/limit_preemption.h"
+#include "scheduler/machine_transfer.h"
+#include "scheduler/pending_tasks.h"
 #include "scheduler/preemption.h"
-#include "scheduler/shard_balancing.h"
+#include "scheduler/scale_out.h"
+#include "scheduler/slice_assignment.h"
 #include "world.h"
 
 static fc_allowance unlimited(void) {
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -2,7 +2,7 @@
 #include "check.h"
 
 #include "controller/controller.h"
-#include "scheduler/bin_packing.h"
+#include "scheduler/free_capacity.h"
 #include "transport/routine.h"
 #include "world.h"
 
