--- a/src/controller/job_api.c
+++ b/src/controller/job_api.c
@@ -5,7 +5,7 @@
 #include "controller/dependency_resolver.h"
 #include "controller/description_store.h"
 #include "protocol/routes.h"
-#include "scheduler/shard_balancing.h"
+#include "scheduler/slice_assignment.h"
 #include "transport/http.h"
 
 static void say(fc_http_response *res, int status, const char *error) {
@@ -199,7 +199,7 @@
   bool fit[FC_MEMBERS_MAX];
   for (size_t i = 0; i < controller->cluster->membership.term.count; i++)
     fit[i] = fc_peers_member_fit(controller->peers, (int)i);
-  fc_place_new_job_slices(controller->cluster, fit, s->spec, record.slices, record.handed);
+  fc_assign_new_job_slices(controller->cluster, fit, s->spec, record.slices, record.handed);
   return record;
 }
 
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -6,7 +6,8 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "controller/controller.h"
 #include "controller/machine_reachability.h"
-#include "scheduler/capacity_planning.h"
+#include "scheduler/scale_in.h"
+#include "scheduler/scale_out.h"
 
 typedef struct refusals {
   GHashTable *until; /* "type zone kind" -> double* */
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -3,7 +3,8 @@
 
 #include "controller/controller.h"
 #include "controller/duties.h"
-#include "scheduler/shard_balancing.h"
+#include "scheduler/handover_planning.h"
+#include "scheduler/machine_transfer.h"
 
 typedef fc_write *(*make_write_fn)(fc_controller *c, void *arg);
 
@@ -82,9 +83,9 @@
   for (int i = 0; i < (int)controller->cluster->membership.term.count; i++) {
     const fc_peer *peer = fc_peers_of_member(controller->peers, i);
     if (!peer) continue;
-    told.view[i] = peer->acknowledged.view;
-    told.revision[i] = peer->acknowledged.revision;
-    told.fit[i] = fc_peers_member_fit(controller->peers, i);
+    told.acked_view[i] = peer->acknowledged.view;
+    told.acked_revision[i] = peer->acknowledged.revision;
+    told.available[i] = fc_peers_member_fit(controller->peers, i);
   }
   return told;
 }
@@ -104,7 +105,7 @@
       const fc_handover *handover = &g_array_index(plan, fc_handover, k);
       if (handover->job != job) continue;
       a->slices |= 1u << handover->slice;
-      a->homes[handover->slice] = handover->homes;
+      a->homes[handover->slice] = handover->machine_owners;
       a->unseen |= (unsigned)handover->unseen << handover->slice;
       g_strlcpy(a->to[handover->slice], controller->cluster->membership.term.members[handover->to].name,
                 sizeof a->to[handover->slice]);
@@ -173,7 +174,7 @@
     if (machine->record_write_pending || fc_machine_returning(machine)) continue;
     g_strlcpy(machine->reservation.gang, transfer->gang->spec.id, sizeof machine->reservation.gang);
     machine->reservation.until = fc_now() + controller->settings->op.round_s * 2;
-    if (transfer->clear && machine->placements->len > 0) {
+    if (transfer->preempt && machine->placements->len > 0) {
       clear_for(controller, machine, transfer->gang);
       continue;
     }
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -4,7 +4,7 @@
 
 #include "bookkeeping/cluster_machines.h"
 #include "controller/controller.h"
-#include "scheduler/bin_packing.h"
+#include "scheduler/pending_tasks.h"
 
 typedef struct record_arg {
   fc_controller *c;
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -9,6 +9,7 @@
 #include "bookkeeping/job_records.h"
 #include "protocol/json.h"
 #include "scheduler/bin_packing.h"
+#include "scheduler/job_order.h"
 
 /* ---- what is parsed and stored ---- */
 
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -6,7 +6,7 @@
 #include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
 #include "controller/machine_reachability.h"
-#include "scheduler/bin_packing.h"
+#include "scheduler/free_capacity.h"
 #include "transport/routine.h"
 #include "world.h"
 
