--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -88,3 +88,21 @@
   for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));)
     reassign_machine(cluster, machine, &change, now);
 }
+
+const char *fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone,
+                                      bool spot, unsigned *counts) {
+  const fc_term *term = &cluster->membership.term;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    const fc_machine_record *record = &machine->record;
+    if (machine->owner < 0 || strcmp(record->type, type) != 0) continue;
+    /* Even for each zone and kind first, over all of them next. */
+    bool same_kind = strcmp(record->zone, zone) == 0 && record->spot == spot;
+    counts[machine->owner] += same_kind ? FC_BALANCE_SAME_KIND : 1;
+  }
+  int best = fc_assign_key(term, id);
+  for (size_t member = 0; member < term->count; member++)
+    if (counts[member] < counts[best]) best = (int)member;
+  counts[best] += FC_BALANCE_SAME_KIND;
+  return term->members[best].name;
+}
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -100,11 +100,6 @@
 bool fc_workers_unwanted(const fc_controller *controller, const fc_placement *placement);
 /* Marks the machine to be asked directly when there is reason to; true: it is. */
 bool fc_workers_doubt(const fc_controller *controller, fc_machine *machine);
-/* The member with the fewest machines of the kind; `count` (zeroed) collects
- * what one caller gives away in a row. */
-const char *fc_even_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
-                          unsigned *count);
-
 /* completions.c */
 /* Writes the ends of a job's tasks to the state service. */
 void fc_workers_record(fc_controller *controller, const char *job_id);
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -5,6 +5,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/dependencies.h"
 #include "bookkeeping/reconciliation_progress.h"
+#include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
 #include "controller/machine_reachability.h"
 #include "coordination/assignment.h"
@@ -318,23 +319,6 @@
   return machine->probe.wanted;
 }
 
-/* A machine nobody has recorded yet goes to the member with the fewest of its
- * type and zone; nothing is started on it before that is in the state service. */
-const char *fc_even_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
-                          unsigned *count) {
-  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
-  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
-    if (machine->owner < 0 || strcmp(machine->record.type, type) != 0) continue;
-    /* Even for each kind first, over all kinds next. */
-    count[machine->owner] += strcmp(machine->record.zone, zone) == 0 && machine->record.spot == spot ? 1000 : 1;
-  }
-  int best = fc_assign_key(&cluster->membership.term, id);
-  for (size_t i = 0; i < cluster->membership.term.count; i++)
-    if (count[i] < count[best]) best = (int)i;
-  count[best] += 1000;
-  return cluster->membership.term.members[best].name;
-}
-
 typedef struct announce_arg {
   fc_controller *c;
   char id[64];
@@ -412,9 +396,10 @@
    * went by hundreds to whoever had the fewest a moment ago. */
   unsigned count[FC_MEMBERS_MAX];
   for (size_t i = 0; i < FC_MEMBERS_MAX; i++) count[i] = controller->giving[i] * 1000;
-  g_strlcpy(rec.owner,
-            fc_even_owner(cluster, heartbeat->machine, heartbeat->type, heartbeat->zone, heartbeat->spot, count),
-            sizeof rec.owner);
+  g_strlcpy(
+      rec.owner,
+      fc_cluster_balanced_owner(cluster, heartbeat->machine, heartbeat->type, heartbeat->zone, heartbeat->spot, count),
+      sizeof rec.owner);
   int to = fc_term_find(&cluster->membership.term, rec.owner);
   if (to >= 0) controller->giving[to]++;
   fc_write *write = fc_machine_record_write(heartbeat->machine, 0, cluster->membership.term_version, &rec);
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -4,6 +4,7 @@
 
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/reconciliation_progress.h"
+#include "bookkeeping/shard_ownership.h"
 #include "controller/controller.h"
 #include "controller/machine_reachability.h"
 #include "scheduler/scale_in.h"
@@ -102,7 +103,8 @@
       bool even = fc_term_find(&cluster->membership.term, rental->owner) < 0;
       unsigned counts[FC_MEMBERS_MAX];
       memcpy(counts, given, sizeof counts);
-      const char *owner = fc_even_owner(cluster, ids->pdata[i], rental->type, rental->zone, rental->spot, counts);
+      const char *owner =
+          fc_cluster_balanced_owner(cluster, ids->pdata[i], rental->type, rental->zone, rental->spot, counts);
       int to = fc_term_find(&cluster->membership.term, owner);
       if (to >= 0) given[to] += 1000;
       g_strlcpy(rec.owner, even ? owner : rental->owner, sizeof rec.owner);
