--- /dev/null
+++ b/src/controller/admission.c
@@ -0,0 +1,270 @@
+#include "controller/admission.h"
+
+#include "controller/http_answers.h"
+#include "scheduler/slice_assignment.h"
+
+/* Sums of decimal amounts are this exact. */
+#define ROUNDING 1e-6
+
+/* A submission is refused when it could not be written within this time. */
+#define QUEUE_TIME_MAX_S 1.0
+
+#define ERROR_SIZE 200
+
+struct fc_admission {
+  fc_cluster *cluster;
+  fc_group_commit *commit;
+  fc_peers *peers;
+  fc_job_lookup *lookup;
+  fc_dependency_resolver *resolver;
+  fc_description_store *descriptions;
+};
+
+/* A submission on its way into the key-value store. */
+typedef struct submission {
+  const fc_job_spec *spec;
+  double deadline;          /* steady time */
+  char **open;              /* dependencies that are not done yet; NULL: none */
+  fc_job_phase phase;       /* in which it is accepted */
+  json_t *record;           /* the value of its record */
+  fc_description_ref parts; /* of its description, if that is stored apart */
+  uint64_t first_part;      /* the version of the first of them */
+} submission;
+
+fc_admission *fc_admission_new(fc_cluster *cluster, fc_group_commit *commit, fc_peers *peers, fc_job_lookup *lookup,
+                               fc_dependency_resolver *resolver, fc_description_store *descriptions) {
+  fc_admission *admission = g_new(fc_admission, 1);
+  *admission = (fc_admission){.cluster = cluster,
+                              .commit = commit,
+                              .peers = peers,
+                              .lookup = lookup,
+                              .resolver = resolver,
+                              .descriptions = descriptions};
+  return admission;
+}
+
+void fc_admission_free(fc_admission *admission) {
+  g_free(admission);
+}
+
+/* ---- refusals ---- */
+
+/* What was accepted once is never refused: refuses the submission only if the job is not known. */
+static void refuse_unless_known(fc_admission *admission, fc_http_response *response, const char *id, int status,
+                                const char *error, double deadline) {
+  if (!fc_job_lookup_prove_current(admission->lookup, id, deadline)) {
+    fc_http_answer_retry(response, 503, "the state service can't be reached");
+  } else if (!fc_job_lookup_answer_if_known(admission->lookup, response, id, false)) {
+    fc_http_answer_error(response, status, error);
+  }
+}
+
+static void refuse_malformed(fc_admission *admission, const fc_http_request *request, fc_http_response *response,
+                             const char *error) {
+  char id[64];
+  if (!fc_job_id_peek(request->body, request->body_len, id, sizeof id)) {
+    fc_http_answer_error(response, 400, error);
+    return;
+  }
+  double deadline = fc_now() + admission->cluster->settings->heartbeat_s;
+  refuse_unless_known(admission, response, id, 400, error, deadline);
+}
+
+/* Does the team's limit allow the job: of an array one task, otherwise all of them? */
+static bool limit_allows(const fc_team_settings *team, const fc_job_spec *spec) {
+  double tasks = spec->kind == FC_JOB_ARRAY ? 1 : spec->tasks;
+  bool cpus = team->cpus_max <= 0 || spec->cpus * tasks <= team->cpus_max + ROUNDING;
+  bool gpus = team->gpus_max <= 0 || spec->gpus * tasks <= team->gpus_max + ROUNDING;
+  return cpus && gpus;
+}
+
+static bool fits_machine_type(const fc_machine_type *type, const fc_job_spec *spec) {
+  const fc_resources capacity = {type->cpus, type->gpus, type->memory_gb};
+  if (!fc_resources_fit(&capacity, spec)) return false;
+  for (char **zone = type->zones; *zone; zone++)
+    if (fc_job_spec_allows(spec, type->name, *zone, false)) return true;
+  return false;
+}
+
+/* Why the job can never run; NULL: it can. */
+static const char *never_runs_because(const fc_cluster *cluster, const fc_job_spec *spec) {
+  int team = fc_settings_team(cluster->settings, spec->team);
+  if (team < 0) return "unknown team";
+  if (!limit_allows(&cluster->settings->teams[team], spec)) return "needs more than the team's limit";
+  for (guint i = 0; i < cluster->machine_types->len; i++)
+    if (fits_machine_type(cluster->machine_types->pdata[i], spec)) return NULL;
+  return "a task fits no allowed machine type";
+}
+
+/* ---- checks; each returns false when it has answered ---- */
+
+/* Can the job be accepted now? */
+static bool check_acceptable(fc_admission *admission, fc_http_response *response, const submission *submitted) {
+  const fc_cluster *cluster = admission->cluster;
+  if (!fc_cluster_store_reachable(cluster, fc_now())) {
+    fc_http_answer_retry(response, 503, "the state service can't be reached");
+    return false;
+  }
+  if (cluster->machine_types->len == 0) {
+    fc_http_answer_retry(response, 503, "machine types are not known yet");
+    return false;
+  }
+  const char *error = never_runs_because(cluster, submitted->spec);
+  if (error) {
+    refuse_unless_known(admission, response, submitted->spec->id, 422, error, submitted->deadline);
+    return false;
+  }
+  /* A controller that lags behind takes longer than the rate says. */
+  if (!fc_group_commit_accepts(admission->commit, FC_WRITE_PRIORITY_SUBMISSION, QUEUE_TIME_MAX_S - fc_loop_lag())) {
+    fc_http_answer_retry(response, 429, "more submissions than can be written");
+    return false;
+  }
+  return true;
+}
+
+/* May the jobs that it depends on be named, and can it be stored? */
+static bool check_dependencies(fc_admission *admission, fc_http_response *response, submission *submitted) {
+  switch (fc_dependency_resolver_admit(admission->resolver, submitted->spec->awaits, submitted->deadline,
+                                       &submitted->open)) {
+    case FC_DEPENDENCIES_CANCELLED:
+      submitted->phase = FC_PHASE_CANCELLED;
+      return true;
+    case FC_DEPENDENCIES_ADMITTED:
+      if (!submitted->open || fc_cluster_members_read_format(admission->cluster, FC_JOB_FORMAT_AWAITING)) return true;
+      fc_http_answer_retry(response, 503, "another controller can't read jobs that await others yet");
+      return false;
+    case FC_DEPENDENCIES_REFUSED:
+      refuse_unless_known(admission, response, submitted->spec->id, 422,
+                          "awaits: a job that was never accepted, or a service", submitted->deadline);
+      return false;
+    default:
+      fc_http_answer_retry(response, 503, "the jobs that it awaits can't be looked up now");
+      return false;
+  }
+}
+
+/* ---- storing ---- */
+
+/* The record of a new job without its description, with its slices assigned to members. */
+static fc_job_record new_record(fc_admission *admission, const submission *submitted) {
+  const fc_cluster *cluster = admission->cluster;
+  const fc_term *term = &cluster->membership.term;
+  fc_job_record record = {.origin = {.term = term->number, .submitted_at = fc_time_of_day()},
+                          .phase = submitted->phase,
+                          .awaiting = submitted->open != NULL,
+                          .slices = fc_job_slices(submitted->spec, cluster->settings->op.split_limit)};
+  bool fit[FC_MEMBERS_MAX];
+  for (size_t member = 0; member < term->count; member++)
+    fit[member] = fc_peers_member_fit(admission->peers, (int)member);
+  fc_assign_new_job_slices(cluster, fit, submitted->spec, record.slices, record.handed);
+  return record;
+}
+
+/* What is left of a value is for completed tasks and handovers. */
+static bool fits_a_value(const fc_admission *admission, const json_t *record) {
+  size_t max_bytes = fc_settings_value_bytes(admission->cluster->settings) / 4 * 3;
+  return json_dumpb(record, NULL, 0, JSON_COMPACT) <= max_bytes;
+}
+
+/* Makes the value of the record, and writes the description first where it is too long to be part
+ * of it. False: that has been answered. */
+static bool make_record(fc_admission *admission, fc_http_response *response, submission *submitted) {
+  fc_job_record record = new_record(admission, submitted);
+  record.spec = *submitted->spec;
+  record.spec.awaits = submitted->open;
+  submitted->record = fc_job_record_encode(&record);
+  if (fits_a_value(admission, submitted->record)) return true;
+  json_decref(submitted->record);
+  submitted->record = NULL;
+  if (!fc_cluster_members_read_format(admission->cluster, FC_JOB_FORMAT_AWAITING)) {
+    fc_http_answer_retry(response, 503, "another controller can't read so long a description yet");
+    return false;
+  }
+  /* With all dependencies that it names, also those that are done: a retry goes on with the same
+   * text. */
+  fc_kv_result result = fc_description_store_write(admission->descriptions, submitted->spec, submitted->deadline,
+                                                   &submitted->parts, &submitted->first_part);
+  if (result != FC_KV_OK || !submitted->first_part) {
+    fc_http_answer_retry(response, 503, "not written yet; ask again");
+    return false;
+  }
+  record.parts = submitted->parts;
+  submitted->record = fc_job_record_encode(&record);
+  return true;
+}
+
+/* The write of the record, on condition that there is no job of this id, nor an archived one. */
+static fc_write *record_write(submission *submitted) {
+  fc_write *write = fc_write_new();
+  char *key = g_strconcat(FC_PREFIX_JOB, submitted->spec->id, NULL);
+  fc_write_compare(write, key, 0);
+  fc_write_put(write, key, submitted->record);
+  submitted->record = NULL;
+  g_free(key);
+  key = g_strconcat(FC_PREFIX_ARCHIVED, submitted->spec->id, NULL);
+  fc_write_compare(write, key, 0);
+  g_free(key);
+  if (submitted->parts.count == 0) return write;
+  key = fc_job_part_key(submitted->spec->id, submitted->parts.digest, 0);
+  fc_write_compare(write, key, submitted->first_part);
+  g_free(key);
+  return write;
+}
+
+static void answer_accepted(const fc_admission *admission, fc_http_response *response, const submission *submitted) {
+  const fc_job_spec *spec = submitted->spec;
+  response->status = 201;
+  g_debug("accepted job=%s class=%s tasks=%u slices=%u", spec->id, spec->class_name, spec->tasks,
+          fc_job_slices(spec, admission->cluster->settings->op.split_limit));
+  fc_job_status status = submitted->phase == FC_PHASE_CANCELLED ? FC_STATUS_CANCELLED : FC_STATUS_PENDING;
+  fc_job_answer(response->body, spec->id, status, 0, 0, false);
+}
+
+/* Writes the record and answers. */
+static void store_job(fc_admission *admission, fc_http_response *response, submission *submitted) {
+  const char *id = submitted->spec->id;
+  uint64_t revision = 0;
+  fc_kv_result result = fc_group_commit_write(admission->commit, record_write(submitted), FC_WRITE_PRIORITY_SUBMISSION,
+                                              submitted->deadline, &revision);
+  if (result == FC_KV_OK) {
+    answer_accepted(admission, response, submitted);
+    return;
+  }
+  if (result == FC_KV_CONFLICT && fc_job_lookup_prove_current(admission->lookup, id, submitted->deadline) &&
+      fc_job_lookup_answer_if_known(admission->lookup, response, id, false))
+    return;
+  fc_http_answer_retry(response, 503, "not written; ask again");
+}
+
+/* Answers a retry of a submission that the cluster state holds with the job's present state. False:
+ * the job is not known. */
+static bool answered_as_known(fc_admission *admission, fc_http_response *response, const submission *submitted) {
+  const char *id = submitted->spec->id;
+  const fc_job *job = fc_job_lookup_known(admission->lookup, id);
+  if (job && !fc_job_has_ended(job)) {
+    /* Where that is hopeless a retry is not held until its user gives up either. */
+    if (!fc_job_lookup_prove_current(admission->lookup, id, submitted->deadline)) {
+      fc_http_answer_retry(response, 503, "the state service can't be reached");
+      return true;
+    }
+    job = fc_cluster_find_job(admission->cluster, id);
+  }
+  if (job) fc_job_lookup_answer(response, 200, job, false);
+  return job != NULL;
+}
+
+void fc_admission_submit(fc_admission *admission, const fc_http_request *request, fc_http_response *response) {
+  fc_job_spec spec;
+  char error[ERROR_SIZE];
+  if (!fc_job_spec_parse(request->body, request->body_len, &spec, error, sizeof error)) {
+    refuse_malformed(admission, request, response, error);
+    return;
+  }
+  submission submitted = {
+      .spec = &spec, .phase = FC_PHASE_ACCEPTED, .deadline = fc_now() + admission->cluster->settings->heartbeat_s};
+  if (!answered_as_known(admission, response, &submitted) && check_acceptable(admission, response, &submitted) &&
+      check_dependencies(admission, response, &submitted) && make_record(admission, response, &submitted))
+    store_job(admission, response, &submitted);
+  g_strfreev(submitted.open);
+  fc_job_spec_clear(&spec);
+}
--- /dev/null
+++ b/src/controller/admission.h
@@ -0,0 +1,19 @@
+/* Admission of submissions: checks a job, stores it, and answers its user. A retry of a submission
+ * is idempotent: it is answered with the job's present state. */
+#ifndef FC_CONTROLLER_ADMISSION_H
+#define FC_CONTROLLER_ADMISSION_H
+
+#include "controller/description_store.h"
+#include "controller/job_lookup.h"
+
+typedef struct fc_admission fc_admission;
+
+/* The arguments have to outlive it. The caller frees it with fc_admission_free(). */
+fc_admission *fc_admission_new(fc_cluster *cluster, fc_group_commit *commit, fc_peers *peers, fc_job_lookup *lookup,
+                               fc_dependency_resolver *resolver, fc_description_store *descriptions);
+void fc_admission_free(fc_admission *admission);
+
+/* Serves one submission. May suspend the calling routine. */
+void fc_admission_submit(fc_admission *admission, const fc_http_request *request, fc_http_response *response);
+
+#endif
--- /dev/null
+++ b/src/controller/client_server.c
@@ -0,0 +1,97 @@
+#include "controller/client_server.h"
+
+#include "controller/http_answers.h"
+#include "protocol/routes.h"
+
+/* Of the sockets; the rest is for peers, the key-value store, the cloud and calls to workers. */
+#define CLIENT_SOCKETS_SHARE(sockets) ((sockets)*3 / 4)
+
+/* Connections are closed after so long without a request. */
+#define IDLE_LEASES 4
+#define IDLE_MIN_S 30.0
+
+#define REQUEST_TIMEOUT_HEARTBEATS 2
+
+struct fc_client_server {
+  fc_client_server_deps deps;
+};
+
+fc_client_server *fc_client_server_new(const fc_client_server_deps *deps) {
+  fc_client_server *server = g_new(fc_client_server, 1);
+  *server = (fc_client_server){.deps = *deps};
+  return server;
+}
+
+static void serve_submission(const fc_client_server *server, const fc_http_request *request,
+                             fc_http_response *response) {
+  fc_metrics *metrics = server->deps.metrics;
+  double began_at = fc_now();
+  fc_metrics_enter_duty(metrics, FC_DUTY_SUBMISSIONS);
+  fc_admission_submit(server->deps.admission, request, response);
+  fc_metrics_time(metrics, FC_TIME_SUBMIT, fc_now() - began_at);
+}
+
+static void serve_poll(const fc_client_server *server, const char *id, fc_http_response *response) {
+  fc_metrics *metrics = server->deps.metrics;
+  double began_at = fc_now();
+  fc_metrics_enter_duty(metrics, FC_DUTY_QUERIES);
+  fc_job_queries_poll(server->deps.queries, id, response);
+  fc_metrics_time(metrics, FC_TIME_POLL, fc_now() - began_at);
+}
+
+static void serve_readiness(const fc_client_server *server, fc_http_response *response) {
+  if (!fc_readiness_is_ready(server->deps.readiness)) {
+    fc_http_answer_retry(response, 503, "not ready");
+    return;
+  }
+  response->status = 200;
+  fc_ready_answer(response->body);
+}
+
+static void serve(const fc_http_request *request, fc_http_response *response, void *arg) {
+  const fc_client_server *server = arg;
+  fc_metrics *metrics = server->deps.metrics;
+  char id[FC_ROUTE_ID_MAX];
+  const char *allow;
+  metrics->counters.requests++;
+  fc_route route = fc_route_of(request->method, request->path, id, &allow);
+  /* The last connections are for workers: users can come back for the next. */
+  response->close = request->crowded && route != FC_ROUTE_HEARTBEAT;
+  switch (route) {
+    case FC_ROUTE_HEARTBEAT:
+      fc_metrics_enter_duty(metrics, FC_DUTY_HEARTBEATS);
+      fc_workers_report(server->deps.controller, request, &response->status, response->body);
+      break;
+    case FC_ROUTE_SUBMIT:
+      serve_submission(server, request, response);
+      break;
+    case FC_ROUTE_POLL:
+      serve_poll(server, id, response);
+      break;
+    case FC_ROUTE_CANCEL:
+      fc_metrics_enter_duty(metrics, FC_DUTY_QUERIES);
+      fc_job_queries_cancel(server->deps.queries, id, response);
+      break;
+    case FC_ROUTE_READY:
+      serve_readiness(server, response);
+      break;
+    case FC_ROUTE_WRONG_METHOD:
+      fc_http_answer_error(response, 405, "wrong method");
+      response->allow = allow;
+      break;
+    case FC_ROUTE_METRICS: /* at the peer address only */
+    case FC_ROUTE_NONE:
+      fc_http_answer_error(response, 404, "no such path");
+      break;
+  }
+}
+
+bool fc_client_server_start(fc_client_server *server) {
+  const fc_settings *settings = server->deps.settings;
+  fc_http_server_options options = {
+      .most_connections = CLIENT_SOCKETS_SHARE(settings->fd_limit),
+      .idle_s = MAX(settings->lease_s * IDLE_LEASES, IDLE_MIN_S),
+      .request_s = settings->heartbeat_s * REQUEST_TIMEOUT_HEARTBEATS,
+  };
+  return fc_http_serve(&settings->client_at, &options, serve, server);
+}
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -40,8 +40,6 @@
   fc_kv_watch *watch;
 
   fc_token_bucket cloud_budget;
-  fc_token_bucket lookup_budget; /* for questions about jobs that are not in memory */
-  GHashTable *archived;          /* id -> fc_archived_job: awaited ones that were found lately */
 
   /* While a write of ours is undecided, the lower of it and the record counts. */
   double share_cap_cpus[FC_TEAMS_MAX], share_cap_gpus[FC_TEAMS_MAX];
@@ -52,16 +50,11 @@
   unsigned worker_calls;           /* direct calls to workers under way */
   uint64_t attempt_counter;
   uint64_t rental_counter;
-  double started_at;
   double looked_at;      /* when places beyond free room were last looked for */
   double types_at;       /* when the machine types were last read */
   GHashTable *recording; /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
 };
 
-typedef enum { FC_FOUND, FC_NOT_THERE, FC_NOT_SURE } fc_lookup;
-/* Looks for a job among the archived ones; the table has just been proved current. */
-fc_lookup fc_archive_find(fc_controller *controller, const char *id, double deadline, fc_archived_job *out);
-
 /* Starts listening and all duties. NULL, with the reason, when it can't. */
 fc_controller *fc_controller_start(const fc_settings *settings, const char **why);
 
@@ -72,9 +65,7 @@
 /* Duties. */
 void fc_round_main(void *controller);
 void fc_rent_main(void *controller);
-void fc_archive_main(void *controller);
 void fc_overdue_main(void *controller);
-bool fc_front_start(fc_controller *controller);
 
 /* rent.c */
 /* Waits for our share of the cloud's rate; false: cancelled. */
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -1,159 +1,186 @@
 #include "controller/dependency_resolver.h"
 
-#include <string.h>
-
 #include "bookkeeping/dependencies.h"
 #include "bookkeeping/record_writes.h"
 
-/* What one awaited job means for a submission that names it. */
-typedef enum { OPEN, DONE, CANCELLED, REFUSED, ABSENT, NOT_SURE } awaited_verdict;
-
-static awaited_verdict in_table(const fc_controller *controller, const char *id) {
-  const fc_job *job = fc_cluster_find_job(controller->cluster, id);
-  if (!job) return ABSENT;
-  if (job->spec.kind == FC_JOB_SERVICE) return REFUSED;
-  if (job->phase == FC_PHASE_ACCEPTED) return OPEN;
-  return job->phase == FC_PHASE_DONE ? DONE : CANCELLED;
+#define PAUSE_HEARTBEATS 0.25 /* between two passes */
+#define LOOKUP_TIMEOUT_HEARTBEATS 0.5
+#define PASS_MAX 16u /* jobs of either kind in one pass */
+
+struct fc_dependency_resolver {
+  fc_cluster *cluster;
+  fc_kv_watch *watch;
+  fc_group_commit *commit;
+  const fc_leadership *leadership;
+  fc_archive_lookup *archive;
+  fc_wakeups *wakeups;
+  fc_metrics *metrics;
+};
+
+fc_dependency_resolver *fc_dependency_resolver_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
+                                                   const fc_leadership *leadership, fc_archive_lookup *archive,
+                                                   fc_wakeups *wakeups, fc_metrics *metrics) {
+  fc_dependency_resolver *resolver = g_new(fc_dependency_resolver, 1);
+  *resolver = (fc_dependency_resolver){.cluster = cluster,
+                                       .watch = watch,
+                                       .commit = commit,
+                                       .leadership = leadership,
+                                       .archive = archive,
+                                       .wakeups = wakeups,
+                                       .metrics = metrics};
+  return resolver;
 }
 
-#define FOUND_MOST 1024u /* remembered; all are forgotten when there are more */
-
-/* Finds an awaited job in the archive. What was found once stays so for good, and is kept for
- * a while: a submission that names more of them than may be looked up at once gets on with
- * each repeat. */
-static fc_lookup find_archived(fc_controller *controller, const char *id, double deadline, fc_archived_job *out) {
-  const fc_archived_job *known = g_hash_table_lookup(controller->archived, id);
-  if (known) {
-    *out = *known;
-    return FC_FOUND;
-  }
-  fc_lookup found = fc_archive_find(controller, id, deadline, out);
-  if (found != FC_FOUND) return found;
-  if (g_hash_table_size(controller->archived) >= FOUND_MOST) g_hash_table_remove_all(controller->archived);
-  fc_archived_job *copy = g_new(fc_archived_job, 1);
-  *copy = *out;
-  g_hash_table_replace(controller->archived, g_strdup(id), copy);
-  return FC_FOUND;
+/* ---- admission ---- */
+
+/* What one dependency means for a submission that names it. */
+typedef enum {
+  DEPENDENCY_OPEN,
+  DEPENDENCY_DONE,
+  DEPENDENCY_CANCELLED,
+  DEPENDENCY_REFUSED,
+  DEPENDENCY_ABSENT, /* not in the cluster state */
+  DEPENDENCY_UNAVAILABLE,
+} dependency_verdict;
+
+static dependency_verdict judge_known(const fc_cluster *cluster, const char *id) {
+  const fc_job *job = fc_cluster_find_job(cluster, id);
+  if (!job) return DEPENDENCY_ABSENT;
+  if (job->spec.kind == FC_JOB_SERVICE) return DEPENDENCY_REFUSED;
+  if (job->phase == FC_PHASE_ACCEPTED) return DEPENDENCY_OPEN;
+  return job->phase == FC_PHASE_DONE ? DEPENDENCY_DONE : DEPENDENCY_CANCELLED;
 }
 
-static awaited_verdict in_archive(fc_controller *controller, const char *id, double deadline) {
+static dependency_verdict judge_archived(fc_dependency_resolver *resolver, const char *id, double deadline) {
   fc_archived_job archived;
-  switch (find_archived(controller, id, deadline, &archived)) {
-    case FC_FOUND:
-      return archived.done ? DONE : CANCELLED;
-    case FC_NOT_THERE:
+  switch (fc_archive_lookup_find_dependency(resolver->archive, id, deadline, &archived)) {
+    case FC_ARCHIVE_FOUND:
+      return archived.done ? DEPENDENCY_DONE : DEPENDENCY_CANCELLED;
+    case FC_ARCHIVE_MISSING:
       /* It may have been archived between the two looks. */
-      return in_table(controller, id) == ABSENT ? REFUSED : NOT_SURE;
+      return judge_known(resolver->cluster, id) == DEPENDENCY_ABSENT ? DEPENDENCY_REFUSED : DEPENDENCY_UNAVAILABLE;
     default:
-      return NOT_SURE;
+      return DEPENDENCY_UNAVAILABLE;
   }
 }
 
-/* `fresh`: the table was proved current since the submission came. */
-static awaited_verdict look_at(fc_controller *controller, const char *id, double deadline, bool *fresh) {
-  awaited_verdict verdict = controller->cluster->sync.loaded ? in_table(controller, id) : ABSENT;
-  if (verdict == ABSENT && !*fresh) {
-    if (!fc_kv_watch_wait_fresh(controller->watch, deadline)) return NOT_SURE;
+/* *fresh: the cluster state was proved current since the submission came. */
+static dependency_verdict judge(fc_dependency_resolver *resolver, const char *id, double deadline, bool *fresh) {
+  const fc_cluster *cluster = resolver->cluster;
+  dependency_verdict verdict = cluster->sync.loaded ? judge_known(cluster, id) : DEPENDENCY_ABSENT;
+  if (verdict == DEPENDENCY_ABSENT && !*fresh) {
+    if (!fc_kv_watch_wait_fresh(resolver->watch, deadline)) return DEPENDENCY_UNAVAILABLE;
     *fresh = true;
-    verdict = in_table(controller, id);
+    verdict = judge_known(cluster, id);
   }
-  return verdict == ABSENT ? in_archive(controller, id, deadline) : verdict;
+  return verdict == DEPENDENCY_ABSENT ? judge_archived(resolver, id, deadline) : verdict;
 }
 
-/* Looks at each; those that are not done yet are added to `open`. */
-static fc_awaits_verdict look_at_all(fc_controller *controller, char *const *awaits, double deadline, GPtrArray *open) {
-  fc_awaits_verdict verdict = FC_AWAITS_RESOLVED;
+/* Judges each; those that are not done yet are added to `open`. */
+static fc_dependency_verdict judge_all(fc_dependency_resolver *resolver, char *const *ids, double deadline,
+                                       GPtrArray *open) {
+  fc_dependency_verdict verdict = FC_DEPENDENCIES_ADMITTED;
   bool fresh = false;
-  for (char *const *id = awaits; *id; id++) {
-    switch (look_at(controller, *id, deadline, &fresh)) {
-      case OPEN:
+  for (char *const *id = ids; *id; id++) {
+    switch (judge(resolver, *id, deadline, &fresh)) {
+      case DEPENDENCY_OPEN:
         g_ptr_array_add(open, g_strdup(*id));
         break;
-      case DONE:
+      case DEPENDENCY_DONE:
         break;
-      case CANCELLED:
-        verdict = FC_AWAITS_CANCELLED;
+      case DEPENDENCY_CANCELLED:
+        verdict = FC_DEPENDENCIES_CANCELLED;
         break;
-      case REFUSED:
-        return FC_AWAITS_REFUSED;
+      case DEPENDENCY_REFUSED:
+        return FC_DEPENDENCIES_REFUSED;
       default:
-        return FC_AWAITS_NOT_SURE;
+        return FC_DEPENDENCIES_UNAVAILABLE;
     }
   }
   return verdict;
 }
 
-fc_awaits_verdict fc_pipelines_admit(fc_controller *controller, char *const *awaits, double deadline, char ***open) {
+fc_dependency_verdict fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids, double deadline,
+                                                   char ***open) {
   *open = NULL;
-  if (!awaits) return FC_AWAITS_RESOLVED;
-  GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
-  fc_awaits_verdict verdict = look_at_all(controller, awaits, deadline, ids);
-  if (verdict == FC_AWAITS_RESOLVED && ids->len > 0) {
-    g_ptr_array_add(ids, NULL);
-    *open = (char **)g_ptr_array_steal(ids, NULL);
+  if (!ids) return FC_DEPENDENCIES_ADMITTED;
+  GPtrArray *open_ids = g_ptr_array_new_with_free_func(g_free);
+  fc_dependency_verdict verdict = judge_all(resolver, ids, deadline, open_ids);
+  if (verdict == FC_DEPENDENCIES_ADMITTED && open_ids->len > 0) {
+    g_ptr_array_add(open_ids, NULL);
+    *open = (char **)g_ptr_array_steal(open_ids, NULL);
   }
-  g_ptr_array_free(ids, TRUE);
+  g_ptr_array_free(open_ids, TRUE);
   return verdict;
 }
 
-/* False: the state service can't say now. */
-static bool look_up(fc_controller *controller, const char *id, double deadline) {
+/* ---- resolving ---- */
+
+/* False: the key-value store can't say now. */
+static bool look_up(fc_dependency_resolver *resolver, const char *id, double deadline) {
   fc_archived_job archived;
-  if (find_archived(controller, id, deadline, &archived) != FC_FOUND) return false;
-  fc_dependencies_learn(controller->cluster, id, archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED,
-                        fc_now());
-  fc_wakeups_raise(controller->wakeups, FC_WAKEUP_SCHEDULE);
+  if (fc_archive_lookup_find_dependency(resolver->archive, id, deadline, &archived) != FC_ARCHIVE_FOUND) return false;
+  fc_dependency_state state = archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED;
+  fc_dependencies_learn(resolver->cluster, id, state, fc_now());
+  fc_wakeups_raise(resolver->wakeups, FC_WAKEUP_SCHEDULE);
   return true;
 }
 
-bool fc_pipelines_resolve(fc_controller *controller, const char *id, double deadline) {
+bool fc_dependency_resolver_resolve(fc_dependency_resolver *resolver, const char *id, double deadline) {
   for (;;) {
-    const fc_job *job = fc_cluster_find_job(controller->cluster, id);
+    const fc_job *job = fc_cluster_find_job(resolver->cluster, id);
     const char *unknown = job && job->phase == FC_PHASE_ACCEPTED ? fc_job_unknown_dependency(job) : NULL;
     if (!unknown) return true;
-    char *awaited = g_strdup(unknown);
-    bool known = look_up(controller, awaited, deadline);
-    g_free(awaited);
+    char *dependency = g_strdup(unknown); /* the job's may be freed during the look-up */
+    bool known = look_up(resolver, dependency, deadline);
+    g_free(dependency);
     if (!known) return false;
   }
 }
 
-/* The job's own record comes to say what follows from another's. */
-static void record_cancel(fc_controller *controller, const char *id) {
-  const fc_job *job = fc_cluster_find_job(controller->cluster, id);
-  if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED ||
-      !fc_leadership_held(controller->leadership))
-    return;
-  fc_write *write = fc_job_record_write(controller->cluster, job, job->record.version, FC_PHASE_CANCELLED,
+/* ---- the routine ---- */
+
+/* Writes into the job's own record what follows from another's. */
+static void record_cancellation(fc_dependency_resolver *resolver, const char *id) {
+  const fc_job *job = fc_cluster_find_job(resolver->cluster, id);
+  if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED) return;
+  if (!fc_leadership_held(resolver->leadership)) return;
+  fc_write *write = fc_job_record_write(resolver->cluster, job, job->record.version, FC_PHASE_CANCELLED,
                                         job->completion.bitmap, job->record.handed_to, &job->record.origin);
   if (!write) return;
+  const fc_settings *settings = resolver->cluster->settings;
   uint64_t revision = 0;
-  double now = fc_now();
-  if (fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_MAINTENANCE,
-                            now + controller->settings->lease_s, &revision) == FC_KV_OK)
-    (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + controller->settings->heartbeat_s);
+  if (fc_group_commit_write(resolver->commit, write, FC_WRITE_PRIORITY_MAINTENANCE, fc_now() + settings->lease_s,
+                            &revision) == FC_KV_OK)
+    (void)fc_kv_watch_wait_revision(resolver->watch, revision, fc_now() + settings->heartbeat_s);
 }
 
-static void each_id(fc_controller *controller, GPtrArray *ids, void (*fn)(fc_controller *controller, const char *id)) {
-  for (guint i = 0; i < ids->len; i++) fn(controller, ids->pdata[i]);
+static void look_up_unknown(fc_dependency_resolver *resolver) {
+  GPtrArray *ids = fc_dependencies_unknown(resolver->cluster, PASS_MAX);
+  double timeout_s = resolver->cluster->settings->heartbeat_s * LOOKUP_TIMEOUT_HEARTBEATS;
+  for (guint i = 0; i < ids->len; i++) (void)look_up(resolver, ids->pdata[i], fc_now() + timeout_s);
   g_ptr_array_free(ids, TRUE);
 }
 
-static void look_up_soon(fc_controller *controller, const char *id) {
-  (void)look_up(controller, id, fc_now() + controller->settings->heartbeat_s * 0.5);
+static void record_cancellations(fc_dependency_resolver *resolver) {
+  int self = resolver->cluster->membership.self;
+  if (self < 0) return;
+  GPtrArray *ids = fc_dependencies_unrecorded(resolver->cluster, self, PASS_MAX);
+  for (guint i = 0; i < ids->len; i++) record_cancellation(resolver, ids->pdata[i]);
+  g_ptr_array_free(ids, TRUE);
 }
 
-#define AT_ONCE_MOST 16u /* of either kind, before the other has its turn */
-
-void fc_pipelines_main(void *arg) {
-  fc_controller *controller = arg;
-  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
-  while (fc_routine_sleep(controller->settings->heartbeat_s * 0.25) != FC_WAKE_CANCELLED) {
-    if (!controller->cluster->sync.loaded || !fc_cluster_store_reachable(controller->cluster, fc_now())) continue;
-    each_id(controller, fc_dependencies_unknown(controller->cluster, AT_ONCE_MOST), look_up_soon);
-    if (controller->cluster->membership.self >= 0)
-      each_id(controller,
-              fc_dependencies_unrecorded(controller->cluster, controller->cluster->membership.self, AT_ONCE_MOST),
-              record_cancel);
+static void run(void *arg) {
+  fc_dependency_resolver *resolver = arg;
+  fc_metrics_enter_duty(resolver->metrics, FC_DUTY_COMMITS);
+  double pause_s = resolver->cluster->settings->heartbeat_s * PAUSE_HEARTBEATS;
+  while (fc_routine_sleep(pause_s) != FC_WAKE_CANCELLED) {
+    if (!fc_cluster_store_reachable(resolver->cluster, fc_now())) continue;
+    look_up_unknown(resolver);
+    record_cancellations(resolver);
   }
 }
+
+bool fc_dependency_resolver_start(fc_dependency_resolver *resolver) {
+  return fc_routine_spawn(run, resolver) != NULL;
+}
--- a/src/controller/dependency_resolver.h
+++ b/src/controller/dependency_resolver.h
@@ -1,27 +1,37 @@
-/* What of pipelines takes the state service: the jobs that a submission names, jobs that are
- * awaited but archived, and the records of jobs cancelled with others. */
+/* What of job dependencies needs the key-value store: the jobs that a submission depends on, the
+ * states of archived ones, and the records of jobs that are cancelled with others. */
 #ifndef FC_CONTROLLER_DEPENDENCY_RESOLVER_H
 #define FC_CONTROLLER_DEPENDENCY_RESOLVER_H
 
-#include "controller/controller.h"
+#include "controller/archive_lookup.h"
+#include "controller/kv_watch.h"
 
 typedef enum {
-  FC_AWAITS_RESOLVED,  /* the job may be accepted */
-  FC_AWAITS_CANCELLED, /* one of them is: the job is cancelled from the start */
-  FC_AWAITS_REFUSED,   /* one was never accepted, or is a service */
-  FC_AWAITS_NOT_SURE,  /* can't be said now */
-} fc_awaits_verdict;
+  FC_DEPENDENCIES_ADMITTED,    /* the job may be accepted */
+  FC_DEPENDENCIES_CANCELLED,   /* one of them is: the job is cancelled from the start */
+  FC_DEPENDENCIES_REFUSED,     /* one was never accepted, or is a service */
+  FC_DEPENDENCIES_UNAVAILABLE, /* that can't be said now */
+} fc_dependency_verdict;
 
-/* Looks at the jobs that a submission awaits. Waits for reads of the state service up to the
- * deadline. *open: those that are not done yet, the caller's to free; NULL: none, or the job
- * is not to wait for them. */
-fc_awaits_verdict fc_pipelines_admit(fc_controller *controller, char *const *awaits, double deadline, char ***open);
+typedef struct fc_dependency_resolver fc_dependency_resolver;
 
-/* Looks up what the job awaits and is not known. False: it is still not known whether the job
- * is cancelled with another. The job may have left the table meanwhile. */
-bool fc_pipelines_resolve(fc_controller *controller, const char *id, double deadline);
+/* The arguments have to outlive it, and it lives as long as its routine. */
+fc_dependency_resolver *fc_dependency_resolver_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
+                                                   const fc_leadership *leadership, fc_archive_lookup *archive,
+                                                   fc_wakeups *wakeups, fc_metrics *metrics);
+/* Starts its routine, which looks up dependencies that the cluster state does not hold, and records
+ * cancellations; false: out of memory. */
+bool fc_dependency_resolver_start(fc_dependency_resolver *resolver);
 
-/* The duty: looks up awaited jobs that the table does not hold, and records cancellations. */
-void fc_pipelines_main(void *controller);
+/* Judges the jobs that a submission depends on, a NULL-terminated list or NULL. *open: those that
+ * are not done yet, which the caller frees with g_strfreev(); NULL: none, or the job does not depend
+ * on them any more. May suspend the calling routine, until the deadline at the most. */
+fc_dependency_verdict fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids, double deadline,
+                                                   char ***open);
+
+/* Looks up the dependencies of a job that are not known. False: it is still not known whether the
+ * job is cancelled with one. May suspend the calling routine; the job may have left the cluster
+ * state meanwhile. */
+bool fc_dependency_resolver_resolve(fc_dependency_resolver *resolver, const char *id, double deadline);
 
 #endif
--- /dev/null
+++ b/src/controller/description_cleanup.h
@@ -0,0 +1,17 @@
+/* Removes parts of job descriptions that no record needs: the job has been archived, or was never
+ * accepted. */
+#ifndef FC_CONTROLLER_DESCRIPTION_CLEANUP_H
+#define FC_CONTROLLER_DESCRIPTION_CLEANUP_H
+
+#include "bookkeeping/group_commit.h"
+#include "controller/kv_watch.h"
+
+typedef struct fc_description_cleanup fc_description_cleanup;
+
+/* The arguments have to outlive it, and it lives as long as its routine. */
+fc_description_cleanup *fc_description_cleanup_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
+                                                   const fc_leadership *leadership, fc_metrics *metrics);
+/* Starts its routine; false: out of memory. */
+bool fc_description_cleanup_start(fc_description_cleanup *cleanup);
+
+#endif
--- a/src/controller/description_store.h
+++ b/src/controller/description_store.h
@@ -1,16 +1,22 @@
-/* Descriptions that are too long for one value of the state service: written in parts before
- * the job's record, which is conditional on them, and removed when no record needs them. */
+/* Writes job descriptions that are too long for one value of the key-value store: in parts, before
+ * the job's record, which is conditional on them. */
 #ifndef FC_CONTROLLER_DESCRIPTION_STORE_H
 #define FC_CONTROLLER_DESCRIPTION_STORE_H
 
-#include "controller/controller.h"
+#include "bookkeeping/group_commit.h"
+#include "controller/kv_watch.h"
 
-/* Writes what is not there yet of the description. What has been written when the deadline
- * comes stays, so that a repeat goes on from there. *parts names it, and *first is the version
- * of its first part, on which the record has to be conditional. */
-fc_kv_result fc_description_store(fc_controller *controller, const fc_job_spec *spec, double deadline,
-                                  fc_description_ref *parts, uint64_t *first);
-/* The duty: removes parts that no record needs. */
-void fc_descriptions_main(void *controller);
+typedef struct fc_description_store fc_description_store;
+
+/* The arguments have to outlive it. The caller frees it with fc_description_store_free(). */
+fc_description_store *fc_description_store_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit);
+void fc_description_store_free(fc_description_store *store);
+
+/* Writes the parts of the description that are not there yet. *ref names it, and *first_version is
+ * the version of its first part, on which the record has to be conditional; 0: it is not there. What
+ * has been written when the deadline (steady time) comes stays, so that a retry goes on from there.
+ * May suspend the calling routine. */
+fc_kv_result fc_description_store_write(fc_description_store *store, const fc_job_spec *spec, double deadline,
+                                        fc_description_ref *ref, uint64_t *first_version);
 
 #endif
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -1,7 +1,8 @@
 /* Assembles one controller from its settings. */
+#include "controller/archiver.h"
+#include "controller/client_server.h"
 #include "controller/controller.h"
-#include "controller/dependency_resolver.h"
-#include "controller/description_store.h"
+#include "controller/description_cleanup.h"
 #include "controller/duties.h"
 #include "controller/membership.h"
 #include "controller/view_receiver.h"
@@ -17,7 +18,7 @@
 fc_controller *fc_controller_start(const fc_settings *settings, const char **why) {
   fc_controller *controller = g_new0(fc_controller, 1);
   controller->settings = settings;
-  controller->started_at = controller->types_at = fc_now();
+  controller->types_at = fc_now();
   controller->cluster = fc_cluster_new(settings);
   controller->cluster->clock_offset_s = fc_time_of_day() - fc_now();
   controller->metrics = fc_metrics_new();
@@ -31,7 +32,6 @@
   controller->watch = fc_kv_watch_new(controller->cluster, controller->kv, applier, controller->leadership,
                                       controller->wakeups, controller->metrics);
   controller->cloud = fc_cloud_new(&settings->cloud_at);
-  controller->archived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   double nodes = (double)(settings->peer_count + 1);
   const fc_group_commit_limits limits = {
@@ -45,9 +45,25 @@
   controller->commit = fc_group_commit_new(controller->kv, &limits);
   fc_token_bucket_init(&controller->cloud_budget, settings->cloud_rps / nodes, MAX(1.0, settings->cloud_rps / nodes),
                        fc_now());
-  fc_token_bucket_init(&controller->lookup_budget, settings->state_rps / nodes * 0.1,
-                       MAX(1.0, settings->state_rps / nodes * 0.1), fc_now());
-  if (!fc_front_start(controller)) {
+  fc_archive_lookup *archive = fc_archive_lookup_new(controller->cluster, controller->kv, controller->commit);
+  fc_dependency_resolver *resolver =
+      fc_dependency_resolver_new(controller->cluster, controller->watch, controller->commit, controller->leadership,
+                                 archive, controller->wakeups, controller->metrics);
+  fc_description_store *descriptions =
+      fc_description_store_new(controller->cluster, controller->watch, controller->commit);
+  fc_job_lookup *lookup = fc_job_lookup_new(controller->cluster, controller->watch, resolver, archive);
+  fc_admission *admission =
+      fc_admission_new(controller->cluster, controller->commit, controller->peers, lookup, resolver, descriptions);
+  fc_job_queries *queries =
+      fc_job_queries_new(controller->cluster, controller->watch, controller->commit, controller->cancellations, lookup);
+  fc_readiness *readiness = fc_readiness_new(controller->cluster, controller->leadership, controller->peers);
+  fc_client_server *server = fc_client_server_new(&(fc_client_server_deps){.settings = settings,
+                                                                           .admission = admission,
+                                                                           .queries = queries,
+                                                                           .readiness = readiness,
+                                                                           .controller = controller,
+                                                                           .metrics = controller->metrics});
+  if (!fc_client_server_start(server)) {
     *why = "client_listen: can't listen there";
     return NULL;
   }
@@ -75,13 +91,16 @@
     *why = "out of memory";
     return NULL;
   }
-  fc_routine_fn duties[] = {fc_round_main,   fc_quota_main,     fc_rent_main,        fc_archive_main,
-                            fc_overdue_main, fc_pipelines_main, fc_descriptions_main};
-  for (size_t i = 0; i < G_N_ELEMENTS(duties); i++) {
-    if (!fc_routine_spawn(duties[i], controller)) {
-      *why = "out of memory";
-      return NULL;
-    }
+  fc_archiver *archiver = fc_archiver_new(controller->cluster, controller->watch, controller->commit,
+                                          controller->leadership, controller->metrics);
+  fc_description_cleanup *cleanup = fc_description_cleanup_new(
+      controller->cluster, controller->watch, controller->commit, controller->leadership, controller->metrics);
+  if (!fc_routine_spawn(fc_round_main, controller) || !fc_routine_spawn(fc_quota_main, controller) ||
+      !fc_routine_spawn(fc_rent_main, controller) || !fc_archiver_start(archiver) ||
+      !fc_routine_spawn(fc_overdue_main, controller) || !fc_dependency_resolver_start(resolver) ||
+      !fc_description_cleanup_start(cleanup)) {
+    *why = "out of memory";
+    return NULL;
   }
   return controller;
 }
