--- a/src/coordination/assignment.c
+++ b/src/coordination/assignment.c
@@ -3,42 +3,61 @@
 #include <glib.h>
 #include <string.h>
 
-/* FNV-1a, then the finaliser of splitmix64: rendezvous hashing needs weights
- * that are independent between members, which FNV alone does not give. */
-static uint64_t weigh(uint64_t seed, const char *key, const char *member) {
-  uint64_t h = 1469598103934665603ull ^ seed;
-  for (const char *p = key; *p; p++) h = (h ^ (unsigned char)*p) * 1099511628211ull;
-  h = (h ^ 0xff) * 1099511628211ull;
-  for (const char *p = member; *p; p++) h = (h ^ (unsigned char)*p) * 1099511628211ull;
-  h += 0x9e3779b97f4a7c15ull;
-  h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9ull;
-  h = (h ^ (h >> 27)) * 0x94d049bb133111ebull;
-  return h ^ (h >> 31);
+#define FNV_OFFSET_BASIS 1469598103934665603ull
+#define FNV_PRIME 1099511628211ull
+#define KEY_SEPARATOR 0xffu
+/* "job-" with at most 18 digits, '#', and the number of a slice. */
+#define SLICE_KEY_SIZE 64u
+
+static uint64_t fnv1a(uint64_t hash, const char *text) {
+  for (const char *byte = text; *byte; byte++) hash = (hash ^ (unsigned char)*byte) * FNV_PRIME;
+  return hash;
+}
+
+/* The finaliser of splitmix64. */
+static uint64_t mix(uint64_t hash) {
+  hash += 0x9e3779b97f4a7c15ull;
+  hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ull;
+  hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebull;
+  return hash ^ (hash >> 31);
+}
+
+/* Rendezvous hashing needs weights that are independent between members, which FNV-1a alone
+ * does not give. */
+static uint64_t rendezvous_weight(uint64_t seed, const char *key, const char *member) {
+  uint64_t hash = fnv1a(FNV_OFFSET_BASIS ^ seed, key);
+  hash = (hash ^ KEY_SEPARATOR) * FNV_PRIME;
+  return mix(fnv1a(hash, member));
 }
 
 int fc_assign_key(const fc_term *term, const char *key) {
   int best = -1;
   uint64_t best_weight = 0;
   for (size_t i = 0; i < term->count; i++) {
-    uint64_t w = weigh(term->seed, key, term->members[i].name);
-    if (best < 0 || w > best_weight) {
+    uint64_t weight = rendezvous_weight(term->seed, key, term->members[i].name);
+    if (best < 0 || weight > best_weight) {
       best = (int)i;
-      best_weight = w;
+      best_weight = weight;
     }
   }
   return best;
 }
 
+/* The named member; -1 when there is no name or no such member. */
+static int member_named(const fc_term *term, const char *name) {
+  return name && *name ? fc_term_find(term, name) : -1;
+}
+
 int fc_assign_slice(const fc_term *term, const char *id, unsigned slice, unsigned slices, const char *handed_to) {
-  int m = handed_to && *handed_to ? fc_term_find(term, handed_to) : -1;
-  if (m >= 0) return m;
+  int member = member_named(term, handed_to);
+  if (member >= 0) return member;
   if (slices <= 1) return fc_assign_key(term, id);
-  char key[64];
+  char key[SLICE_KEY_SIZE];
   g_snprintf(key, sizeof key, "%s#%u", id, slice);
   return fc_assign_key(term, key);
 }
 
 int fc_assign_machine(const fc_term *term, const char *id, const char *owner) {
-  int m = owner && *owner ? fc_term_find(term, owner) : -1;
-  return m >= 0 ? m : fc_assign_key(term, id);
+  int member = member_named(term, owner);
+  return member >= 0 ? member : fc_assign_key(term, id);
 }
--- a/src/coordination/assignment.h
+++ b/src/coordination/assignment.h
@@ -1,6 +1,6 @@
-/* The deal: what follows from the stored term alone, with no further message.
- * Jobs are dealt at random; a change of members moves only the jobs of the one
- * that came or went. */
+/* Assignment of jobs and machines to the members of a term. It follows from the stored term
+ * alone, so that every controller derives the same one without a further message. Rendezvous
+ * hashing: a change of members moves only the keys of the member that joined or left. */
 #ifndef FC_COORDINATION_ASSIGNMENT_H
 #define FC_COORDINATION_ASSIGNMENT_H
 
@@ -8,13 +8,14 @@
 
 #include "protocol/records.h"
 
-/* Index of the member that `key` falls to; -1 when there are no members. */
+/* Index of the member that `key` is assigned to; -1 when the term has no members. */
 int fc_assign_key(const fc_term *term, const char *key);
-/* The controller a job, or one slice of it, belongs to: the one it was handed
- * to while that is a member, else as dealt. */
+/* Index of the member that owns slice number `slice` of the job `id`, which has `slices` of
+ * them: `handed_to` (NULL or "": nobody) while it is a member, else the hashed one; -1 when the
+ * term has no members. */
 int fc_assign_slice(const fc_term *term, const char *id, unsigned slice, unsigned slices, const char *handed_to);
-/* The controller a machine belongs to: its recorded owner while that is a
- * member, else as dealt. */
+/* Index of the member that owns the machine `id`: the recorded `owner` (NULL or "": none) while
+ * it is a member, else the hashed one; -1 when the term has no members. */
 int fc_assign_machine(const fc_term *term, const char *id, const char *owner);
 
 #endif
--- a/src/coordination/quota_division.h
+++ b/src/coordination/quota_division.h
@@ -1,35 +1,37 @@
-/* Shares of the teams' limits: who may use how much, so that the sum never
- * passes the limit whatever order messages come in. Pure arithmetic. */
+/* Division of the teams' limits into one quota share for each shard. The sum of the shares never
+ * passes the limit, in whatever order messages arrive. Pure arithmetic on amounts of one resource
+ * (CPUs or GPUs). */
 #ifndef FC_COORDINATION_QUOTA_DIVISION_H
 #define FC_COORDINATION_QUOTA_DIVISION_H
 
 #include <stdbool.h>
+#include <stddef.h>
 
-#include "protocol/records.h"
-
-/* One kind of resource of one team, over the parts. */
+/* What one team uses and asks for of one resource in one shard. */
 typedef struct fc_quota_demand {
-  double used;   /* what may be running on the part's machines */
-  double wanted; /* what its queue asks for besides */
-  double least;  /* what the most modest of that can start with; 0: not known */
+  double used;   /* what may be running on the shard's machines */
+  double wanted; /* what its pending tasks ask for besides */
+  double least;  /* the smallest amount with which one of those can start; 0: not known */
 } fc_quota_demand;
 
-/* First division in a term: every part keeps what it uses, the rest is dealt
- * by queued demand, what is left over evenly. False when the use already passes
- * the limit: with use that is only feared that can be, and then the shares say
- * nothing; they could not be raised and lowered safely later on. */
-bool fc_quota_divide(double limit, const fc_quota_demand *parts, size_t count, double *shares);
-/* What all the others hold and lack. */
+/* The sums over all other shards. */
 typedef struct fc_quota_others {
   double assigned, lacking;
   size_t count;
 } fc_quota_others;
 
-/* The share this part should ask for now. Never below what it uses, never above
- * what the limit leaves. Every change is a write that others wait behind: a part
- * that needs more takes its part of what is free along, and gives back only when
- * others lack more than is free, and then half of what it can spare at least, or what
- * is too little for any that it wants. */
+/* The first division in a term: each shard's share is what it uses; the rest of `limit` is divided
+ * in proportion to the pending demand, and what is left over evenly. `demands` and `shares` have
+ * `count` entries.
+ * False when the use alone passes the limit, which is possible because tasks that may be running
+ * count as used; the shares are then unusable, since they could not be changed safely later. */
+bool fc_quota_divide(double limit, const fc_quota_demand *demands, size_t count, double *shares);
+
+/* The share that a shard should request now; `own_share` is its present one. Never below what it
+ * uses, never above what the limit leaves. Every change is a write that delays other writes. So a
+ * shard that needs more also takes an even part of what is unassigned. It gives back only when
+ * others lack more than is unassigned: then at least half of what it can spare, or all that is too
+ * little to start any pending task. */
 double fc_quota_adjust(double limit, const fc_quota_others *others, double own_share, const fc_quota_demand *own);
 
 #endif
