--- a/src/protocol/job.h
+++ b/src/protocol/job.h
@@ -16,6 +16,9 @@
 /* What users are told. */
 typedef enum { FC_STATUS_PENDING, FC_STATUS_RUNNING, FC_STATUS_DONE, FC_STATUS_CANCELLED } fc_job_status;
 
+/* Buffers, with the closing NUL: for a job's id; for a name of a machine, type, zone or member. */
+#define FC_JOB_ID_SIZE 32
+#define FC_NAME_SIZE 64
 #define FC_TASKS_MAX 100000u
 #define FC_TYPES_PER_JOB 64u
 #define FC_SLICES_MAX 16u
--- a/src/protocol/peer_frame.c
+++ b/src/protocol/peer_frame.c
@@ -2,260 +2,325 @@
 
 #include <string.h>
 
-#define MAGIC 0xfc1eu
-/* The least that a machine takes in a view and in an acknowledgement, and a task:
- * no count that a frame states can make us take more memory than it has bytes for. */
+#define FRAME_MAGIC 0xfc1eu
+#define LENGTH_OFFSET 4u /* of the length in the head */
+
+/* The smallest encoded size of each list element, with empty names: a count stated by a frame
+ * is refused before memory is taken for more elements than the frame has bytes for. */
 #define MACHINE_LEAST (1u + 1u + 2u)
-#define KEPT_LEAST (1u + 4u + 1u + 8u + 8u)
-#define ASKED_LEAST (1u + 4u + 1u)
+#define RENEWAL_LEAST (1u + 4u + 1u + 8u + 8u)
+#define PROBE_LEAST (1u + 4u + 1u)
 #define TASK_LEAST (1u + 4u + 8u + 1u + 1u)
-#define CANCEL_LEAST (1u + 8u + 4u)
+#define CANCELLATION_LEAST (1u + 8u + 4u)
+
+enum machine_flag { MACHINE_RECONCILED = 1, MACHINE_CORDONED = 2, MACHINE_UNREACHABLE = 4 };
+
+/* ---- integers and texts ---- */
+
+static void put_u8(GByteArray *out, uint8_t value) {
+  g_byte_array_append(out, &value, 1);
+}
+
+static void put_u16(GByteArray *out, uint16_t value) {
+  guint16 big_endian = GUINT16_TO_BE(value);
+  g_byte_array_append(out, (const guint8 *)&big_endian, sizeof big_endian);
+}
 
-static void put_u8(GByteArray *b, uint8_t v) {
-  g_byte_array_append(b, &v, 1);
+static void put_u32(GByteArray *out, uint32_t value) {
+  guint32 big_endian = GUINT32_TO_BE(value);
+  g_byte_array_append(out, (const guint8 *)&big_endian, sizeof big_endian);
 }
 
-static void put_u16(GByteArray *b, uint16_t v) {
-  guint16 n = GUINT16_TO_BE(v);
-  g_byte_array_append(b, (const guint8 *)&n, 2);
+static void put_u64(GByteArray *out, uint64_t value) {
+  guint64 big_endian = GUINT64_TO_BE(value);
+  g_byte_array_append(out, (const guint8 *)&big_endian, sizeof big_endian);
 }
 
-static void put_u32(GByteArray *b, uint32_t v) {
-  guint32 n = GUINT32_TO_BE(v);
-  g_byte_array_append(b, (const guint8 *)&n, 4);
+static void put_text(GByteArray *out, const char *text) {
+  size_t length = strlen(text);
+  put_u8(out, (uint8_t)length); /* every text here is shorter than FC_NAME_SIZE */
+  g_byte_array_append(out, (const guint8 *)text, (guint)length);
 }
 
-static void put_u64(GByteArray *b, uint64_t v) {
-  guint64 n = GUINT64_TO_BE(v);
-  g_byte_array_append(b, (const guint8 *)&n, 8);
+/* What is left to decode. After the first malformed byte `malformed` stays set and every value
+ * reads as zero. */
+typedef struct frame_input {
+  const uint8_t *next;
+  size_t left;
+  bool malformed;
+} frame_input;
+
+static void get_bytes(frame_input *in, void *out, size_t size) {
+  if (in->malformed || in->left < size) {
+    in->malformed = true;
+    memset(out, 0, size);
+    return;
+  }
+  memcpy(out, in->next, size);
+  in->next += size;
+  in->left -= size;
 }
 
-static void put_text(GByteArray *b, const char *s) {
-  size_t n = strlen(s);
-  put_u8(b, (uint8_t)n); /* every text here is shorter than 64 bytes */
-  g_byte_array_append(b, (const guint8 *)s, (guint)n);
+static uint8_t get_u8(frame_input *in) {
+  uint8_t value;
+  get_bytes(in, &value, sizeof value);
+  return value;
 }
 
-static guint begin(GByteArray *b, fc_frame_type type) {
-  guint at = b->len;
-  put_u16(b, MAGIC);
-  put_u8(b, FC_FRAME_VERSION);
-  put_u8(b, (uint8_t)type);
-  put_u32(b, 0);
-  return at;
+static uint16_t get_u16(frame_input *in) {
+  guint16 big_endian;
+  get_bytes(in, &big_endian, sizeof big_endian);
+  return GUINT16_FROM_BE(big_endian);
 }
 
-static void finish(GByteArray *b, guint at) {
-  guint32 n = GUINT32_TO_BE(b->len - at - FC_FRAME_HEAD);
-  memcpy(b->data + at + 4, &n, 4);
+static uint32_t get_u32(frame_input *in) {
+  guint32 big_endian;
+  get_bytes(in, &big_endian, sizeof big_endian);
+  return GUINT32_FROM_BE(big_endian);
 }
 
-size_t fc_frame_machine_size(const fc_frame_machine *frame_machine) {
-  size_t n = MACHINE_LEAST + strlen(frame_machine->id);
-  for (size_t k = 0; k < frame_machine->task_count; k++) n += TASK_LEAST + strlen(frame_machine->tasks[k].job);
-  return n;
+static uint64_t get_u64(frame_input *in) {
+  guint64 big_endian;
+  get_bytes(in, &big_endian, sizeof big_endian);
+  return GUINT64_FROM_BE(big_endian);
 }
 
-static void put_cancels(GByteArray *b, const fc_frame_cancellation *cancels, size_t count) {
-  put_u16(b, (uint16_t)count);
-  for (size_t i = 0; i < count; i++) {
-    put_text(b, cancels[i].job);
-    put_u64(b, cancels[i].revision);
-    put_u32(b, cancels[i].age_ms);
+static bool get_bool(frame_input *in) {
+  return get_u8(in) != 0;
+}
+
+static void get_text(frame_input *in, char *out, size_t size) {
+  size_t length = get_u8(in);
+  if (length >= size) {
+    in->malformed = true;
+    length = 0;
   }
+  get_bytes(in, out, length);
+  out[in->malformed ? 0 : length] = '\0';
+  bool holds_nul = !in->malformed && strlen(out) != length;
+  if (holds_nul) in->malformed = true;
 }
 
-void fc_view_encode(GByteArray *out, const fc_view *view) {
-  guint at = begin(out, FC_FRAME_VIEW);
-  put_text(out, view->sender);
-  put_u64(out, view->incarnation);
-  put_u64(out, view->term);
-  put_u64(out, view->sequence);
-  put_u64(out, view->base);
-  put_u32(out, view->piece);
-  put_u8(out, view->last);
-  put_u16(out, view->backlog);
-  put_u64(out, view->revision);
-  put_cancels(out, view->cancellations, view->cancellation_count);
-  put_u32(out, (uint32_t)view->machine_count);
-  for (size_t i = 0; i < view->machine_count; i++) {
-    const fc_frame_machine *frame_machine = &view->machines[i];
-    put_text(out, frame_machine->id);
-    put_u8(out, (uint8_t)((frame_machine->reconciled ? 1 : 0) | (frame_machine->cordoned ? 2 : 0) |
-                          (frame_machine->unreachable ? 4 : 0)));
-    put_u16(out, (uint16_t)frame_machine->task_count);
-    for (size_t k = 0; k < frame_machine->task_count; k++) {
-      put_text(out, frame_machine->tasks[k].job);
-      put_u32(out, frame_machine->tasks[k].index);
-      put_u64(out, frame_machine->tasks[k].attempt);
-      put_u8(out, frame_machine->tasks[k].state);
-      put_u8(out, frame_machine->tasks[k].cause);
-    }
+/* ---- lists ---- */
+
+typedef void (*element_decoder)(frame_input *in, void *element);
+
+/* Decodes `count` elements of `size` bytes in memory and at least `least` in the frame. The caller
+ * frees the array; NULL, with *decoded 0, when there are none or more than `most` or than fit. */
+static void *get_list(frame_input *in, size_t count, size_t most, size_t least, size_t size, element_decoder decode,
+                      size_t *decoded) {
+  *decoded = 0;
+  if (in->malformed || count > most || count > in->left / least) {
+    in->malformed = true;
+    return NULL;
   }
-  finish(out, at);
+  char *elements = g_malloc0_n(count, size);
+  *decoded = count;
+  for (size_t i = 0; i < count && !in->malformed; i++) decode(in, elements + i * size);
+  return elements;
 }
 
-void fc_ack_encode(GByteArray *out, const fc_ack *ack) {
-  guint at = begin(out, FC_FRAME_ACK);
-  put_text(out, ack->sender);
-  put_u64(out, ack->incarnation);
-  put_u64(out, ack->term);
-  put_u64(out, ack->sequence);
-  put_u8(out, ack->applied);
-  put_u32(out, ack->grant_ms);
-  put_u32(out, ack->no_cancellation_ms);
-  put_u32(out, ack->kv_read_age_ms);
-  put_u64(out, ack->revision);
-  put_u8(out, ack->cancellations_complete);
-  put_cancels(out, ack->cancellations, ack->cancellation_count);
-  put_u32(out, (uint32_t)ack->renewal_count);
-  for (size_t i = 0; i < ack->renewal_count; i++) {
-    put_text(out, ack->renewals[i].machine);
-    put_u32(out, ack->renewals[i].age_ms);
-    put_u8(out, ack->renewals[i].bidirectional);
-    put_u64(out, ack->renewals[i].epoch);
-    put_u64(out, ack->renewals[i].sequence);
+static void put_cancellations(GByteArray *out, const fc_frame_cancellation *cancellations, size_t count) {
+  put_u16(out, (uint16_t)count);
+  for (size_t i = 0; i < count; i++) {
+    put_text(out, cancellations[i].job);
+    put_u64(out, cancellations[i].revision);
+    put_u32(out, cancellations[i].age_ms);
   }
-  put_u32(out, (uint32_t)ack->probe_count);
-  for (size_t i = 0; i < ack->probe_count; i++) {
-    put_text(out, ack->probes[i].machine);
-    put_u32(out, ack->probes[i].age_ms);
-    put_u8(out, ack->probes[i].answered);
+}
+
+static void get_cancellation(frame_input *in, void *element) {
+  fc_frame_cancellation *cancellation = element;
+  get_text(in, cancellation->job, sizeof cancellation->job);
+  cancellation->revision = get_u64(in);
+  cancellation->age_ms = get_u32(in);
+}
+
+static fc_frame_cancellation *get_cancellations(frame_input *in, size_t *count) {
+  size_t stated = get_u16(in);
+  return get_list(in, stated, FC_FRAME_CANCELLATIONS_MAX, CANCELLATION_LEAST, sizeof(fc_frame_cancellation),
+                  get_cancellation, count);
+}
+
+static void put_tasks(GByteArray *out, const fc_frame_task *tasks, size_t count) {
+  put_u16(out, (uint16_t)count);
+  for (size_t i = 0; i < count; i++) {
+    put_text(out, tasks[i].job);
+    put_u32(out, tasks[i].index);
+    put_u64(out, tasks[i].attempt);
+    put_u8(out, tasks[i].state);
+    put_u8(out, tasks[i].cause);
   }
-  finish(out, at);
 }
 
-typedef struct cursor {
-  const uint8_t *p;
-  size_t left;
-  bool bad;
-} cursor;
-
-static bool take(cursor *c, void *out, size_t n) {
-  if (c->bad || c->left < n) {
-    c->bad = true;
-    memset(out, 0, n);
-    return false;
+static void get_task(frame_input *in, void *element) {
+  fc_frame_task *task = element;
+  get_text(in, task->job, sizeof task->job);
+  task->index = get_u32(in);
+  task->attempt = get_u64(in);
+  task->state = get_u8(in);
+  task->cause = get_u8(in);
+  if (task->state > FC_TASK_EXITED || task->cause > FC_CAUSE_UNKNOWN) in->malformed = true;
+}
+
+static void put_machines(GByteArray *out, const fc_frame_machine *machines, size_t count) {
+  put_u32(out, (uint32_t)count);
+  for (size_t i = 0; i < count; i++) {
+    const fc_frame_machine *machine = &machines[i];
+    put_text(out, machine->id);
+    put_u8(out, (uint8_t)((machine->reconciled ? MACHINE_RECONCILED : 0) | (machine->cordoned ? MACHINE_CORDONED : 0) |
+                          (machine->unreachable ? MACHINE_UNREACHABLE : 0)));
+    put_tasks(out, machine->tasks, machine->task_count);
   }
-  memcpy(out, c->p, n);
-  c->p += n;
-  c->left -= n;
-  return true;
 }
 
-static uint8_t get_u8(cursor *c) {
-  uint8_t v;
-  take(c, &v, 1);
-  return v;
+static void get_machine(frame_input *in, void *element) {
+  fc_frame_machine *machine = element;
+  get_text(in, machine->id, sizeof machine->id);
+  uint8_t flags = get_u8(in);
+  machine->reconciled = flags & MACHINE_RECONCILED;
+  machine->cordoned = flags & MACHINE_CORDONED;
+  machine->unreachable = flags & MACHINE_UNREACHABLE;
+  size_t stated = get_u16(in);
+  machine->tasks =
+      get_list(in, stated, FC_FRAME_TASKS_MAX, TASK_LEAST, sizeof(fc_frame_task), get_task, &machine->task_count);
+}
+
+static fc_frame_machine *get_machines(frame_input *in, size_t *count) {
+  size_t stated = get_u32(in);
+  return get_list(in, stated, SIZE_MAX, MACHINE_LEAST, sizeof(fc_frame_machine), get_machine, count);
+}
+
+size_t fc_frame_machine_size(const fc_frame_machine *machine) {
+  size_t size = MACHINE_LEAST + strlen(machine->id);
+  for (size_t i = 0; i < machine->task_count; i++) size += TASK_LEAST + strlen(machine->tasks[i].job);
+  return size;
 }
 
-static uint16_t get_u16(cursor *c) {
-  guint16 v;
-  take(c, &v, 2);
-  return GUINT16_FROM_BE(v);
+static void put_renewals(GByteArray *out, const fc_frame_lease_renewal *renewals, size_t count) {
+  put_u32(out, (uint32_t)count);
+  for (size_t i = 0; i < count; i++) {
+    put_text(out, renewals[i].machine);
+    put_u32(out, renewals[i].age_ms);
+    put_u8(out, renewals[i].bidirectional);
+    put_u64(out, renewals[i].epoch);
+    put_u64(out, renewals[i].sequence);
+  }
 }
 
-static uint32_t get_u32(cursor *c) {
-  guint32 v;
-  take(c, &v, 4);
-  return GUINT32_FROM_BE(v);
+static void get_renewal(frame_input *in, void *element) {
+  fc_frame_lease_renewal *renewal = element;
+  get_text(in, renewal->machine, sizeof renewal->machine);
+  renewal->age_ms = get_u32(in);
+  renewal->bidirectional = get_bool(in);
+  renewal->epoch = get_u64(in);
+  renewal->sequence = get_u64(in);
 }
 
-static uint64_t get_u64(cursor *c) {
-  guint64 v;
-  take(c, &v, 8);
-  return GUINT64_FROM_BE(v);
+static fc_frame_lease_renewal *get_renewals(frame_input *in, size_t *count) {
+  size_t stated = get_u32(in);
+  return get_list(in, stated, SIZE_MAX, RENEWAL_LEAST, sizeof(fc_frame_lease_renewal), get_renewal, count);
 }
 
-static void get_text(cursor *c, char *out, size_t size) {
-  size_t n = get_u8(c);
-  if (n >= size) {
-    c->bad = true;
-    n = 0;
+static void put_probes(GByteArray *out, const fc_frame_probe *probes, size_t count) {
+  put_u32(out, (uint32_t)count);
+  for (size_t i = 0; i < count; i++) {
+    put_text(out, probes[i].machine);
+    put_u32(out, probes[i].age_ms);
+    put_u8(out, probes[i].answered);
   }
-  take(c, out, n);
-  out[c->bad ? 0 : n] = '\0';
-  if (!c->bad && strlen(out) != n) c->bad = true; /* a NUL inside a name */
+}
+
+static void get_probe(frame_input *in, void *element) {
+  fc_frame_probe *probe = element;
+  get_text(in, probe->machine, sizeof probe->machine);
+  probe->age_ms = get_u32(in);
+  probe->answered = get_bool(in);
+}
+
+static fc_frame_probe *get_probes(frame_input *in, size_t *count) {
+  size_t stated = get_u32(in);
+  return get_list(in, stated, SIZE_MAX, PROBE_LEAST, sizeof(fc_frame_probe), get_probe, count);
+}
+
+/* ---- the head and what both frames begin with ---- */
+
+static guint begin_frame(GByteArray *out, fc_frame_type type) {
+  guint start = out->len;
+  put_u16(out, FRAME_MAGIC);
+  put_u8(out, FC_FRAME_VERSION);
+  put_u8(out, (uint8_t)type);
+  put_u32(out, 0); /* the length, by finish_frame() */
+  return start;
+}
+
+static void finish_frame(GByteArray *out, guint start) {
+  guint32 length = GUINT32_TO_BE(out->len - start - FC_FRAME_HEAD);
+  memcpy(out->data + start + LENGTH_OFFSET, &length, sizeof length);
 }
 
 bool fc_frame_is_http(const uint8_t head[FC_FRAME_HEAD]) {
   return memcmp(head, "GET /", 5) == 0;
 }
 
-bool fc_frame_head(const uint8_t head[FC_FRAME_HEAD], fc_frame_type *type, uint32_t *len) {
-  cursor c = {.p = head, .left = FC_FRAME_HEAD};
-  uint16_t magic = get_u16(&c);
-  uint8_t version = get_u8(&c);
-  uint8_t kind = get_u8(&c);
-  *len = get_u32(&c);
-  *type = (fc_frame_type)kind;
-  return magic == MAGIC && version == FC_FRAME_VERSION && (kind == FC_FRAME_VIEW || kind == FC_FRAME_ACK) &&
-         *len <= FC_FRAME_MAX;
-}
-
-static void decode_machine(cursor *c, fc_frame_machine *frame_machine) {
-  get_text(c, frame_machine->id, sizeof frame_machine->id);
-  uint8_t flags = get_u8(c);
-  frame_machine->reconciled = flags & 1;
-  frame_machine->cordoned = flags & 2;
-  frame_machine->unreachable = flags & 4;
-  size_t n = get_u16(c);
-  if (c->bad || n > FC_FRAME_TASKS_MAX || n > c->left / TASK_LEAST) {
-    c->bad = true;
-    return;
-  }
-  frame_machine->tasks = g_new0(fc_frame_task, n);
-  frame_machine->task_count = n;
-  for (size_t k = 0; k < n && !c->bad; k++) {
-    fc_frame_task *frame_task = &frame_machine->tasks[k];
-    get_text(c, frame_task->job, sizeof frame_task->job);
-    frame_task->index = get_u32(c);
-    frame_task->attempt = get_u64(c);
-    frame_task->state = get_u8(c);
-    frame_task->cause = get_u8(c);
-    if (frame_task->state > FC_TASK_EXITED || frame_task->cause > FC_CAUSE_UNKNOWN) c->bad = true;
-  }
+bool fc_frame_head(const uint8_t head[FC_FRAME_HEAD], fc_frame_type *type, uint32_t *length) {
+  frame_input in = {.next = head, .left = FC_FRAME_HEAD};
+  uint16_t magic = get_u16(&in);
+  uint8_t version = get_u8(&in);
+  uint8_t stated_type = get_u8(&in);
+  *length = get_u32(&in);
+  *type = (fc_frame_type)stated_type;
+  bool known_type = stated_type == FC_FRAME_VIEW || stated_type == FC_FRAME_ACK;
+  return magic == FRAME_MAGIC && version == FC_FRAME_VERSION && known_type && *length <= FC_FRAME_MAX;
 }
 
-static fc_frame_cancellation *get_cancels(cursor *c, size_t *count) {
-  size_t n = get_u16(c);
-  *count = 0;
-  if (c->bad || n > FC_FRAME_CANCELLATIONS_MAX || n > c->left / CANCEL_LEAST) {
-    c->bad = true;
-    return NULL;
-  }
-  fc_frame_cancellation *out = g_new0(fc_frame_cancellation, n);
-  *count = n;
-  for (size_t i = 0; i < n; i++) {
-    get_text(c, out[i].job, sizeof out[i].job);
-    out[i].revision = get_u64(c);
-    out[i].age_ms = get_u32(c);
-  }
-  return out;
+/* Which process sent the frame, in which term, and the number of the view. */
+static void put_origin(GByteArray *out, const char *sender, uint64_t incarnation, uint64_t term, uint64_t sequence) {
+  put_text(out, sender);
+  put_u64(out, incarnation);
+  put_u64(out, term);
+  put_u64(out, sequence);
+}
+
+static void get_origin(frame_input *in, char sender[FC_NAME_SIZE], uint64_t *incarnation, uint64_t *term,
+                       uint64_t *sequence) {
+  get_text(in, sender, FC_NAME_SIZE);
+  *incarnation = get_u64(in);
+  *term = get_u64(in);
+  *sequence = get_u64(in);
+}
+
+static bool decoded_whole(const frame_input *in) {
+  return !in->malformed && in->left == 0;
 }
 
-bool fc_view_decode(const uint8_t *p, size_t len, fc_view *out) {
+/* ---- views ---- */
+
+void fc_view_encode(GByteArray *out, const fc_view *view) {
+  guint start = begin_frame(out, FC_FRAME_VIEW);
+  put_origin(out, view->sender, view->incarnation, view->term, view->sequence);
+  put_u64(out, view->base);
+  put_u32(out, view->piece);
+  put_u8(out, view->last);
+  put_u16(out, view->backlog);
+  put_u64(out, view->revision);
+  put_cancellations(out, view->cancellations, view->cancellation_count);
+  put_machines(out, view->machines, view->machine_count);
+  finish_frame(out, start);
+}
+
+bool fc_view_decode(const uint8_t *body, size_t length, fc_view *out) {
   memset(out, 0, sizeof *out);
-  cursor c = {.p = p, .left = len};
-  get_text(&c, out->sender, sizeof out->sender);
-  out->incarnation = get_u64(&c);
-  out->term = get_u64(&c);
-  out->sequence = get_u64(&c);
-  out->base = get_u64(&c);
-  out->piece = get_u32(&c);
-  out->last = get_u8(&c) != 0;
-  out->backlog = get_u16(&c);
-  out->revision = get_u64(&c);
-  out->cancellations = get_cancels(&c, &out->cancellation_count);
-  size_t n = get_u32(&c);
-  if (!c.bad && n <= c.left / MACHINE_LEAST) {
-    out->machines = g_new0(fc_frame_machine, n);
-    out->machine_count = n;
-    for (size_t i = 0; i < n && !c.bad; i++) decode_machine(&c, &out->machines[i]);
-  } else {
-    c.bad = true;
-  }
-  if (!c.bad && c.left == 0) return true;
+  frame_input in = {.next = body, .left = length};
+  get_origin(&in, out->sender, &out->incarnation, &out->term, &out->sequence);
+  out->base = get_u64(&in);
+  out->piece = get_u32(&in);
+  out->last = get_bool(&in);
+  out->backlog = get_u16(&in);
+  out->revision = get_u64(&in);
+  out->cancellations = get_cancellations(&in, &out->cancellation_count);
+  out->machines = get_machines(&in, &out->machine_count);
+  if (decoded_whole(&in)) return true;
   fc_view_clear(out);
   return false;
 }
@@ -267,47 +332,37 @@
   memset(view, 0, sizeof *view);
 }
 
-bool fc_ack_decode(const uint8_t *p, size_t len, fc_ack *out) {
+/* ---- acknowledgements ---- */
+
+void fc_ack_encode(GByteArray *out, const fc_ack *ack) {
+  guint start = begin_frame(out, FC_FRAME_ACK);
+  put_origin(out, ack->sender, ack->incarnation, ack->term, ack->sequence);
+  put_u8(out, ack->applied);
+  put_u32(out, ack->grant_ms);
+  put_u32(out, ack->no_cancellation_ms);
+  put_u32(out, ack->kv_read_age_ms);
+  put_u64(out, ack->revision);
+  put_u8(out, ack->cancellations_complete);
+  put_cancellations(out, ack->cancellations, ack->cancellation_count);
+  put_renewals(out, ack->renewals, ack->renewal_count);
+  put_probes(out, ack->probes, ack->probe_count);
+  finish_frame(out, start);
+}
+
+bool fc_ack_decode(const uint8_t *body, size_t length, fc_ack *out) {
   memset(out, 0, sizeof *out);
-  cursor c = {.p = p, .left = len};
-  get_text(&c, out->sender, sizeof out->sender);
-  out->incarnation = get_u64(&c);
-  out->term = get_u64(&c);
-  out->sequence = get_u64(&c);
-  out->applied = get_u8(&c) != 0;
-  out->grant_ms = get_u32(&c);
-  out->no_cancellation_ms = get_u32(&c);
-  out->kv_read_age_ms = get_u32(&c);
-  out->revision = get_u64(&c);
-  out->cancellations_complete = get_u8(&c) != 0;
-  out->cancellations = get_cancels(&c, &out->cancellation_count);
-  size_t n = get_u32(&c);
-  if (!c.bad && n <= c.left / KEPT_LEAST) {
-    out->renewals = g_new0(fc_frame_lease_renewal, n);
-    out->renewal_count = n;
-    for (size_t i = 0; i < n; i++) {
-      get_text(&c, out->renewals[i].machine, sizeof out->renewals[i].machine);
-      out->renewals[i].age_ms = get_u32(&c);
-      out->renewals[i].bidirectional = get_u8(&c) != 0;
-      out->renewals[i].epoch = get_u64(&c);
-      out->renewals[i].sequence = get_u64(&c);
-    }
-  } else {
-    c.bad = true;
-  }
-  n = get_u32(&c);
-  if (!c.bad && n <= c.left / ASKED_LEAST) {
-    out->probes = g_new0(fc_frame_probe, n);
-    out->probe_count = n;
-    for (size_t i = 0; i < n; i++) {
-      get_text(&c, out->probes[i].machine, sizeof out->probes[i].machine);
-      out->probes[i].age_ms = get_u32(&c);
-      out->probes[i].answered = get_u8(&c) != 0;
-    }
-  } else {
-    c.bad = true;
-  }
-  if (!c.bad && c.left == 0) return true;
+  frame_input in = {.next = body, .left = length};
+  get_origin(&in, out->sender, &out->incarnation, &out->term, &out->sequence);
+  out->applied = get_bool(&in);
+  out->grant_ms = get_u32(&in);
+  out->no_cancellation_ms = get_u32(&in);
+  out->kv_read_age_ms = get_u32(&in);
+  out->revision = get_u64(&in);
+  out->cancellations_complete = get_bool(&in);
+  out->cancellations = get_cancellations(&in, &out->cancellation_count);
+  out->renewals = get_renewals(&in, &out->renewal_count);
+  out->probes = get_probes(&in, &out->probe_count);
+  if (decoded_whole(&in)) return true;
   fc_ack_clear(out);
   return false;
 }
