--- a/src/protocol/cloud_api.c
+++ b/src/protocol/cloud_api.c
@@ -6,9 +6,44 @@
 #include "protocol/json.h"
 #include "protocol/json_call.h"
 
-#define REPLY_MOST ((size_t)1024 * 1024)
-#define NAME_MOST 63u
-#define AMOUNT_MOST 1e9
+#define REPLY_MAX ((size_t)1024 * 1024)
+#define NAME_LENGTH_MAX 63u
+#define ENDPOINT_LENGTH_MAX (FC_ENDPOINT_SIZE - 1u)
+#define AMOUNT_MAX 1e9
+
+/* The words of the cloud's protocol. */
+#define TYPES_PATH "/flavors"
+#define MACHINES_PATH "/hosts"
+#define RELEASE_PATH MACHINES_PATH "/release"
+#define QUERY_FROM "from="
+#define QUERY_PAGE "page="
+#define TEXT_NO_CAPACITY "no capacity"
+
+#define FIELD_TYPES "builds"
+#define FIELD_NAME "name"
+#define FIELD_CPUS "cpus"
+#define FIELD_GPUS "gpus"
+#define FIELD_MEMORY "memGb"
+#define FIELD_CACHE "cacheGb"
+#define FIELD_FETCH_RATE "pullGbPerS"
+#define FIELD_PRICE "price"
+#define FIELD_SPOT_PRICE "marketPrice"
+#define FIELD_BOOT_TIME "bootS"
+#define FIELD_ZONES "grounds"
+
+#define FIELD_MACHINES "paddocks"
+#define FIELD_RENTAL "hire"
+#define FIELD_TYPE "build"
+#define FIELD_ZONE "ground"
+#define FIELD_SPOT "loaners"
+#define FIELD_COUNT "count"
+#define FIELD_MORE "more"
+#define FIELD_ID "id"
+#define FIELD_ENDPOINT "endpoint"
+#define FIELD_STATUS "status"
+#define FIELD_AGE "ageS"
+#define STATUS_UP "running"
+#define STATUS_FAILED "failed"
 
 struct fc_cloud {
   fc_http_client *http;
@@ -16,7 +51,7 @@
 
 fc_cloud *fc_cloud_new(const fc_endpoint *at) {
   fc_cloud *cloud = g_new0(fc_cloud, 1);
-  cloud->http = fc_http_client_new(at, REPLY_MOST);
+  cloud->http = fc_http_client_new(at, REPLY_MAX);
   return cloud;
 }
 
@@ -26,151 +61,166 @@
   g_free(cloud);
 }
 
-static fc_cloud_result call(fc_cloud *cloud, const char *method, const char *path, json_t *body, double deadline,
-                            json_t **out) {
-  fc_json_reply reply = fc_json_call(cloud->http, method, path, body, deadline);
-  fc_cloud_result result = FC_CLOUD_REFUSED;
-  *out = NULL;
-  if (reply.status == 0) {
-    result = reply.unsent ? FC_CLOUD_DOWN : FC_CLOUD_UNKNOWN;
-  } else if (reply.status == 200) {
-    result = reply.object ? FC_CLOUD_OK : FC_CLOUD_UNKNOWN;
-    *out = json_incref(reply.object);
-  } else if (reply.status == 429) {
-    result = FC_CLOUD_BUSY;
-  } else if (reply.status == 503) {
-    result = strstr(reply.text->str, "no capacity") ? FC_CLOUD_NO_CAPACITY : FC_CLOUD_DOWN;
-  } else if (reply.status >= 500) {
-    result = FC_CLOUD_UNKNOWN;
+static fc_cloud_result result_of_reply(const fc_json_reply *reply) {
+  switch (reply->status) {
+    case 0:
+      return reply->unsent ? FC_CLOUD_DOWN : FC_CLOUD_UNKNOWN;
+    case 200:
+      return reply->object ? FC_CLOUD_OK : FC_CLOUD_UNKNOWN;
+    case 429:
+      return FC_CLOUD_BUSY;
+    case 503:
+      return strstr(reply->text->str, TEXT_NO_CAPACITY) ? FC_CLOUD_NO_CAPACITY : FC_CLOUD_DOWN;
+    default:
+      return reply->status >= 500 ? FC_CLOUD_UNKNOWN : FC_CLOUD_REFUSED;
   }
+}
+
+/* Makes the call; on OK *answer holds the body, whose reference is the caller's. */
+static fc_cloud_result call_cloud(fc_cloud *cloud, const char *method, const char *path, json_t *body, double deadline,
+                                  json_t **answer) {
+  fc_json_reply reply = fc_json_call(cloud->http, method, path, body, deadline);
+  fc_cloud_result result = result_of_reply(&reply);
+  *answer = result == FC_CLOUD_OK ? json_incref(reply.object) : NULL;
   fc_json_reply_clear(&reply);
   return result;
 }
 
-void fc_machine_type_free(gpointer p) {
-  fc_machine_type *machine_type = p;
-  if (!machine_type) return;
-  g_free(machine_type->name);
-  g_strfreev(machine_type->zones);
-  g_free(machine_type);
+/* Decodes the list in an OK answer; `malformed` is the result when there is none. */
+static fc_cloud_result read_list(const json_t *answer, const char *field, fc_json_decoder decode,
+                                 fc_cloud_result malformed, GPtrArray *out) {
+  const json_t *list = json_object_get(answer, field);
+  if (!json_is_array(list)) return malformed;
+  (void)fc_json_decode_list(list, decode, out);
+  return FC_CLOUD_OK;
 }
 
-static fc_machine_type *read_type(const json_t *v) {
-  fc_reader reader;
-  fc_reader_init(&reader, v);
-  fc_machine_type *machine_type = g_new0(fc_machine_type, 1);
-  machine_type->name = g_strdup(fc_read_string(&reader, "name", NAME_MOST));
-  machine_type->cpus = fc_read_amount(&reader, "cpus", 0, AMOUNT_MOST);
-  machine_type->gpus = fc_read_amount_or(&reader, "gpus", 0, AMOUNT_MOST, 0);
-  machine_type->memory_gb = fc_read_amount(&reader, "memGb", 0, AMOUNT_MOST);
-  machine_type->cache_gb = fc_read_amount_or(&reader, "cacheGb", 0, AMOUNT_MOST, 0);
-  machine_type->fetch_gb_per_s = fc_read_amount_or(&reader, "pullGbPerS", 0, AMOUNT_MOST, 0);
-  machine_type->price = fc_read_amount_or(&reader, "price", 0, AMOUNT_MOST, 0);
-  machine_type->spot_price = fc_read_amount_or(&reader, "marketPrice", 0, AMOUNT_MOST, machine_type->price);
-  machine_type->boot_s = fc_read_amount_or(&reader, "bootS", 0, AMOUNT_MOST, 0);
-  const json_t *zones = fc_read_array(&reader, "grounds");
-  size_t n = json_array_size(zones);
-  machine_type->zones = g_new0(char *, n + 1);
-  for (size_t i = 0; i < n && fc_reader_ok(&reader); i++) {
-    const char *z = json_string_value(json_array_get(zones, i));
-    if (!z || !*z || strlen(z) > NAME_MOST) fc_reader_fail(&reader, "grounds", "not a name");
-    machine_type->zones[i] = g_strdup(z ? z : "");
+/* ---- machine types ---- */
+
+void fc_machine_type_free(gpointer data) {
+  fc_machine_type *type = data;
+  if (!type) return;
+  g_free(type->name);
+  g_strfreev(type->zones);
+  g_free(type);
+}
+
+static bool is_name(const char *text) {
+  return text && *text && strlen(text) <= NAME_LENGTH_MAX;
+}
+
+static char **read_zones(fc_reader *reader) {
+  const json_t *zones = fc_read_array(reader, FIELD_ZONES);
+  size_t count = json_array_size(zones);
+  char **names = g_new0(char *, count + 1);
+  for (size_t i = 0; i < count; i++) {
+    const char *name = json_string_value(json_array_get(zones, i));
+    if (!is_name(name)) {
+      fc_reader_fail(reader, FIELD_ZONES, FC_FIELD_NOT_NAME);
+      break;
+    }
+    names[i] = g_strdup(name);
   }
-  if (fc_reader_ok(&reader)) return machine_type;
-  fc_machine_type_free(machine_type);
+  return names;
+}
+
+static void *decode_type(const json_t *element) {
+  fc_reader reader;
+  fc_reader_init(&reader, element);
+  fc_machine_type *type = g_new0(fc_machine_type, 1);
+  type->name = g_strdup(fc_read_string(&reader, FIELD_NAME, NAME_LENGTH_MAX));
+  type->cpus = fc_read_amount(&reader, FIELD_CPUS, 0, AMOUNT_MAX);
+  type->gpus = fc_read_amount_or(&reader, FIELD_GPUS, 0, AMOUNT_MAX, 0);
+  type->memory_gb = fc_read_amount(&reader, FIELD_MEMORY, 0, AMOUNT_MAX);
+  type->cache_gb = fc_read_amount_or(&reader, FIELD_CACHE, 0, AMOUNT_MAX, 0);
+  type->fetch_gb_per_s = fc_read_amount_or(&reader, FIELD_FETCH_RATE, 0, AMOUNT_MAX, 0);
+  type->price = fc_read_amount_or(&reader, FIELD_PRICE, 0, AMOUNT_MAX, 0);
+  type->spot_price = fc_read_amount_or(&reader, FIELD_SPOT_PRICE, 0, AMOUNT_MAX, type->price);
+  type->boot_s = fc_read_amount_or(&reader, FIELD_BOOT_TIME, 0, AMOUNT_MAX, 0);
+  type->zones = read_zones(&reader);
+  if (fc_reader_ok(&reader)) return type;
+  fc_machine_type_free(type);
   return NULL;
 }
 
 fc_cloud_result fc_cloud_types(fc_cloud *cloud, double deadline, GPtrArray *out) {
-  json_t *v = NULL;
-  fc_cloud_result result = call(cloud, "GET", "/flavors", NULL, deadline, &v);
-  const json_t *list = json_object_get(v, "builds");
-  if (result == FC_CLOUD_OK && !json_is_array(list)) result = FC_CLOUD_REFUSED;
-  size_t i;
-  json_t *row;
-  json_array_foreach(list, i, row) {
-    fc_machine_type *machine_type = read_type(row);
-    if (machine_type) g_ptr_array_add(out, machine_type);
-  }
-  json_decref(v);
-  return result;
+  json_auto_t *answer = NULL;
+  fc_cloud_result result = call_cloud(cloud, "GET", TYPES_PATH, NULL, deadline, &answer);
+  if (result != FC_CLOUD_OK) return result;
+  return read_list(answer, FIELD_TYPES, decode_type, FC_CLOUD_REFUSED, out);
+}
+
+/* ---- machines ---- */
+
+static void *decode_id(const json_t *element) {
+  const char *id = json_string_value(element);
+  return is_name(id) ? g_strdup(id) : NULL;
 }
 
 fc_cloud_result fc_cloud_rent(fc_cloud *cloud, const char *rental, const char *type, const char *zone, bool spot,
                               unsigned count, double deadline, GPtrArray *out) {
-  json_t *body = json_pack("{ss ss ss sb si}", "hire", rental, "build", type, "ground", zone, "loaners", (int)spot,
-                           "count", (int)count);
-  json_t *v = NULL;
-  fc_cloud_result result = call(cloud, "POST", "/hosts", body, deadline, &v);
-  const json_t *list = json_object_get(v, "paddocks");
-  if (result == FC_CLOUD_OK && !json_is_array(list)) result = FC_CLOUD_UNKNOWN;
-  size_t i;
-  json_t *row;
-  json_array_foreach(list, i, row) {
-    const char *id = json_string_value(row);
-    if (id && *id && strlen(id) <= NAME_MOST) g_ptr_array_add(out, g_strdup(id));
-  }
-  json_decref(v);
-  return result;
+  json_t *body = json_pack("{ss ss ss sb si}", FIELD_RENTAL, rental, FIELD_TYPE, type, FIELD_ZONE, zone, FIELD_SPOT,
+                           (int)spot, FIELD_COUNT, (int)count);
+  json_auto_t *answer = NULL;
+  fc_cloud_result result = call_cloud(cloud, "POST", MACHINES_PATH, body, deadline, &answer);
+  if (result != FC_CLOUD_OK) return result;
+  /* Without the ids it is not known which machines were rented. */
+  return read_list(answer, FIELD_MACHINES, decode_id, FC_CLOUD_UNKNOWN, out);
 }
 
 fc_cloud_result fc_cloud_release(fc_cloud *cloud, const char *const *ids, size_t count, double deadline) {
   json_t *list = json_array();
   for (size_t i = 0; i < count; i++) json_array_append_new(list, json_string(ids[i]));
-  json_t *v = NULL;
-  fc_cloud_result result = call(cloud, "POST", "/hosts/release", json_pack("{so}", "paddocks", list), deadline, &v);
-  json_decref(v);
-  return result;
+  json_t *body = json_pack("{so}", FIELD_MACHINES, list);
+  json_auto_t *answer = NULL;
+  return call_cloud(cloud, "POST", RELEASE_PATH, body, deadline, &answer);
 }
 
-void fc_listed_machine_free(gpointer p) {
-  fc_listed_machine *listed = p;
-  if (!listed) return;
-  g_free(listed->id);
-  g_free(listed->endpoint);
-  g_free(listed->type);
-  g_free(listed->zone);
-  g_free(listed);
+void fc_listed_machine_free(gpointer data) {
+  fc_listed_machine *machine = data;
+  if (!machine) return;
+  g_free(machine->id);
+  g_free(machine->endpoint);
+  g_free(machine->type);
+  g_free(machine->zone);
+  g_free(machine);
 }
 
-static fc_listed_machine *read_listed(const json_t *v) {
+static fc_machine_status status_named(const char *text) {
+  if (strcmp(text, STATUS_UP) == 0) return FC_MACHINE_UP;
+  if (strcmp(text, STATUS_FAILED) == 0) return FC_MACHINE_FAILED;
+  return FC_MACHINE_BOOTING;
+}
+
+static void *decode_machine(const json_t *element) {
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  const char *id = fc_read_string(&reader, "id", NAME_MOST);
-  const char *endpoint = fc_read_string_or_null(&reader, "endpoint", 31);
-  const char *type = fc_read_string(&reader, "build", NAME_MOST);
-  const char *zone = fc_read_string(&reader, "ground", NAME_MOST);
-  const char *status = fc_read_string(&reader, "status", NAME_MOST);
+  fc_reader_init(&reader, element);
+  const char *id = fc_read_string(&reader, FIELD_ID, NAME_LENGTH_MAX);
+  const char *endpoint = fc_read_string_or_null(&reader, FIELD_ENDPOINT, ENDPOINT_LENGTH_MAX);
+  const char *type = fc_read_string(&reader, FIELD_TYPE, NAME_LENGTH_MAX);
+  const char *zone = fc_read_string(&reader, FIELD_ZONE, NAME_LENGTH_MAX);
+  const char *status = fc_read_string(&reader, FIELD_STATUS, NAME_LENGTH_MAX);
   if (!fc_reader_ok(&reader)) return NULL;
-  fc_listed_machine *listed = g_new0(fc_listed_machine, 1);
-  listed->spot = fc_read_bool_or(&reader, "loaners", false);
-  listed->age_s = fc_read_amount_or(&reader, "ageS", 0, AMOUNT_MOST, 0);
-  listed->id = g_strdup(id);
-  listed->endpoint = g_strdup(endpoint);
-  listed->type = g_strdup(type);
-  listed->zone = g_strdup(zone);
-  listed->status = strcmp(status, "running") == 0  ? FC_MACHINE_UP
-                   : strcmp(status, "failed") == 0 ? FC_MACHINE_FAILED
-                                                   : FC_MACHINE_BOOTING;
-  return listed;
+  fc_listed_machine *machine = g_new0(fc_listed_machine, 1);
+  machine->spot = fc_read_bool_or(&reader, FIELD_SPOT, false);
+  machine->age_s = fc_read_amount_or(&reader, FIELD_AGE, 0, AMOUNT_MAX, 0);
+  machine->id = g_strdup(id);
+  machine->endpoint = g_strdup(endpoint);
+  machine->type = g_strdup(type);
+  machine->zone = g_strdup(zone);
+  machine->status = status_named(status);
+  return machine;
 }
 
 fc_cloud_result fc_cloud_list(fc_cloud *cloud, const char *after, unsigned limit, double deadline, GPtrArray *out,
                               bool *more) {
-  char *path =
-      after ? g_strdup_printf("/hosts?from=%s&page=%u", after, limit) : g_strdup_printf("/hosts?page=%u", limit);
-  json_t *v = NULL;
-  fc_cloud_result result = call(cloud, "GET", path, NULL, deadline, &v);
-  g_free(path);
-  const json_t *list = json_object_get(v, "paddocks");
-  if (result == FC_CLOUD_OK && !json_is_array(list)) result = FC_CLOUD_REFUSED;
-  *more = json_is_true(json_object_get(v, "more"));
-  size_t i;
-  json_t *row;
-  json_array_foreach(list, i, row) {
-    fc_listed_machine *listed = read_listed(row);
-    if (listed) g_ptr_array_add(out, listed);
-  }
-  json_decref(v);
-  return result;
+  g_autoptr(GString) path = g_string_new(MACHINES_PATH "?");
+  if (after) g_string_append_printf(path, QUERY_FROM "%s&", after);
+  g_string_append_printf(path, QUERY_PAGE "%u", limit);
+  json_auto_t *answer = NULL;
+  *more = false;
+  fc_cloud_result result = call_cloud(cloud, "GET", path->str, NULL, deadline, &answer);
+  if (result != FC_CLOUD_OK) return result;
+  *more = json_is_true(json_object_get(answer, FIELD_MORE));
+  return read_list(answer, FIELD_MACHINES, decode_machine, FC_CLOUD_REFUSED, out);
 }
--- a/src/protocol/job.c
+++ b/src/protocol/job.c
@@ -2,92 +2,113 @@
 
 #include <string.h>
 
-#include "protocol/json.h"
-
-#define NAME_MOST 256u
-#define AMOUNT_MOST 1e9
+#define NAME_LENGTH_MAX 256u
+#define AMOUNT_MAX 1e9
 #define ID_PREFIX "job-"
-/* Of a list of awaited jobs in a record: more than a submission has room for. */
-#define AWAITS_TEXT_MOST ((size_t)64 * 1024)
+#define ID_DIGITS_MIN 6u
+#define ID_DIGITS_MAX 18u
+/* Of a list of dependencies in a record: more than a submission has room for. */
+#define DEPENDENCIES_LENGTH_MAX ((size_t)64 * 1024)
+
+/* The words of submissions, which stored descriptions share. */
+#define FIELD_ID "id"
+#define FIELD_CLASS "squad"
+#define FIELD_TEAM "club"
+#define FIELD_KIND "play"
+#define FIELD_PRIORITY "rank"
+#define FIELD_TASKS "runs"
+#define FIELD_CPUS "cpus"
+#define FIELD_GPUS "gpus"
+#define FIELD_MEMORY "memGb"
+#define FIELD_IMAGE "kit"
+#define FIELD_IMAGE_SIZE "pullGb"
+#define FIELD_TYPES "builds"
+#define FIELD_ZONE "ground"
+#define FIELD_ONE_ZONE "samePlace"
+#define FIELD_SPREAD "scatter"
+#define FIELD_SPOT "loaners"
+#define FIELD_ESTIMATE "expectS"
+#define FIELD_CHECKPOINT "markS"
+#define FIELD_SAVE "stowS"
+#define FIELD_DEADLINE "whistleS"
+#define FIELD_DEPENDENCIES "awaits"
+
+/* The words of answers. */
+#define FIELD_STATUS "status"
+#define FIELD_DONE "done"
+#define FIELD_RUNNING "running"
+#define FIELD_READY "ready"
+#define FIELD_ERROR "error"
+
+static const char *const k_kinds[] = {
+    [FC_JOB_ARRAY] = "sweep",
+    [FC_JOB_GANG] = "gang",
+    [FC_JOB_SERVICE] = "service",
+};
+
+static const char *const k_priorities[] = {
+    [FC_PRIORITY_BEST_EFFORT] = "best_effort",
+    [FC_PRIORITY_STANDARD] = "standard",
+    [FC_PRIORITY_HIGH] = "high",
+    [FC_PRIORITY_PROD] = "prod",
+};
 
-static const char *const k_kinds[] = {"sweep", "gang", "service"};
-static const char *const k_ranks[] = {"best_effort", "standard", "high", "prod"};
-static const char *const k_statuses[] = {"pending", "running", "done", "cancelled"};
+static const char *const k_statuses[] = {
+    [FC_STATUS_PENDING] = "pending",
+    [FC_STATUS_RUNNING] = "running",
+    [FC_STATUS_DONE] = "done",
+    [FC_STATUS_CANCELLED] = "cancelled",
+};
 
 bool fc_job_id_valid(const char *id) {
   if (!id || !g_str_has_prefix(id, ID_PREFIX)) return false;
   const char *number = id + strlen(ID_PREFIX);
   size_t digits = strspn(number, "0123456789");
-  return digits >= 6 && digits <= 18 && number[digits] == '\0';
+  return digits >= ID_DIGITS_MIN && digits <= ID_DIGITS_MAX && number[digits] == '\0';
 }
 
-int fc_read_choice(fc_reader *reader, const char *field, const char *const *names, int count) {
-  const char *text = fc_read_string(reader, field, NAME_MOST);
-  if (!text) return 0;
-  for (int i = 0; i < count; i++)
-    if (strcmp(text, names[i]) == 0) return i;
-  fc_reader_fail(reader, field, "unknown value");
-  return 0;
-}
-
-static void read_types(fc_reader *reader, fc_job_spec *spec) {
-  const json_t *v = json_object_get(reader->object, "builds");
-  if (!v || json_is_null(v) || !fc_reader_ok(reader)) return;
-  size_t n = json_array_size(v);
-  if (!json_is_array(v) || n == 0 || n > FC_TYPES_PER_JOB) {
-    fc_reader_fail(reader, "builds", "not a short array of types");
-    return;
-  }
-  spec->types = g_new0(char *, n + 1);
-  for (size_t i = 0; i < n; i++) {
-    const char *t = json_string_value(json_array_get(v, i));
-    if (!t || !*t || strlen(t) > NAME_MOST) {
-      fc_reader_fail(reader, "builds", "holds something that is not a type");
-      return;
-    }
-    spec->types[i] = g_strdup(t);
-  }
-}
+/* ---- dependencies ---- */
 
-static gint by_text(gconstpointer a, gconstpointer b) {
-  return strcmp(*(const char *const *)a, *(const char *const *)b);
+static gint by_text(gconstpointer left, gconstpointer right) {
+  return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* Sorts the ids and drops repeats; NULL: there are none. Takes the array. */
-static char **ids_once(GPtrArray *ids) {
+/* Sorts the ids and drops repeats; NULL when there are none. Takes the array and its texts. */
+static char **sorted_without_repeats(GPtrArray *ids) {
   g_ptr_array_sort(ids, by_text);
-  guint kept = 0;
+  guint distinct = 0;
   for (guint i = 0; i < ids->len; i++) {
-    if (kept > 0 && strcmp(ids->pdata[kept - 1], ids->pdata[i]) == 0) {
+    if (distinct > 0 && strcmp(ids->pdata[distinct - 1], ids->pdata[i]) == 0) {
       g_free(ids->pdata[i]);
     } else {
-      ids->pdata[kept++] = ids->pdata[i];
+      ids->pdata[distinct++] = ids->pdata[i];
     }
   }
-  g_ptr_array_set_size(ids, (gint)kept);
-  if (kept > 0) g_ptr_array_add(ids, NULL);
-  return (char **)g_ptr_array_free(ids, kept == 0);
+  g_ptr_array_set_size(ids, (gint)distinct);
+  if (distinct > 0) g_ptr_array_add(ids, NULL);
+  return (char **)g_ptr_array_free(ids, distinct == 0);
 }
 
-/* The awaited jobs of a submission. */
-static void read_awaits(fc_reader *reader, fc_job_spec *spec) {
-  const json_t *v = json_object_get(reader->object, "awaits");
-  if (!v || json_is_null(v) || !fc_reader_ok(reader)) return;
-  if (!json_is_array(v)) {
-    fc_reader_fail(reader, "awaits", "not an array of job ids");
+/* Of a submission, which has them as an array of ids. */
+static void read_dependencies(fc_reader *reader, fc_job_spec *spec) {
+  const json_t *list = json_object_get(reader->object, FIELD_DEPENDENCIES);
+  if (!list || json_is_null(list) || !fc_reader_ok(reader)) return;
+  if (!json_is_array(list)) {
+    fc_reader_fail(reader, FIELD_DEPENDENCIES, FC_FIELD_NOT_JOB_IDS);
     return;
   }
   GPtrArray *ids = g_ptr_array_new();
   size_t i;
-  json_t *id;
-  json_array_foreach(v, i, id) {
-    if (!fc_job_id_valid(json_string_value(id))) {
-      fc_reader_fail(reader, "awaits", "holds something that is not a job id");
+  json_t *element;
+  json_array_foreach(list, i, element) {
+    const char *id = json_string_value(element);
+    if (!fc_job_id_valid(id)) {
+      fc_reader_fail(reader, FIELD_DEPENDENCIES, FC_FIELD_ELEMENT_NOT_JOB_ID);
       break;
     }
-    g_ptr_array_add(ids, g_strdup(json_string_value(id)));
+    g_ptr_array_add(ids, g_strdup(id));
   }
-  spec->awaits = ids_once(ids);
+  spec->awaits = sorted_without_repeats(ids);
 }
 
 char *fc_job_dependencies_text(char *const *awaits) {
@@ -98,17 +119,37 @@
 }
 
 void fc_job_dependencies_read(fc_reader *reader, const char *field, fc_job_spec *spec) {
-  const char *text = fc_read_string(reader, field, AWAITS_TEXT_MOST);
+  const char *text = fc_read_string(reader, field, DEPENDENCIES_LENGTH_MAX);
   if (!text) return;
   GPtrArray *ids = g_ptr_array_new();
-  char **numbers = g_strsplit(text, ",", -1);
+  g_auto(GStrv) numbers = g_strsplit(text, ",", -1);
   for (char **number = numbers; *number; number++) {
     char *id = g_strconcat(ID_PREFIX, *number, NULL);
-    if (!fc_job_id_valid(id)) fc_reader_fail(reader, field, "holds something that is not a job");
+    if (!fc_job_id_valid(id)) fc_reader_fail(reader, field, FC_FIELD_ELEMENT_NOT_JOB_ID);
     g_ptr_array_add(ids, id);
   }
-  g_strfreev(numbers);
-  spec->awaits = ids_once(ids);
+  spec->awaits = sorted_without_repeats(ids);
+}
+
+/* ---- descriptions ---- */
+
+static void read_types(fc_reader *reader, fc_job_spec *spec) {
+  const json_t *list = json_object_get(reader->object, FIELD_TYPES);
+  if (!list || json_is_null(list) || !fc_reader_ok(reader)) return;
+  size_t count = json_array_size(list);
+  if (!json_is_array(list) || count == 0 || count > FC_TYPES_PER_JOB) {
+    fc_reader_fail(reader, FIELD_TYPES, FC_FIELD_NOT_TYPES);
+    return;
+  }
+  spec->types = g_new0(char *, count + 1);
+  for (size_t i = 0; i < count; i++) {
+    const char *type = json_string_value(json_array_get(list, i));
+    if (!type || !*type || strlen(type) > NAME_LENGTH_MAX) {
+      fc_reader_fail(reader, FIELD_TYPES, FC_FIELD_ELEMENT_NOT_TYPE);
+      return;
+    }
+    spec->types[i] = g_strdup(type);
+  }
 }
 
 static GRefString *intern(const char *text) {
@@ -116,63 +157,95 @@
 }
 
 void fc_job_spec_read(fc_reader *reader, fc_job_spec *spec) {
-  const char *id = fc_read_string(reader, "id", NAME_MOST);
-  if (id && !fc_job_id_valid(id)) fc_reader_fail(reader, "id", "not of the form job-000412");
+  const char *id = fc_read_string(reader, FIELD_ID, NAME_LENGTH_MAX);
+  if (id && !fc_job_id_valid(id)) fc_reader_fail(reader, FIELD_ID, FC_FIELD_NOT_JOB_ID);
   if (fc_reader_ok(reader)) spec->id = g_strdup(id);
-  spec->class_name = intern(fc_read_string(reader, "squad", NAME_MOST));
-  spec->team = intern(fc_read_string(reader, "club", NAME_MOST));
-  spec->kind = (fc_job_kind)fc_read_choice(reader, "play", k_kinds, G_N_ELEMENTS(k_kinds));
-  spec->priority = (fc_priority)fc_read_choice(reader, "rank", k_ranks, G_N_ELEMENTS(k_ranks));
-  spec->tasks = (uint32_t)fc_read_count(reader, "runs", 1, FC_TASKS_MAX);
-  spec->cpus = fc_read_amount(reader, "cpus", 0, AMOUNT_MOST);
-  spec->gpus = fc_read_amount(reader, "gpus", 0, AMOUNT_MOST);
-  spec->memory_gb = fc_read_amount(reader, "memGb", 0, AMOUNT_MOST);
-  spec->image = intern(fc_read_string(reader, "kit", NAME_MOST));
-  spec->image_gb = fc_read_amount(reader, "pullGb", 0, AMOUNT_MOST);
+  spec->class_name = intern(fc_read_string(reader, FIELD_CLASS, NAME_LENGTH_MAX));
+  spec->team = intern(fc_read_string(reader, FIELD_TEAM, NAME_LENGTH_MAX));
+  spec->kind = (fc_job_kind)fc_read_choice(reader, FIELD_KIND, k_kinds, G_N_ELEMENTS(k_kinds));
+  spec->priority = (fc_priority)fc_read_choice(reader, FIELD_PRIORITY, k_priorities, G_N_ELEMENTS(k_priorities));
+  spec->tasks = (uint32_t)fc_read_count(reader, FIELD_TASKS, 1, FC_TASKS_MAX);
+  spec->cpus = fc_read_amount(reader, FIELD_CPUS, 0, AMOUNT_MAX);
+  spec->gpus = fc_read_amount(reader, FIELD_GPUS, 0, AMOUNT_MAX);
+  spec->memory_gb = fc_read_amount(reader, FIELD_MEMORY, 0, AMOUNT_MAX);
+  spec->image = intern(fc_read_string(reader, FIELD_IMAGE, NAME_LENGTH_MAX));
+  spec->image_gb = fc_read_amount(reader, FIELD_IMAGE_SIZE, 0, AMOUNT_MAX);
   read_types(reader, spec);
-  spec->zone = intern(fc_read_string_or_null(reader, "ground", NAME_MOST));
-  spec->one_zone = fc_read_bool(reader, "samePlace");
-  spec->spread = fc_read_bool(reader, "scatter");
-  spec->spot = fc_read_bool(reader, "loaners");
-  spec->estimate_s = fc_read_amount(reader, "expectS", 0, AMOUNT_MOST);
-  spec->checkpoint_s = fc_read_amount(reader, "markS", 0, AMOUNT_MOST);
-  spec->save_s = fc_read_amount(reader, "stowS", 0, AMOUNT_MOST);
-  spec->deadline_s = fc_read_amount_or(reader, "whistleS", 0, AMOUNT_MOST, -1);
+  spec->zone = intern(fc_read_string_or_null(reader, FIELD_ZONE, NAME_LENGTH_MAX));
+  spec->one_zone = fc_read_bool(reader, FIELD_ONE_ZONE);
+  spec->spread = fc_read_bool(reader, FIELD_SPREAD);
+  spec->spot = fc_read_bool(reader, FIELD_SPOT);
+  spec->estimate_s = fc_read_amount(reader, FIELD_ESTIMATE, 0, AMOUNT_MAX);
+  spec->checkpoint_s = fc_read_amount(reader, FIELD_CHECKPOINT, 0, AMOUNT_MAX);
+  spec->save_s = fc_read_amount(reader, FIELD_SAVE, 0, AMOUNT_MAX);
+  spec->deadline_s = fc_read_amount_or(reader, FIELD_DEADLINE, 0, AMOUNT_MAX, -1);
 }
 
-bool fc_job_id_peek(const char *text, size_t len, char *id, size_t size) {
-  json_t *v = fc_json_parse(text, len);
-  const char *found = json_string_value(json_object_get(v, "id"));
-  bool ok = fc_job_id_valid(found) && g_strlcpy(id, found, size) < size;
-  json_decref(v);
-  return ok;
+static json_t *string_or_null(const char *text) {
+  return text ? json_string(text) : json_null();
 }
 
-bool fc_job_spec_parse(const char *text, size_t len, fc_job_spec *out, char *error, size_t error_size) {
+static json_t *encode_types(char *const *types) {
+  if (!types) return json_null();
+  json_t *list = json_array();
+  for (char *const *type = types; *type; type++) json_array_append_new(list, json_string(*type));
+  return list;
+}
+
+json_t *fc_job_spec_encode(const fc_job_spec *spec) {
+  json_t *object = json_object();
+  json_object_set_new(object, FIELD_ID, json_string(spec->id));
+  json_object_set_new(object, FIELD_CLASS, json_string(spec->class_name));
+  json_object_set_new(object, FIELD_TEAM, json_string(spec->team));
+  json_object_set_new(object, FIELD_KIND, json_string(k_kinds[spec->kind]));
+  json_object_set_new(object, FIELD_PRIORITY, json_string(k_priorities[spec->priority]));
+  json_object_set_new(object, FIELD_TASKS, json_integer(spec->tasks));
+  json_object_set_new(object, FIELD_CPUS, json_real(spec->cpus));
+  json_object_set_new(object, FIELD_GPUS, json_real(spec->gpus));
+  json_object_set_new(object, FIELD_MEMORY, json_real(spec->memory_gb));
+  json_object_set_new(object, FIELD_IMAGE, json_string(spec->image));
+  json_object_set_new(object, FIELD_IMAGE_SIZE, json_real(spec->image_gb));
+  json_object_set_new(object, FIELD_TYPES, encode_types(spec->types));
+  json_object_set_new(object, FIELD_ZONE, string_or_null(spec->zone));
+  json_object_set_new(object, FIELD_ONE_ZONE, json_boolean(spec->one_zone));
+  json_object_set_new(object, FIELD_SPREAD, json_boolean(spec->spread));
+  json_object_set_new(object, FIELD_SPOT, json_boolean(spec->spot));
+  json_object_set_new(object, FIELD_ESTIMATE, json_real(spec->estimate_s));
+  json_object_set_new(object, FIELD_CHECKPOINT, json_real(spec->checkpoint_s));
+  json_object_set_new(object, FIELD_SAVE, json_real(spec->save_s));
+  json_object_set_new(object, FIELD_DEADLINE, spec->deadline_s < 0 ? json_null() : json_real(spec->deadline_s));
+  return object;
+}
+
+bool fc_job_id_peek(const char *text, size_t length, char *id, size_t size) {
+  json_auto_t *object = fc_json_parse(text, length);
+  const char *found = json_string_value(json_object_get(object, FIELD_ID));
+  return fc_job_id_valid(found) && g_strlcpy(id, found, size) < size;
+}
+
+bool fc_job_spec_parse(const char *text, size_t length, fc_job_spec *out, char *error, size_t error_size) {
   memset(out, 0, sizeof *out);
-  json_t *v = fc_json_parse(text, len);
-  if (!v) {
-    g_strlcpy(error, "body: not JSON", error_size);
+  json_auto_t *object = fc_json_parse(text, length);
+  if (!json_is_object(object)) {
+    g_strlcpy(error, object ? "body: not an object" : "body: not JSON", error_size);
     return false;
   }
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  if (!fc_reader_ok(&reader)) g_strlcpy(reader.error, "body: not an object", sizeof reader.error);
+  fc_reader_init(&reader, object);
   fc_job_spec_read(&reader, out);
-  read_awaits(&reader, out);
-  json_decref(v);
+  read_dependencies(&reader, out);
   if (fc_reader_ok(&reader)) return true;
-  g_strlcpy(error, reader.error, error_size);
+  fc_reader_describe(&reader, error, error_size);
   fc_job_spec_clear(out);
   return false;
 }
 
-static void release(GRefString *s) {
-  if (s) g_ref_string_release(s);
+static void release(GRefString *text) {
+  if (text) g_ref_string_release(text);
 }
 
-static GRefString *acquire(GRefString *s) {
-  return s ? g_ref_string_acquire(s) : NULL;
+static GRefString *acquire(GRefString *text) {
+  return text ? g_ref_string_acquire(text) : NULL;
 }
 
 fc_job_spec fc_job_spec_copy(const fc_job_spec *spec) {
@@ -198,42 +271,29 @@
   memset(spec, 0, sizeof *spec);
 }
 
-json_t *fc_job_spec_encode(const fc_job_spec *spec) {
-  json_t *types = NULL;
-  if (spec->types) {
-    types = json_array();
-    for (char **t = spec->types; *t; t++) json_array_append_new(types, json_string(*t));
-  }
-  return json_pack("{ss ss ss ss ss si sf sf sf ss sf so? ss? sb sb sb sf sf sf so?}", "id", spec->id, "squad",
-                   spec->class_name, "club", spec->team, "play", k_kinds[spec->kind], "rank", k_ranks[spec->priority],
-                   "runs", (int)spec->tasks, "cpus", spec->cpus, "gpus", spec->gpus, "memGb", spec->memory_gb, "kit",
-                   spec->image, "pullGb", spec->image_gb, "builds", types, "ground", spec->zone, "samePlace",
-                   (int)spec->one_zone, "scatter", (int)spec->spread, "loaners", (int)spec->spot, "expectS",
-                   spec->estimate_s, "markS", spec->checkpoint_s, "stowS", spec->save_s, "whistleS",
-                   spec->deadline_s < 0 ? NULL : json_real(spec->deadline_s));
-}
-
 unsigned fc_job_slices(const fc_job_spec *spec, unsigned limit) {
   unsigned slices = 1;
   if (spec->kind != FC_JOB_ARRAY) return slices; /* gangs and services are never split */
-  /* Nor is what is judged by where the rest of it is: the owners of two slices can't see
-   * what the other places at the same moment, and put them in different zones. */
+  /* Nor are tasks whose places depend on each other: the owners of two slices do not see what the
+   * other one places at the same moment, and put them in different zones. */
   if (spec->one_zone || spec->spread) return slices;
   while (slices * 2 <= MIN(limit, FC_SLICES_MAX) && spec->tasks / (slices * 2) >= 2) slices *= 2;
   return slices;
 }
 
+/* ---- answers ---- */
+
 void fc_job_answer(GString *out, const char *id, fc_job_status status, uint32_t done, uint32_t running,
                    bool with_counts) {
-  g_string_append_printf(out, "{\"id\":\"%s\",\"status\":\"%s\"", id, k_statuses[status]);
-  if (with_counts) g_string_append_printf(out, ",\"done\":%u,\"running\":%u", done, running);
+  g_string_append_printf(out, "{\"" FIELD_ID "\":\"%s\",\"" FIELD_STATUS "\":\"%s\"", id, k_statuses[status]);
+  if (with_counts) g_string_append_printf(out, ",\"" FIELD_DONE "\":%u,\"" FIELD_RUNNING "\":%u", done, running);
   g_string_append_c(out, '}');
 }
 
 void fc_ready_answer(GString *out) {
-  fc_json_append(out, json_pack("{sb}", "ready", 1));
+  fc_json_append(out, json_pack("{sb}", FIELD_READY, 1));
 }
 
-void fc_error_answer(GString *out, const char *what) {
-  fc_json_append(out, json_pack("{ss}", "error", what));
+void fc_error_answer(GString *out, const char *text) {
+  fc_json_append(out, json_pack("{ss}", FIELD_ERROR, text));
 }
--- a/src/protocol/job_description.c
+++ b/src/protocol/job_description.c
@@ -7,19 +7,23 @@
 
 #define PART_FORMAT 1
 #define DIGEST_TYPE G_CHECKSUM_MD5
-/* {"f":1,"text":""} and a margin. */
+/* Of a part's value without its text, {"f":1,"text":""}, and a margin. */
 #define VALUE_OVERHEAD 32u
-#define TEXT_MOST ((size_t)1024 * 1024)
+#define TEXT_LENGTH_MAX ((size_t)1024 * 1024)
+
+/* The words of descriptions and their parts. */
+#define FIELD_SPEC "spec"
+#define FIELD_DEPENDENCIES "awaits"
+#define FIELD_FORMAT "f"
+#define FIELD_TEXT "text"
 
 char *fc_job_description_text(const fc_job_spec *spec) {
-  json_t *v = json_pack("{so}", "spec", fc_job_spec_encode(spec));
+  json_auto_t *object = json_pack("{so}", FIELD_SPEC, fc_job_spec_encode(spec));
   if (spec->awaits) {
-    char *awaits = fc_job_dependencies_text(spec->awaits);
-    json_object_set_new(v, "awaits", json_string(awaits));
-    g_free(awaits);
+    g_autofree char *dependencies = fc_job_dependencies_text(spec->awaits);
+    json_object_set_new(object, FIELD_DEPENDENCIES, json_string(dependencies));
   }
-  char *dumped = json_dumps(v, JSON_COMPACT | JSON_ENSURE_ASCII);
-  json_decref(v);
+  char *dumped = json_dumps(object, JSON_COMPACT | JSON_ENSURE_ASCII);
   char *text = g_strdup(dumped);
   free(dumped);
   return text;
@@ -27,67 +31,66 @@
 
 bool fc_job_description_read(const char *text, fc_job_spec *out) {
   memset(out, 0, sizeof *out);
-  json_t *v = fc_json_parse(text, strlen(text));
-  fc_reader reader, sr;
-  fc_reader_init(&reader, v);
-  fc_reader_init(&sr, fc_read_object(&reader, "spec"));
-  fc_job_spec_read(&sr, out);
-  if (json_object_get(v, "awaits")) fc_job_dependencies_read(&reader, "awaits", out);
-  bool ok = fc_reader_ok(&reader) && fc_reader_ok(&sr);
-  if (!ok) fc_job_spec_clear(out);
-  json_decref(v);
-  return ok;
+  json_auto_t *object = fc_json_parse(text, strlen(text));
+  fc_reader reader, spec_reader;
+  fc_reader_init(&reader, object);
+  fc_reader_init(&spec_reader, fc_read_object(&reader, FIELD_SPEC));
+  fc_job_spec_read(&spec_reader, out);
+  if (json_object_get(object, FIELD_DEPENDENCIES)) fc_job_dependencies_read(&reader, FIELD_DEPENDENCIES, out);
+  if (fc_reader_ok(&reader) && fc_reader_ok(&spec_reader)) return true;
+  fc_job_spec_clear(out);
+  return false;
 }
 
-/* Bytes that the character takes inside a JSON string; the text is ASCII without control
- * characters. */
+/* Bytes of a character inside a JSON string; the text is ASCII without control characters. */
 static size_t encoded_size(char ch) {
   return ch == '"' || ch == '\\' ? 2 : 1;
 }
 
-GPtrArray *fc_job_description_cut(const char *text, size_t value_bytes, fc_description_ref *parts) {
-  GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
-  size_t most = value_bytes - VALUE_OVERHEAD;
-  for (const char *from = text; *from;) {
-    const char *to = from;
-    for (size_t size = 0; *to && size + encoded_size(*to) <= most; to++) size += encoded_size(*to);
-    g_ptr_array_add(out, g_strndup(from, (gsize)(to - from)));
-    from = to;
+/* The end of the longest text from `start` on that fits into one part. */
+static const char *end_of_part(const char *start, size_t size_max) {
+  const char *end = start;
+  for (size_t size = 0; *end && size + encoded_size(*end) <= size_max; end++) size += encoded_size(*end);
+  return end;
+}
+
+GPtrArray *fc_job_description_cut(const char *text, size_t value_bytes, fc_description_ref *ref) {
+  GPtrArray *parts = g_ptr_array_new_with_free_func(g_free);
+  for (const char *start = text; *start;) {
+    const char *end = end_of_part(start, value_bytes - VALUE_OVERHEAD);
+    g_ptr_array_add(parts, g_strndup(start, (gsize)(end - start)));
+    start = end;
   }
-  parts->count = out->len;
-  char *digest = g_compute_checksum_for_string(DIGEST_TYPE, text, -1);
-  g_strlcpy(parts->digest, digest, sizeof parts->digest);
-  g_free(digest);
-  return out;
+  ref->count = parts->len;
+  g_autofree char *digest = g_compute_checksum_for_string(DIGEST_TYPE, text, -1);
+  g_strlcpy(ref->digest, digest, sizeof ref->digest);
+  return parts;
 }
 
 char *fc_job_part_key(const char *job, const char *digest, unsigned number) {
   return g_strdup_printf(FC_PREFIX_PART "%s/%s/%u", job, digest, number);
 }
 
-bool fc_job_part_key_parse(const char *key, char job[32], char digest[FC_JOB_DIGEST_SIZE], unsigned *number) {
-  char **fields = g_strsplit(key, "/", -1);
-  bool ok = g_strv_length(fields) == 3 && fc_job_id_valid(fields[0]) && strlen(fields[1]) == FC_JOB_DIGEST_SIZE - 1 &&
-            g_ascii_isdigit(fields[2][0]);
-  if (ok) {
-    char *end = NULL;
-    unsigned long n = strtoul(fields[2], &end, 10);
-    ok = *end == '\0' && n < FC_JOB_PARTS_MAX;
-    *number = (unsigned)n;
-    g_strlcpy(job, fields[0], 32);
-    g_strlcpy(digest, fields[1], FC_JOB_DIGEST_SIZE);
-  }
-  g_strfreev(fields);
-  return ok;
+bool fc_job_part_key_parse(const char *key, char job[FC_JOB_ID_SIZE], char digest[FC_JOB_DIGEST_SIZE],
+                           unsigned *number) {
+  g_auto(GStrv) fields = g_strsplit(key, "/", -1);
+  if (g_strv_length(fields) != 3 || !fc_job_id_valid(fields[0])) return false;
+  if (strlen(fields[1]) != FC_JOB_DIGEST_SIZE - 1 || !g_ascii_isdigit(fields[2][0])) return false;
+  char *end = NULL;
+  unsigned long parsed = strtoul(fields[2], &end, 10);
+  *number = (unsigned)parsed;
+  g_strlcpy(job, fields[0], FC_JOB_ID_SIZE);
+  g_strlcpy(digest, fields[1], FC_JOB_DIGEST_SIZE);
+  return *end == '\0' && parsed < FC_JOB_PARTS_MAX;
 }
 
 json_t *fc_job_part_encode(const char *text) {
-  return json_pack("{si ss}", "f", PART_FORMAT, "text", text);
+  return json_pack("{si ss}", FIELD_FORMAT, PART_FORMAT, FIELD_TEXT, text);
 }
 
-const char *fc_job_part_decode(const json_t *v) {
+const char *fc_job_part_decode(const json_t *value) {
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  (void)fc_read_count(&reader, "f", PART_FORMAT, PART_FORMAT);
-  return fc_read_string(&reader, "text", TEXT_MOST);
+  fc_reader_init(&reader, value);
+  (void)fc_read_count(&reader, FIELD_FORMAT, PART_FORMAT, PART_FORMAT);
+  return fc_read_string(&reader, FIELD_TEXT, TEXT_LENGTH_MAX);
 }
--- a/src/protocol/job_record.c
+++ b/src/protocol/job_record.c
@@ -3,151 +3,182 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIME_OF_DAY_MOST 1e11
+#define TIME_OF_DAY_MAX 1e11
+/* At most "99999," for each task, and a margin. */
+#define DONE_LENGTH_MAX ((size_t)FC_TASKS_MAX * 8)
+
+/* The words of a job's record. */
+#define FIELD_FORMAT "f"
+#define FIELD_SPEC "spec"
+#define FIELD_DEPENDENCIES "awaits"
+#define FIELD_DESCRIPTION_REF "parts"
+#define FIELD_AWAITING "awaiting"
+#define FIELD_PHASE "phase"
+#define FIELD_DONE "done"
+#define FIELD_SLICES "slices"
+#define FIELD_HANDED "to"
+#define FIELD_SUBMITTED "submitted"
+#define FIELD_TERM "term"
+#define FIELD_MOVED "moved"
+#define FIELD_LAST_MOVE "lastMove"
+#define FIELD_UNSEEN "unseen"
+
+static const char *const k_phases[] = {
+    [FC_PHASE_ACCEPTED] = "accepted",
+    [FC_PHASE_CANCELLED] = "cancelled",
+    [FC_PHASE_DONE] = "done",
+};
+
+/* ---- objects by number of a slice ---- */
+
+/* Sets a slice's value in the object, which is made for the first one. */
+static void set_slice(json_t **object, unsigned slice, json_t *value) {
+  if (!*object) *object = json_object();
+  char number[16];
+  g_snprintf(number, sizeof number, "%u", slice);
+  json_object_set_new(*object, number, value);
+}
 
-static const char *const k_phases[] = {"accepted", "cancelled", "done"};
+typedef bool (*slice_reader)(const json_t *value, unsigned slice, fc_job_record *out);
+
+/* Reads the value of each slice in the object, if there is one. */
+static void read_slices(fc_reader *reader, const char *field, slice_reader read, fc_field_error error,
+                        fc_job_record *out) {
+  json_t *object = json_object_get(reader->object, field);
+  const char *number;
+  json_t *value;
+  json_object_foreach(object, number, value) {
+    unsigned long slice = strtoul(number, NULL, 10);
+    if (slice < out->slices && read(value, (unsigned)slice, out)) continue;
+    fc_reader_fail(reader, field, error);
+    return;
+  }
+}
 
-/* {"3":[term,members]}; NULL: there is nothing to say. */
-static json_t *last_moves_encode(const fc_job_origin *origin, unsigned slices) {
-  json_t *v = NULL;
+/* {"3":[term,members]}; NULL: there is nothing to state. */
+static json_t *encode_last_moves(const fc_job_origin *origin, unsigned slices) {
+  json_t *moves = NULL;
   for (unsigned i = 0; i < slices; i++) {
     if (!(origin->moved >> i & 1) || !origin->last_move[i].term) continue;
-    if (!v) v = json_object();
-    char slice[16];
-    g_snprintf(slice, sizeof slice, "%u", i);
-    json_object_set_new(
-        v, slice, json_pack("[II]", (json_int_t)origin->last_move[i].term, (json_int_t)origin->last_move[i].members));
-  }
-  return v;
-}
-
-static void read_last_moves(fc_reader *reader, fc_job_record *out) {
-  const json_t *moves = json_object_get(reader->object, "lastMove");
-  const char *slice;
-  json_t *pair;
-  json_object_foreach((json_t *)moves, slice, pair) {
-    unsigned long i = strtoul(slice, NULL, 10);
-    json_int_t term = json_integer_value(json_array_get(pair, 0));
-    json_int_t members = json_integer_value(json_array_get(pair, 1));
-    if (i >= out->slices || term <= 0 || members <= 0 || members > UINT32_MAX) {
-      fc_reader_fail(reader, "lastMove", "not a hand-over of a slice of the job");
-      return;
-    }
-    out->origin.last_move[i].term = (uint64_t)term;
-    out->origin.last_move[i].members = (unsigned)members;
+    json_int_t term = (json_int_t)origin->last_move[i].term;
+    json_int_t members = (json_int_t)origin->last_move[i].members;
+    set_slice(&moves, i, json_pack("[II]", term, members));
   }
+  return moves;
 }
 
-/* {"2":"paddock-2"}; NULL: no slice was handed over. */
-static json_t *handed_encode(const fc_job_record *record) {
-  json_t *to = NULL;
-  for (unsigned i = 0; i < record->slices; i++) {
-    if (!record->handed[i]) continue;
-    if (!to) to = json_object();
-    char slice[16];
-    g_snprintf(slice, sizeof slice, "%u", i);
-    json_object_set_new(to, slice, json_string(record->handed[i]));
-  }
-  return to;
+static bool read_last_move(const json_t *value, unsigned slice, fc_job_record *out) {
+  json_int_t term = json_integer_value(json_array_get(value, 0));
+  json_int_t members = json_integer_value(json_array_get(value, 1));
+  if (term <= 0 || members <= 0 || members > UINT32_MAX) return false;
+  out->origin.last_move[slice].term = (uint64_t)term;
+  out->origin.last_move[slice].members = (unsigned)members;
+  return true;
 }
 
-static void encode_origin(json_t *v, const fc_job_record *record) {
-  const fc_job_origin *origin = &record->origin;
-  if (origin->submitted_at > 0 && record->awaiting && record->phase == FC_PHASE_ACCEPTED)
-    json_object_set_new(v, "submitted", json_real(origin->submitted_at));
-  if (origin->term) json_object_set_new(v, "term", json_integer((json_int_t)origin->term));
-  if (origin->moved) json_object_set_new(v, "moved", json_integer((json_int_t)origin->moved));
-  json_t *moves = last_moves_encode(origin, record->slices);
-  if (moves) json_object_set_new(v, "lastMove", moves);
-  if (origin->unseen) json_object_set_new(v, "unseen", json_integer((json_int_t)origin->unseen));
+/* {"2":"paddock-2"}; NULL: no slice was transferred. */
+static json_t *encode_handed(const fc_job_record *record) {
+  json_t *handed = NULL;
+  for (unsigned i = 0; i < record->slices; i++)
+    if (record->handed[i]) set_slice(&handed, i, json_string(record->handed[i]));
+  return handed;
+}
+
+static bool read_handed(const json_t *value, unsigned slice, fc_job_record *out) {
+  if (!json_is_string(value)) return false;
+  g_free(out->handed[slice]);
+  out->handed[slice] = g_strdup(json_string_value(value));
+  return true;
+}
+
+/* ---- encoding ---- */
+
+static bool awaits_dependencies(const fc_job_record *record) {
+  return record->awaiting && record->phase == FC_PHASE_ACCEPTED;
 }
 
-static void encode_awaits(json_t *v, const fc_job_record *record) {
-  char *awaits = fc_job_dependencies_text(record->spec.awaits);
-  json_object_set_new(v, "awaits", json_string(awaits));
-  g_free(awaits);
+static void encode_origin(json_t *object, const fc_job_record *record) {
+  const fc_job_origin *origin = &record->origin;
+  if (origin->submitted_at > 0 && awaits_dependencies(record))
+    json_object_set_new(object, FIELD_SUBMITTED, json_real(origin->submitted_at));
+  if (origin->term) json_object_set_new(object, FIELD_TERM, json_integer((json_int_t)origin->term));
+  if (origin->moved) json_object_set_new(object, FIELD_MOVED, json_integer((json_int_t)origin->moved));
+  json_t *moves = encode_last_moves(origin, record->slices);
+  if (moves) json_object_set_new(object, FIELD_LAST_MOVE, moves);
+  if (origin->unseen) json_object_set_new(object, FIELD_UNSEEN, json_integer((json_int_t)origin->unseen));
 }
 
-/* What the record says of the job itself: its description, or where that is. */
+/* The job's description, or the reference to its parts. Older versions cannot read a description
+ * in parts either, so it always has the newer format. */
 static json_t *encode_description(const fc_job_record *record) {
-  bool awaiting = record->awaiting && record->phase == FC_PHASE_ACCEPTED;
+  bool awaiting = awaits_dependencies(record);
   if (record->parts.count > 0)
-    return json_pack("{si s[si] sb}", "f", FC_JOB_FORMAT_AWAITING, "parts", record->parts.digest,
-                     (int)record->parts.count, "awaiting", (int)awaiting);
-  json_t *v = json_pack("{si so}", "f", awaiting ? FC_JOB_FORMAT_AWAITING : FC_JOB_FORMAT_PLAIN, "spec",
-                        fc_job_spec_encode(&record->spec));
-  if (awaiting) encode_awaits(v, record);
-  return v;
+    return json_pack("{si s[si] sb}", FIELD_FORMAT, FC_JOB_FORMAT_AWAITING, FIELD_DESCRIPTION_REF, record->parts.digest,
+                     (int)record->parts.count, FIELD_AWAITING, (int)awaiting);
+  int format = awaiting ? FC_JOB_FORMAT_AWAITING : FC_JOB_FORMAT_PLAIN;
+  json_t *object = json_pack("{si so}", FIELD_FORMAT, format, FIELD_SPEC, fc_job_spec_encode(&record->spec));
+  if (awaiting) {
+    g_autofree char *dependencies = fc_job_dependencies_text(record->spec.awaits);
+    json_object_set_new(object, FIELD_DEPENDENCIES, json_string(dependencies));
+  }
+  return object;
 }
 
 json_t *fc_job_record_encode(const fc_job_record *record) {
-  json_t *v = encode_description(record);
-  json_t *state = json_pack("{ss ss* si so*}", "phase", k_phases[record->phase], "done",
-                            record->done && *record->done ? record->done : NULL, "slices", (int)record->slices, "to",
-                            handed_encode(record));
-  json_object_update(v, state);
-  json_decref(state);
-  encode_origin(v, record);
-  return v;
-}
-
-static void read_handed(fc_reader *reader, fc_job_record *out) {
-  const json_t *to = json_object_get(reader->object, "to");
-  const char *slice;
-  json_t *name;
-  json_object_foreach((json_t *)to, slice, name) {
-    unsigned long i = strtoul(slice, NULL, 10);
-    if (i >= out->slices || !json_is_string(name)) {
-      fc_reader_fail(reader, "to", "not a slice of the job");
-      return;
-    }
-    g_free(out->handed[i]);
-    out->handed[i] = g_strdup(json_string_value(name));
-  }
+  json_t *object = encode_description(record);
+  json_object_set_new(object, FIELD_PHASE, json_string(k_phases[record->phase]));
+  if (record->done && *record->done) json_object_set_new(object, FIELD_DONE, json_string(record->done));
+  json_object_set_new(object, FIELD_SLICES, json_integer(record->slices));
+  json_t *handed = encode_handed(record);
+  if (handed) json_object_set_new(object, FIELD_HANDED, handed);
+  encode_origin(object, record);
+  return object;
 }
 
-static void read_parts(fc_reader *reader, fc_job_record *out) {
-  const json_t *parts = fc_read_array(reader, "parts");
-  const char *digest = json_string_value(json_array_get(parts, 0));
-  json_int_t count = json_integer_value(json_array_get(parts, 1));
+/* ---- decoding ---- */
+
+static void read_description_ref(fc_reader *reader, fc_job_record *out) {
+  const json_t *pair = fc_read_array(reader, FIELD_DESCRIPTION_REF);
+  const char *digest = json_string_value(json_array_get(pair, 0));
+  json_int_t count = json_integer_value(json_array_get(pair, 1));
   if (!digest || strlen(digest) != FC_JOB_DIGEST_SIZE - 1 || count <= 0 || count > FC_JOB_PARTS_MAX) {
-    fc_reader_fail(reader, "parts", "not a digest and a number of parts");
+    fc_reader_fail(reader, FIELD_DESCRIPTION_REF, FC_FIELD_NOT_DESCRIPTION_REF);
     return;
   }
   g_strlcpy(out->parts.digest, digest, sizeof out->parts.digest);
   out->parts.count = (unsigned)count;
-  out->awaiting = fc_read_bool(reader, "awaiting");
+  out->awaiting = fc_read_bool(reader, FIELD_AWAITING);
 }
 
 static void read_description(fc_reader *reader, uint64_t format, fc_job_record *out) {
-  if (format == FC_JOB_FORMAT_AWAITING && json_object_get(reader->object, "parts")) {
-    read_parts(reader, out);
+  if (format == FC_JOB_FORMAT_AWAITING && json_object_get(reader->object, FIELD_DESCRIPTION_REF)) {
+    read_description_ref(reader, out);
     return;
   }
-  fc_reader spec;
-  fc_reader_init(&spec, fc_read_object(reader, "spec"));
-  if (fc_reader_ok(reader)) fc_job_spec_read(&spec, &out->spec);
-  if (!fc_reader_ok(&spec)) fc_reader_fail(reader, "spec", "not a description");
+  fc_reader spec_reader;
+  fc_reader_init(&spec_reader, fc_read_object(reader, FIELD_SPEC));
+  if (fc_reader_ok(reader)) fc_job_spec_read(&spec_reader, &out->spec);
+  if (!fc_reader_ok(&spec_reader)) fc_reader_fail(reader, FIELD_SPEC, FC_FIELD_NOT_DESCRIPTION);
   if (format != FC_JOB_FORMAT_AWAITING) return;
-  fc_job_dependencies_read(reader, "awaits", &out->spec);
+  fc_job_dependencies_read(reader, FIELD_DEPENDENCIES, &out->spec);
   out->awaiting = out->spec.awaits != NULL;
 }
 
-bool fc_job_record_decode(const json_t *v, fc_job_record *out) {
+bool fc_job_record_decode(const json_t *value, fc_job_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  uint64_t format = fc_read_count(&reader, "f", FC_JOB_FORMAT_PLAIN, FC_JOB_FORMAT_AWAITING);
+  fc_reader_init(&reader, value);
+  uint64_t format = fc_read_count(&reader, FIELD_FORMAT, FC_JOB_FORMAT_PLAIN, FC_JOB_FORMAT_AWAITING);
   if (!fc_reader_ok(&reader)) return false;
-  out->phase = (fc_job_phase)fc_read_choice(&reader, "phase", k_phases, G_N_ELEMENTS(k_phases));
-  const char *done = fc_read_string_or_null(&reader, "done", (size_t)FC_TASKS_MAX * 8);
-  out->slices = (unsigned)fc_read_count_or(&reader, "slices", 1, FC_SLICES_MAX, 1);
-  out->origin.term = fc_read_count_or(&reader, "term", 0, (uint64_t)INT64_MAX, 0);
-  out->origin.moved = (unsigned)fc_read_count_or(&reader, "moved", 0, UINT32_MAX, 0);
-  out->origin.unseen = (unsigned)fc_read_count_or(&reader, "unseen", 0, UINT32_MAX, 0);
-  if (fc_reader_ok(&reader)) read_handed(&reader, out);
-  if (fc_reader_ok(&reader)) read_last_moves(&reader, out);
-  out->origin.submitted_at = fc_read_amount_or(&reader, "submitted", 0, TIME_OF_DAY_MOST, 0);
+  out->phase = (fc_job_phase)fc_read_choice(&reader, FIELD_PHASE, k_phases, G_N_ELEMENTS(k_phases));
+  const char *done = fc_read_string_or_null(&reader, FIELD_DONE, DONE_LENGTH_MAX);
+  out->slices = (unsigned)fc_read_count_or(&reader, FIELD_SLICES, 1, FC_SLICES_MAX, 1);
+  out->origin.term = fc_read_count_or(&reader, FIELD_TERM, 0, FC_COUNT_MAX, 0);
+  out->origin.moved = (unsigned)fc_read_count_or(&reader, FIELD_MOVED, 0, UINT32_MAX, 0);
+  out->origin.unseen = (unsigned)fc_read_count_or(&reader, FIELD_UNSEEN, 0, UINT32_MAX, 0);
+  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_HANDED, read_handed, FC_FIELD_NOT_SLICE, out);
+  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_LAST_MOVE, read_last_move, FC_FIELD_NOT_TRANSFER, out);
+  out->origin.submitted_at = fc_read_amount_or(&reader, FIELD_SUBMITTED, 0, TIME_OF_DAY_MAX, 0);
   read_description(&reader, format, out);
   if (!fc_reader_ok(&reader)) {
     fc_job_record_clear(out);
@@ -164,48 +195,56 @@
   memset(record, 0, sizeof *record);
 }
 
-char *fc_ranges_encode(const uint8_t *bits, uint32_t tasks) {
-  GString *out = g_string_new(NULL);
-  for (uint32_t i = 0; i < tasks; i++) {
-    if (!(bits[i / 8] & (1u << (i % 8)))) continue;
-    uint32_t last = i;
-    while (last + 1 < tasks && (bits[(last + 1) / 8] & (1u << ((last + 1) % 8)))) last++;
-    if (out->len) g_string_append_c(out, ',');
-    g_string_append_printf(out, "%u", i);
-    if (last > i) g_string_append_printf(out, "-%u", last);
-    i = last;
+/* ---- ranges ---- */
+
+static bool bit_is_set(const uint8_t *bitmap, uint32_t index) {
+  return bitmap[index / 8] & (1u << (index % 8));
+}
+
+static void set_bit(uint8_t *bitmap, uint32_t index) {
+  bitmap[index / 8] |= (uint8_t)(1u << (index % 8));
+}
+
+char *fc_ranges_encode(const uint8_t *bitmap, uint32_t tasks) {
+  GString *text = g_string_new(NULL);
+  for (uint32_t first = 0; first < tasks; first++) {
+    if (!bit_is_set(bitmap, first)) continue;
+    uint32_t last = first;
+    while (last + 1 < tasks && bit_is_set(bitmap, last + 1)) last++;
+    if (text->len) g_string_append_c(text, ',');
+    g_string_append_printf(text, "%u", first);
+    if (last > first) g_string_append_printf(text, "-%u", last);
+    first = last;
   }
-  return g_string_free(out, FALSE);
+  return g_string_free(text, FALSE);
 }
 
-static bool read_number(const char **p, uint32_t *out) {
-  if (!g_ascii_isdigit(**p)) return false;
+static bool read_task_number(const char **next, uint32_t *number) {
+  if (!g_ascii_isdigit(**next)) return false;
   char *end = NULL;
-  unsigned long v = strtoul(*p, &end, 10);
-  if (v > FC_TASKS_MAX) return false;
-  *p = end;
-  *out = (uint32_t)v;
+  unsigned long parsed = strtoul(*next, &end, 10);
+  if (parsed > FC_TASKS_MAX) return false;
+  *next = end;
+  *number = (uint32_t)parsed;
   return true;
 }
 
-bool fc_ranges_decode(const char *text, uint8_t *bits, uint32_t tasks) {
-  const char *p = text;
-  while (*p) {
-    uint32_t first = 0, last = 0;
-    if (!read_number(&p, &first)) return false;
-    last = first;
-    if (*p == '-') {
-      p++;
-      if (!read_number(&p, &last)) return false;
+bool fc_ranges_decode(const char *text, uint8_t *bitmap, uint32_t tasks) {
+  const char *next = text;
+  while (*next) {
+    uint32_t first = 0;
+    if (!read_task_number(&next, &first)) return false;
+    uint32_t last = first;
+    if (*next == '-') {
+      next++;
+      if (!read_task_number(&next, &last)) return false;
     }
     if (last < first || last >= tasks) return false;
-    for (uint32_t i = first; i <= last; i++) bits[i / 8] |= (uint8_t)(1u << (i % 8));
-    if (*p == ',') {
-      p++;
-      if (!*p) return false;
-    } else if (*p) {
-      return false;
-    }
+    for (uint32_t index = first; index <= last; index++) set_bit(bitmap, index);
+    if (*next == '\0') return true;
+    if (*next != ',') return false;
+    next++;
+    if (*next == '\0') return false; /* nothing after the comma */
   }
   return true;
 }
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -1,33 +1,29 @@
-/* Jobs as the state service keeps them. */
+/* The records of jobs in the key-value store. Nothing here suspends the calling routine. */
 #ifndef FC_PROTOCOL_JOB_RECORD_H
 #define FC_PROTOCOL_JOB_RECORD_H
 
 #include "protocol/job.h"
 #include "protocol/job_description.h"
 
-/* The stored form: format version, description, phase, finished tasks as
- * ranges ("0-3,7"), the number of virtual jobs (slices) an array is split into,
- * and the controllers that slices were handed to, if any. An accepted job that awaits
- * others has a format of its own, which versions that don't know of awaiting can't read,
- * and so never run. */
+/* Formats of a record. An accepted job with unfinished dependencies has one of its own: versions
+ * that do not know of dependencies cannot read it, and so never run the job. */
 #define FC_JOB_FORMAT_PLAIN 1
 #define FC_JOB_FORMAT_AWAITING 2
 
-/* Where a record comes from: when it was written first, and its hand-overs since. */
+/* When the record was first written, and the transfers of slices to other controllers since. */
 typedef struct fc_job_origin {
-  double submitted_at; /* time of day, in seconds; 0: not known. Kept while the job awaits others */
+  double submitted_at; /* time of day, in seconds; 0: not known. Stored while dependencies are unfinished */
   uint64_t term;       /* it was accepted in this term or later; 0: not known */
-  unsigned moved;      /* a bit a slice: it has been handed over since */
-  /* Of a slice that was: the term of the last hand-over, and a bit for each member of
-   * that term on whose machines tasks of it were then, or could be started from then on.
-   * 0, 0: not known. */
+  unsigned moved;      /* one bit for each slice: it has been transferred */
+  /* Of a transferred slice: the term of the last transfer, and one bit for each member of that
+   * term on whose machines its tasks were then, or could be started since. 0, 0: not known. */
   struct {
     uint64_t term;
     unsigned members;
   } last_move[FC_SLICES_MAX];
-  /* A bit a slice: whoever it was handed to last may not have seen all of its tasks. They
-   * are older than the term of the hand-over and on settled machines, so it has once all
-   * machines are settled for it too. */
+  /* One bit for each slice: its owner since the last transfer may not have seen all of its tasks.
+   * They are older than the term of the transfer and on machines that were reconciled, so the
+   * owner has seen them once it has reconciled all machines too. */
   unsigned unseen;
 } fc_job_origin;
 
@@ -35,23 +31,24 @@
   fc_job_spec spec;
   fc_job_origin origin;
   fc_job_phase phase;
-  char *done; /* ranges */
-  unsigned slices;
-  char *handed[FC_SLICES_MAX]; /* NULL: as dealt */
-  fc_description_ref parts;    /* where the description is, if it isn't in the record */
-  bool awaiting;               /* it still awaits what its description says */
+  char *done;                  /* finished tasks as ranges, "0-3,7" */
+  unsigned slices;             /* that an array is split into */
+  char *handed[FC_SLICES_MAX]; /* the controllers that slices were transferred to; NULL: as assigned */
+  fc_description_ref parts;    /* to the description, when it is not in the record */
+  bool awaiting;               /* its dependencies are unfinished */
 } fc_job_record;
 
-/* The record's value. An accepted job that still awaits others, or whose description is
- * elsewhere, has the format that older versions can't read. Strings of the record are read
- * only. */
+/* The record's value; the reference is the caller's. */
 json_t *fc_job_record_encode(const fc_job_record *record);
-/* Where the description is in parts, the record's is left empty. */
-bool fc_job_record_decode(const json_t *v, fc_job_record *out);
+/* Reads such a value. False when it is malformed, with `out` empty; else `out` is the caller's to
+ * clear. The spec stays empty when the description is in parts. */
+bool fc_job_record_decode(const json_t *value, fc_job_record *out);
 void fc_job_record_clear(fc_job_record *record);
 
-/* Ranges of task numbers <-> bitmap. Decoding refuses numbers >= tasks. */
-char *fc_ranges_encode(const uint8_t *bits, uint32_t tasks);
-bool fc_ranges_decode(const char *text, uint8_t *bits, uint32_t tasks);
+/* The numbers of the set bits among the first `tasks` as ranges; the caller frees the text. */
+char *fc_ranges_encode(const uint8_t *bitmap, uint32_t tasks);
+/* Sets the bits of the ranges. False for a malformed text or a number that is not below `tasks`;
+ * some bits may be set then. */
+bool fc_ranges_decode(const char *text, uint8_t *bitmap, uint32_t tasks);
 
 #endif
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -3,14 +3,51 @@
 #include <math.h>
 #include <string.h>
 
-/* jansson recurses once per level. Its own bound (2048) is more than the small
- * stack of a routine holds, so deep texts are refused before it sees them. */
+/* jansson recurses once for each level. Its own bound (2048) needs more than the small stack of
+ * a routine, so texts nested deeper than this are refused before it parses them. */
 #define DEPTH_MAX 24
+#define CHOICE_LENGTH_MAX 256u
 
-static bool too_deep(const char *text, size_t len) {
+static const char *const k_field_errors[] = {
+    [FC_FIELD_OK] = "",
+    [FC_FIELD_MISSING] = "missing",
+    [FC_FIELD_NOT_OBJECT] = "not an object",
+    [FC_FIELD_NOT_ARRAY] = "not an array",
+    [FC_FIELD_NOT_STRING] = "not a string",
+    [FC_FIELD_NOT_NUMBER] = "not a number",
+    [FC_FIELD_NOT_INTEGER] = "not an integer",
+    [FC_FIELD_NOT_BOOL] = "not true or false",
+    [FC_FIELD_EMPTY] = "empty",
+    [FC_FIELD_TOO_LONG] = "too long",
+    [FC_FIELD_CONTROL_CHARACTER] = "control character",
+    [FC_FIELD_OUT_OF_RANGE] = "out of range",
+    [FC_FIELD_UNKNOWN_VALUE] = "unknown value",
+    [FC_FIELD_TOO_MANY] = "too many",
+    [FC_FIELD_NONE_OR_TOO_MANY] = "none, or too many",
+    [FC_FIELD_NOT_NAME] = "not a name",
+    [FC_FIELD_ELEMENT_NOT_NAME] = "holds something that is not a name",
+    [FC_FIELD_NAME_WITH_SEPARATOR] = "holds a space or a slash",
+    [FC_FIELD_NOT_ENDPOINT] = "not an address like 10.0.0.1:8080",
+    [FC_FIELD_NOT_TASK] = "not a task",
+    [FC_FIELD_NOT_JOB_ID] = "not of the form job-000412",
+    [FC_FIELD_NOT_JOB_IDS] = "not an array of job ids",
+    [FC_FIELD_ELEMENT_NOT_JOB_ID] = "holds something that is not a job id",
+    [FC_FIELD_NOT_TYPES] = "not a short array of types",
+    [FC_FIELD_ELEMENT_NOT_TYPE] = "holds something that is not a type",
+    [FC_FIELD_NOT_SLICE] = "not a slice of the job",
+    [FC_FIELD_NOT_TRANSFER] = "not a transfer of a slice of the job",
+    [FC_FIELD_NOT_DESCRIPTION] = "not a description",
+    [FC_FIELD_NOT_DESCRIPTION_REF] = "not a digest and a number of parts",
+};
+
+const char *fc_field_strerror(fc_field_error error) {
+  return k_field_errors[error];
+}
+
+static bool too_deep(const char *text, size_t length) {
   int depth = 0;
   bool in_string = false;
-  for (size_t i = 0; i < len; i++) {
+  for (size_t i = 0; i < length; i++) {
     char ch = text[i];
     if (in_string) {
       if (ch == '\\') {
@@ -29,160 +66,190 @@
   return false;
 }
 
-json_t *fc_json_parse(const char *text, size_t len) {
-  if (!text || too_deep(text, len)) return NULL;
-  return json_loadb(text, len, JSON_DECODE_ANY, NULL);
+json_t *fc_json_parse(const char *text, size_t length) {
+  if (!text || too_deep(text, length)) return NULL;
+  return json_loadb(text, length, JSON_DECODE_ANY, NULL);
 }
 
 void fc_reader_init(fc_reader *reader, const json_t *object) {
-  reader->object = object;
-  reader->error[0] = '\0';
-  if (!json_is_object(object)) g_strlcpy(reader->error, "not an object", sizeof reader->error);
+  *reader = (fc_reader){.object = object};
+  if (!json_is_object(object)) reader->error = FC_FIELD_NOT_OBJECT;
 }
 
 bool fc_reader_ok(const fc_reader *reader) {
-  return reader->error[0] == '\0';
+  return reader->error == FC_FIELD_OK;
+}
+
+void fc_reader_fail(fc_reader *reader, const char *field, fc_field_error error) {
+  if (!fc_reader_ok(reader)) return;
+  reader->field = field;
+  reader->error = error;
+}
+
+void fc_reader_fail_element(fc_reader *reader, const char *field, const fc_reader *inner) {
+  if (!fc_reader_ok(reader)) return;
+  reader->outer = field;
+  reader->field = inner->field;
+  reader->error = inner->error;
 }
 
-void fc_reader_fail(fc_reader *reader, const char *field, const char *what) {
-  if (fc_reader_ok(reader)) g_snprintf(reader->error, sizeof reader->error, "%s: %s", field, what);
+void fc_reader_describe(const fc_reader *reader, char *out, size_t size) {
+  g_snprintf(out, size, "%s%s%s%s%s", reader->outer ? reader->outer : "", reader->outer ? "." : "",
+             reader->field ? reader->field : "", reader->field ? ": " : "", fc_field_strerror(reader->error));
 }
 
-/* The field's value, NULL when it is absent or null. */
-static const json_t *field_of(fc_reader *reader, const char *field) {
+/* The field's value; NULL when it is absent or null, or after an error. */
+static const json_t *optional_field(fc_reader *reader, const char *field) {
   if (!fc_reader_ok(reader)) return NULL;
-  const json_t *v = json_object_get(reader->object, field);
-  return json_is_null(v) ? NULL : v;
+  const json_t *value = json_object_get(reader->object, field);
+  return json_is_null(value) ? NULL : value;
 }
 
-static const char *check_string(fc_reader *reader, const json_t *v, const char *field, size_t most) {
-  if (!json_is_string(v)) {
-    fc_reader_fail(reader, field, "not a string");
+/* The same, and an error when it is absent or null. */
+static const json_t *required_field(fc_reader *reader, const char *field) {
+  const json_t *value = optional_field(reader, field);
+  if (!value) fc_reader_fail(reader, field, FC_FIELD_MISSING);
+  return value;
+}
+
+static const char *check_string(fc_reader *reader, const json_t *value, const char *field, size_t most) {
+  if (!json_is_string(value)) {
+    fc_reader_fail(reader, field, FC_FIELD_NOT_STRING);
     return NULL;
   }
-  size_t len = json_string_length(v);
-  if (len == 0 || len > most) {
-    fc_reader_fail(reader, field, len == 0 ? "empty" : "too long");
+  size_t length = json_string_length(value);
+  if (length == 0 || length > most) {
+    fc_reader_fail(reader, field, length == 0 ? FC_FIELD_EMPTY : FC_FIELD_TOO_LONG);
     return NULL;
   }
-  /* Names go into keys, logs and packed fields: control characters never do. */
-  const char *s = json_string_value(v);
-  for (size_t i = 0; i < len; i++) {
-    if ((unsigned char)s[i] < 0x20 || s[i] == 0x7f) {
-      fc_reader_fail(reader, field, "control character");
+  /* Names become parts of keys, log lines and packed fields, none of which may hold these. */
+  const char *text = json_string_value(value);
+  for (size_t i = 0; i < length; i++) {
+    if (g_ascii_iscntrl(text[i])) {
+      fc_reader_fail(reader, field, FC_FIELD_CONTROL_CHARACTER);
       return NULL;
     }
   }
-  return s;
+  return text;
 }
 
 const char *fc_read_string(fc_reader *reader, const char *field, size_t most) {
-  const json_t *v = field_of(reader, field);
-  if (!v) {
-    fc_reader_fail(reader, field, "missing");
-    return NULL;
-  }
-  return check_string(reader, v, field, most);
+  const json_t *value = required_field(reader, field);
+  return value ? check_string(reader, value, field, most) : NULL;
 }
 
 const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t most) {
-  const json_t *v = field_of(reader, field);
-  return v ? check_string(reader, v, field, most) : NULL;
+  const json_t *value = optional_field(reader, field);
+  return value ? check_string(reader, value, field, most) : NULL;
 }
 
-static double check_amount(fc_reader *reader, const json_t *v, const char *field, double least, double most) {
-  if (!json_is_number(v)) {
-    fc_reader_fail(reader, field, "not a number");
+void fc_read_string_into(fc_reader *reader, const char *field, char *out, size_t size) {
+  const char *text = fc_read_string(reader, field, size - 1);
+  if (text) g_strlcpy(out, text, size);
+}
+
+static double check_amount(fc_reader *reader, const json_t *value, const char *field, double least, double most) {
+  if (!json_is_number(value)) {
+    fc_reader_fail(reader, field, FC_FIELD_NOT_NUMBER);
     return least;
   }
-  double d = json_number_value(v);
-  if (!isfinite(d) || d < least || d > most) {
-    fc_reader_fail(reader, field, "out of range");
+  double amount = json_number_value(value);
+  if (!isfinite(amount) || amount < least || amount > most) {
+    fc_reader_fail(reader, field, FC_FIELD_OUT_OF_RANGE);
     return least;
   }
-  return d;
+  return amount;
 }
 
 double fc_read_amount(fc_reader *reader, const char *field, double least, double most) {
-  const json_t *v = field_of(reader, field);
-  if (!v) {
-    fc_reader_fail(reader, field, "missing");
-    return least;
-  }
-  return check_amount(reader, v, field, least, most);
+  const json_t *value = required_field(reader, field);
+  return value ? check_amount(reader, value, field, least, most) : least;
 }
 
 double fc_read_amount_or(fc_reader *reader, const char *field, double least, double most, double otherwise) {
-  const json_t *v = field_of(reader, field);
-  return v ? check_amount(reader, v, field, least, most) : otherwise;
+  const json_t *value = optional_field(reader, field);
+  return value ? check_amount(reader, value, field, least, most) : otherwise;
 }
 
-static uint64_t check_count(fc_reader *reader, const json_t *v, const char *field, uint64_t least, uint64_t most) {
-  if (!json_is_integer(v)) {
-    fc_reader_fail(reader, field, "not an integer");
+static uint64_t check_count(fc_reader *reader, const json_t *value, const char *field, uint64_t least, uint64_t most) {
+  if (!json_is_integer(value)) {
+    fc_reader_fail(reader, field, FC_FIELD_NOT_INTEGER);
     return least;
   }
-  json_int_t i = json_integer_value(v);
-  if (i < 0 || (uint64_t)i < least || (uint64_t)i > most) {
-    fc_reader_fail(reader, field, "out of range");
+  json_int_t count = json_integer_value(value);
+  if (count < 0 || (uint64_t)count < least || (uint64_t)count > most) {
+    fc_reader_fail(reader, field, FC_FIELD_OUT_OF_RANGE);
     return least;
   }
-  return (uint64_t)i;
+  return (uint64_t)count;
 }
 
 uint64_t fc_read_count(fc_reader *reader, const char *field, uint64_t least, uint64_t most) {
-  const json_t *v = field_of(reader, field);
-  if (!v) {
-    fc_reader_fail(reader, field, "missing");
-    return least;
-  }
-  return check_count(reader, v, field, least, most);
+  const json_t *value = required_field(reader, field);
+  return value ? check_count(reader, value, field, least, most) : least;
 }
 
 uint64_t fc_read_count_or(fc_reader *reader, const char *field, uint64_t least, uint64_t most, uint64_t otherwise) {
-  const json_t *v = field_of(reader, field);
-  return v ? check_count(reader, v, field, least, most) : otherwise;
+  const json_t *value = optional_field(reader, field);
+  return value ? check_count(reader, value, field, least, most) : otherwise;
+}
+
+static bool check_bool(fc_reader *reader, const json_t *value, const char *field, bool otherwise) {
+  if (json_is_boolean(value)) return json_is_true(value);
+  fc_reader_fail(reader, field, FC_FIELD_NOT_BOOL);
+  return otherwise;
 }
 
 bool fc_read_bool(fc_reader *reader, const char *field) {
-  const json_t *v = field_of(reader, field);
-  if (!json_is_boolean(v)) {
-    fc_reader_fail(reader, field, v ? "not true or false" : "missing");
-    return false;
-  }
-  return json_is_true(v);
+  const json_t *value = required_field(reader, field);
+  return value ? check_bool(reader, value, field, false) : false;
 }
 
 bool fc_read_bool_or(fc_reader *reader, const char *field, bool otherwise) {
-  const json_t *v = field_of(reader, field);
-  if (!v) return otherwise;
-  if (!json_is_boolean(v)) {
-    fc_reader_fail(reader, field, "not true or false");
-    return otherwise;
-  }
-  return json_is_true(v);
+  const json_t *value = optional_field(reader, field);
+  return value ? check_bool(reader, value, field, otherwise) : otherwise;
 }
 
 const json_t *fc_read_array(fc_reader *reader, const char *field) {
-  const json_t *v = field_of(reader, field);
-  if (!json_is_array(v)) {
-    fc_reader_fail(reader, field, v ? "not an array" : "missing");
-    return NULL;
-  }
-  return v;
+  const json_t *value = required_field(reader, field);
+  if (!value || json_is_array(value)) return value;
+  fc_reader_fail(reader, field, FC_FIELD_NOT_ARRAY);
+  return NULL;
 }
 
 const json_t *fc_read_object(fc_reader *reader, const char *field) {
-  const json_t *v = field_of(reader, field);
-  if (!json_is_object(v)) {
-    fc_reader_fail(reader, field, v ? "not an object" : "missing");
-    return NULL;
+  const json_t *value = required_field(reader, field);
+  if (!value || json_is_object(value)) return value;
+  fc_reader_fail(reader, field, FC_FIELD_NOT_OBJECT);
+  return NULL;
+}
+
+int fc_read_choice(fc_reader *reader, const char *field, const char *const *names, int count) {
+  const char *text = fc_read_string(reader, field, CHOICE_LENGTH_MAX);
+  if (!text) return 0;
+  for (int i = 0; i < count; i++)
+    if (strcmp(text, names[i]) == 0) return i;
+  fc_reader_fail(reader, field, FC_FIELD_UNKNOWN_VALUE);
+  return 0;
+}
+
+size_t fc_json_decode_list(const json_t *array, fc_json_decoder decode, GPtrArray *out) {
+  size_t skipped = 0;
+  size_t i;
+  json_t *element;
+  json_array_foreach(array, i, element) {
+    void *decoded = decode(element);
+    if (decoded) {
+      g_ptr_array_add(out, decoded);
+    } else {
+      skipped++;
+    }
   }
-  return v;
+  return skipped;
 }
 
-static int append_chunk(const char *buffer, size_t size, void *data) {
-  g_string_append_len(data, buffer, (gssize)size);
+static int append_chunk(const char *chunk, size_t size, void *out) {
+  g_string_append_len(out, chunk, (gssize)size);
   return 0;
 }
 
--- a/src/protocol/json_call.c
+++ b/src/protocol/json_call.c
@@ -2,23 +2,31 @@
 
 #include "protocol/json.h"
 
+/* The object in an answer's body, an empty one for an empty body; NULL: something else. */
+static json_t *parse_object(const GString *body) {
+  if (body->len == 0) return json_object();
+  json_t *value = fc_json_parse(body->str, body->len);
+  if (json_is_object(value)) return value;
+  json_decref(value);
+  return NULL;
+}
+
 fc_json_reply fc_json_call(fc_http_client *http, const char *method, const char *path, json_t *body, double deadline) {
-  GString *text = NULL;
+  g_autoptr(GString) text = NULL;
   if (body) {
     text = g_string_new(NULL);
     fc_json_append(text, body);
   }
-  fc_http_reply reply;
-  bool answered = fc_http_call(http, method, path, text ? text->str : NULL, text ? text->len : 0, deadline, &reply);
-  if (text) g_string_free(text, TRUE);
-  fc_json_reply out = {
-      .status = answered ? reply.status : 0, .unsent = reply.unsent, .too_large = reply.too_large, .text = reply.body};
-  if (answered) out.object = reply.body->len ? fc_json_parse(reply.body->str, reply.body->len) : json_object();
-  if (!json_is_object(out.object)) {
-    json_decref(out.object);
-    out.object = NULL;
-  }
-  return out;
+  fc_http_reply http_reply;
+  bool answered =
+      fc_http_call(http, method, path, text ? text->str : NULL, text ? text->len : 0, deadline, &http_reply);
+  return (fc_json_reply){
+      .status = answered ? http_reply.status : 0,
+      .unsent = http_reply.unsent,
+      .too_large = http_reply.too_large,
+      .object = answered ? parse_object(http_reply.body) : NULL,
+      .text = http_reply.body,
+  };
 }
 
 void fc_json_reply_clear(fc_json_reply *reply) {
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -5,8 +5,36 @@
 #include "protocol/json.h"
 #include "protocol/json_call.h"
 
-#define COUNT_MOST ((uint64_t)INT64_MAX)
-#define REPLY_MOST ((size_t)8 * 1024 * 1024)
+#define REPLY_MAX ((size_t)8 * 1024 * 1024)
+#define KEY_LENGTH_MAX 200u
+
+/* The words of the store's protocol. */
+#define COMMIT_PATH "/commit"
+#define KEYS_PATH "/keys"
+#define CHANGES_PATH "/changes"
+#define LEASES_PATH "/holds"
+#define RENEW_SUFFIX "/extend"
+
+#define QUERY_PREFIX "prefix="
+#define QUERY_FROM "from="
+#define QUERY_PAGE "page="
+#define QUERY_WAIT_MS "holdMs="
+
+#define FIELD_KEY "key"
+#define FIELD_VALUE "v"
+#define FIELD_VERSION "edition"
+#define FIELD_REVISION "round"
+#define FIELD_LEASE "pass"
+#define FIELD_LEASE_TTL_MS "lifeMs"
+
+#define FIELD_CONDITIONS "when"
+#define FIELD_WRITES "then"
+#define FIELD_PUT "set"
+#define FIELD_DELETE "remove"
+#define FIELD_FAILED_KEYS "failed"
+#define FIELD_ROWS "rows"
+#define FIELD_MORE "more"
+#define FIELD_EVENTS "events"
 
 struct fc_kv {
   fc_http_client *http;
@@ -18,8 +46,8 @@
   json_t *writes;
 };
 
-void fc_kv_change_free(gpointer p) {
-  fc_kv_change *change = p;
+void fc_kv_change_free(gpointer data) {
+  fc_kv_change *change = data;
   if (!change) return;
   g_free(change->key);
   json_decref(change->value);
@@ -41,19 +69,20 @@
 }
 
 void fc_txn_compare(fc_txn *txn, const char *key, uint64_t version) {
-  json_array_append_new(txn->conditions, json_pack("{ss sI}", "key", key, "edition", (json_int_t)version));
+  json_array_append_new(txn->conditions, json_pack("{ss sI}", FIELD_KEY, key, FIELD_VERSION, (json_int_t)version));
 }
 
 void fc_txn_put(fc_txn *txn, const char *key, json_t *value) {
-  json_array_append_new(txn->writes, json_pack("{ss so}", "set", key, "v", value));
+  json_array_append_new(txn->writes, json_pack("{ss so}", FIELD_PUT, key, FIELD_VALUE, value));
 }
 
 void fc_txn_put_leased(fc_txn *txn, const char *key, json_t *value, uint64_t lease) {
-  json_array_append_new(txn->writes, json_pack("{ss so sI}", "set", key, "v", value, "pass", (json_int_t)lease));
+  json_array_append_new(txn->writes,
+                        json_pack("{ss so sI}", FIELD_PUT, key, FIELD_VALUE, value, FIELD_LEASE, (json_int_t)lease));
 }
 
 void fc_txn_delete(fc_txn *txn, const char *key) {
-  json_array_append_new(txn->writes, json_pack("{ss}", "remove", key));
+  json_array_append_new(txn->writes, json_pack("{ss}", FIELD_DELETE, key));
 }
 
 size_t fc_txn_writes(const fc_txn *txn) {
@@ -62,7 +91,7 @@
 
 fc_kv *fc_kv_new(const fc_endpoint *at) {
   fc_kv *kv = g_new0(fc_kv, 1);
-  kv->http = fc_http_client_new(at, REPLY_MOST);
+  kv->http = fc_http_client_new(at, REPLY_MAX);
   return kv;
 }
 
@@ -72,180 +101,154 @@
   g_free(kv);
 }
 
-/* Makes the call; on OK or CONFLICT *out holds the parsed answer. */
-static fc_kv_result call(fc_kv *kv, const char *method, const char *path, json_t *body, double deadline, json_t **out) {
+static fc_kv_result result_of_reply(const fc_json_reply *reply) {
+  /* An answer that is not an object does not say what was executed. */
+  bool readable = reply->object != NULL;
+  switch (reply->status) {
+    case 0:
+      return reply->unsent ? FC_KV_DOWN : FC_KV_UNKNOWN;
+    case 200:
+      return readable ? FC_KV_OK : FC_KV_UNKNOWN;
+    case 409:
+      return readable ? FC_KV_CONFLICT : FC_KV_UNKNOWN;
+    case 404:
+    case 410:
+      return FC_KV_GONE;
+    case 429:
+      return FC_KV_BUSY;
+    case 503:
+      return FC_KV_DOWN;
+    default:
+      return reply->status >= 500 ? FC_KV_UNKNOWN : FC_KV_REFUSED;
+  }
+}
+
+/* Makes the call; on OK or CONFLICT *answer holds the body, whose reference is the caller's. */
+static fc_kv_result call_store(fc_kv *kv, const char *method, const char *path, json_t *body, double deadline,
+                               json_t **answer) {
   fc_json_reply reply = fc_json_call(kv->http, method, path, body, deadline);
-  fc_kv_result result = FC_KV_REFUSED;
-  *out = NULL;
+  fc_kv_result result = result_of_reply(&reply);
   kv->too_large = reply.too_large;
-  if (reply.status == 0) {
-    result = reply.unsent ? FC_KV_DOWN : FC_KV_UNKNOWN;
-  } else if (reply.status == 200 || reply.status == 409) {
-    /* An answer we cannot read says nothing about what was done. */
-    result = !reply.object ? FC_KV_UNKNOWN : reply.status == 200 ? FC_KV_OK : FC_KV_CONFLICT;
-    *out = json_incref(reply.object);
-  } else if (reply.status == 404 || reply.status == 410) {
-    result = FC_KV_GONE;
-  } else if (reply.status == 429) {
-    result = FC_KV_BUSY;
-  } else if (reply.status == 503) {
-    result = FC_KV_DOWN;
-  } else if (reply.status >= 500) {
-    result = FC_KV_UNKNOWN;
-  }
+  *answer = result == FC_KV_OK || result == FC_KV_CONFLICT ? json_incref(reply.object) : NULL;
   fc_json_reply_clear(&reply);
   return result;
 }
 
-static bool read_revision(const json_t *v, uint64_t *revision) {
+/* Reads a number that an answer has to hold. */
+static bool read_number(const json_t *answer, const char *field, uint64_t *number) {
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  *revision = fc_read_count(&reader, "round", 0, COUNT_MOST);
+  fc_reader_init(&reader, answer);
+  *number = fc_read_count(&reader, field, 0, FC_COUNT_MAX);
   return fc_reader_ok(&reader);
 }
 
+static void *decode_key(const json_t *element) {
+  return g_strdup(json_string_value(element));
+}
+
 fc_kv_result fc_kv_commit(fc_kv *kv, const fc_txn *txn, double deadline, uint64_t *revision, GPtrArray *failed) {
-  json_t *body = json_pack("{sO sO}", "when", txn->conditions, "then", txn->writes);
-  json_t *v = NULL;
-  fc_kv_result result = call(kv, "POST", "/commit", body, deadline, &v);
-  if (result == FC_KV_OK && !read_revision(v, revision)) result = FC_KV_UNKNOWN;
-  if (result == FC_KV_CONFLICT && failed) {
-    size_t i;
-    json_t *key;
-    json_array_foreach(json_object_get(v, "failed"), i, key) {
-      if (json_is_string(key)) g_ptr_array_add(failed, g_strdup(json_string_value(key)));
-    }
-  }
-  json_decref(v);
+  json_t *body = json_pack("{sO sO}", FIELD_CONDITIONS, txn->conditions, FIELD_WRITES, txn->writes);
+  json_auto_t *answer = NULL;
+  fc_kv_result result = call_store(kv, "POST", COMMIT_PATH, body, deadline, &answer);
+  if (result == FC_KV_OK && !read_number(answer, FIELD_REVISION, revision)) result = FC_KV_UNKNOWN;
+  if (result == FC_KV_CONFLICT && failed)
+    (void)fc_json_decode_list(json_object_get(answer, FIELD_FAILED_KEYS), decode_key, failed);
   return result;
 }
 
-static bool read_row(const json_t *v, const char *key_field, fc_kv_change *out) {
+static fc_kv_change *decode_change(const json_t *element, const char *key_field) {
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  const char *key = fc_read_string(&reader, key_field, 200);
-  out->version = fc_read_count(&reader, "edition", 0, COUNT_MOST);
-  if (!fc_reader_ok(&reader)) return false;
-  out->key = g_strdup(key);
-  out->value = json_incref(json_object_get(v, "v"));
-  return true;
+  fc_reader_init(&reader, element);
+  const char *key = fc_read_string(&reader, key_field, KEY_LENGTH_MAX);
+  uint64_t version = fc_read_count(&reader, FIELD_VERSION, 0, FC_COUNT_MAX);
+  if (!fc_reader_ok(&reader)) return NULL;
+  fc_kv_change *change = g_new0(fc_kv_change, 1);
+  change->key = g_strdup(key);
+  change->value = json_incref(json_object_get(element, FIELD_VALUE));
+  change->version = version;
+  return change;
+}
+
+static void *decode_row(const json_t *element) {
+  return decode_change(element, FIELD_KEY);
+}
+
+static void *decode_event(const json_t *element) {
+  bool removed = json_object_get(element, FIELD_DELETE) != NULL;
+  fc_kv_change *change = decode_change(element, removed ? FIELD_DELETE : FIELD_PUT);
+  if (change && removed) {
+    json_decref(change->value);
+    change->value = NULL;
+  }
+  return change;
 }
 
 fc_kv_result fc_kv_get(fc_kv *kv, const char *key, double deadline, json_t **value) {
-  char *path = g_strconcat("/keys/", key, NULL);
-  json_t *v = NULL;
-  fc_kv_result result = call(kv, "GET", path, NULL, deadline, &v);
-  g_free(path);
-  fc_kv_change row = {0};
-  if (result == FC_KV_OK && (!read_row(v, "key", &row) || strcmp(row.key, key) != 0 || !row.value))
-    result = FC_KV_UNKNOWN;
-  *value = result == FC_KV_OK ? json_incref(row.value) : NULL;
-  g_free(row.key);
-  json_decref(row.value);
-  json_decref(v);
-  return result;
+  g_autofree char *path = g_strconcat(KEYS_PATH "/", key, NULL);
+  json_auto_t *answer = NULL;
+  *value = NULL;
+  fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &answer);
+  if (result != FC_KV_OK) return result;
+  fc_kv_change *row = decode_row(answer);
+  if (row && strcmp(row->key, key) == 0) *value = json_incref(row->value);
+  fc_kv_change_free(row);
+  return *value ? FC_KV_OK : FC_KV_UNKNOWN;
 }
 
 fc_kv_result fc_kv_list(fc_kv *kv, const char *prefix, const char *after, unsigned limit, double deadline,
                         GPtrArray *out, bool *more, uint64_t *revision) {
-  GString *path = g_string_new("/keys?prefix=");
+  g_autoptr(GString) path = g_string_new(KEYS_PATH "?" QUERY_PREFIX);
   g_string_append(path, prefix);
-  if (after) g_string_append_printf(path, "&from=%s", after);
-  g_string_append_printf(path, "&page=%u", limit);
-  json_t *v = NULL;
-  fc_kv_result result = call(kv, "GET", path->str, NULL, deadline, &v);
-  g_string_free(path, TRUE);
-  if (result != FC_KV_OK) goto out;
-  if (!read_revision(v, revision) || !json_is_array(json_object_get(v, "rows"))) {
-    result = FC_KV_REFUSED;
-    goto out;
-  }
-  *more = json_is_true(json_object_get(v, "more"));
-  size_t i;
-  json_t *row;
-  json_array_foreach(json_object_get(v, "rows"), i, row) {
-    fc_kv_change *change = g_new0(fc_kv_change, 1);
-    if (read_row(row, "key", change)) {
-      g_ptr_array_add(out, change);
-    } else {
-      fc_kv_change_free(change);
-      result = FC_KV_REFUSED;
-    }
-  }
-out:
-  json_decref(v);
-  return result;
+  if (after) g_string_append_printf(path, "&" QUERY_FROM "%s", after);
+  g_string_append_printf(path, "&" QUERY_PAGE "%u", limit);
+  json_auto_t *answer = NULL;
+  fc_kv_result result = call_store(kv, "GET", path->str, NULL, deadline, &answer);
+  if (result != FC_KV_OK) return result;
+  const json_t *rows = json_object_get(answer, FIELD_ROWS);
+  if (!read_number(answer, FIELD_REVISION, revision) || !json_is_array(rows)) return FC_KV_REFUSED;
+  *more = json_is_true(json_object_get(answer, FIELD_MORE));
+  return fc_json_decode_list(rows, decode_row, out) == 0 ? FC_KV_OK : FC_KV_REFUSED;
 }
 
-static gint by_version(gconstpointer a, gconstpointer b) {
-  const fc_kv_change *x = *(const fc_kv_change *const *)a, *y = *(const fc_kv_change *const *)b;
-  return x->version < y->version ? -1 : x->version > y->version;
+static gint by_version(gconstpointer left, gconstpointer right) {
+  uint64_t left_version = (*(const fc_kv_change *const *)left)->version;
+  uint64_t right_version = (*(const fc_kv_change *const *)right)->version;
+  return left_version < right_version ? -1 : left_version > right_version;
 }
 
 fc_kv_result fc_kv_changes(fc_kv *kv, const char *prefix, uint64_t from, double wait_s, double deadline, GPtrArray *out,
                            uint64_t *revision) {
-  char *path = g_strdup_printf("/changes?prefix=%s&from=%" G_GUINT64_FORMAT "&holdMs=%d", prefix, (guint64)from,
-                               (int)(wait_s * 1000));
-  json_t *v = NULL;
-  fc_kv_result result = call(kv, "GET", path, NULL, deadline, &v);
-  g_free(path);
-  /* Changes come in one answer, however many there are: after a long stand-still they
-   * may be too many for it, now and at every try. Pages have a bound. */
+  g_autofree char *path =
+      g_strdup_printf(CHANGES_PATH "?" QUERY_PREFIX "%s&" QUERY_FROM "%" G_GUINT64_FORMAT "&" QUERY_WAIT_MS "%d",
+                      prefix, (guint64)from, (int)(wait_s * 1000));
+  json_auto_t *answer = NULL;
+  fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &answer);
+  /* All changes come in one answer: after a long interruption they may exceed its bound, at this
+   * try and at every later one. Pages of the list stay within it. */
   if (kv->too_large) {
     g_info("more changes than an answer may hold from=%" G_GUINT64_FORMAT, (guint64)from);
-    result = FC_KV_GONE;
-  }
-  if (result != FC_KV_OK) goto out;
-  if (!read_revision(v, revision) || !json_is_array(json_object_get(v, "events"))) {
-    result = FC_KV_REFUSED;
-    goto out;
+    return FC_KV_GONE;
   }
-  size_t i;
-  json_t *event;
-  json_array_foreach(json_object_get(v, "events"), i, event) {
-    fc_kv_change *change = g_new0(fc_kv_change, 1);
-    bool removed = json_object_get(event, "remove") != NULL;
-    if (!read_row(event, removed ? "remove" : "set", change)) {
-      fc_kv_change_free(change);
-      result = FC_KV_REFUSED;
-      goto out;
-    }
-    if (removed) {
-      json_decref(change->value);
-      change->value = NULL;
-    }
-    g_ptr_array_add(out, change);
-  }
-  /* The protocol gives no order; what is derived from records at the version
-   * of the term record needs the oldest first. */
+  if (result != FC_KV_OK) return result;
+  const json_t *events = json_object_get(answer, FIELD_EVENTS);
+  if (!read_number(answer, FIELD_REVISION, revision) || !json_is_array(events)) return FC_KV_REFUSED;
+  if (fc_json_decode_list(events, decode_event, out) > 0) return FC_KV_REFUSED;
+  /* The protocol states no order; records that are derived from others at the version of the term
+   * record need the oldest first. */
   g_ptr_array_sort(out, by_version);
-out:
-  json_decref(v);
-  return result;
+  return FC_KV_OK;
 }
 
 fc_kv_result fc_kv_lease_open(fc_kv *kv, double ttl_s, double deadline, uint64_t *lease) {
-  json_t *v = NULL;
-  fc_kv_result result = call(kv, "POST", "/holds", json_pack("{si}", "lifeMs", (int)(ttl_s * 1000)), deadline, &v);
-  if (result == FC_KV_OK) {
-    fc_reader reader;
-    fc_reader_init(&reader, v);
-    *lease = fc_read_count(&reader, "pass", 0, COUNT_MOST);
-    if (!fc_reader_ok(&reader)) result = FC_KV_REFUSED;
-  }
-  json_decref(v);
-  return result;
-}
-
-static fc_kv_result lease_call(fc_kv *kv, const char *method, const char *suffix, uint64_t lease, double deadline) {
-  char *path = g_strdup_printf("/holds/%" G_GUINT64_FORMAT "%s", (guint64)lease, suffix);
-  json_t *v = NULL;
-  fc_kv_result result = call(kv, method, path, NULL, deadline, &v);
-  json_decref(v);
-  g_free(path);
+  json_auto_t *answer = NULL;
+  json_t *body = json_pack("{si}", FIELD_LEASE_TTL_MS, (int)(ttl_s * 1000));
+  fc_kv_result result = call_store(kv, "POST", LEASES_PATH, body, deadline, &answer);
+  if (result == FC_KV_OK && !read_number(answer, FIELD_LEASE, lease)) return FC_KV_REFUSED;
   return result;
 }
 
 fc_kv_result fc_kv_lease_renew(fc_kv *kv, uint64_t lease, double deadline) {
-  return lease_call(kv, "POST", "/extend", lease, deadline);
+  g_autofree char *path = g_strdup_printf(LEASES_PATH "/%" G_GUINT64_FORMAT RENEW_SUFFIX, (guint64)lease);
+  json_auto_t *answer = NULL;
+  return call_store(kv, "POST", path, NULL, deadline, &answer);
 }
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -1,4 +1,5 @@
-/* The state service's calls, typed. Every call waits in its routine. */
+/* The client of the consensus-backed key-value store: compare-and-swap transactions, reads, the
+ * change feed and leases. Times are in seconds; deadlines are times of the monotonic clock. */
 #ifndef FC_PROTOCOL_KV_STORE_H
 #define FC_PROTOCOL_KV_STORE_H
 
@@ -15,43 +16,54 @@
   FC_KV_OK,
   FC_KV_CONFLICT, /* a condition failed: nothing was changed */
   FC_KV_GONE,     /* no such key or lease, or the history is too old */
-  FC_KV_BUSY,     /* 429: not executed */
-  FC_KV_DOWN,     /* 503 or no connection: not executed */
+  FC_KV_BUSY,     /* rate limited: not executed */
+  FC_KV_DOWN,     /* unavailable or no connection: not executed */
   FC_KV_UNKNOWN,  /* no answer: executed, not executed, or executed later */
-  FC_KV_REFUSED,  /* malformed, or an answer that makes no sense */
+  FC_KV_REFUSED,  /* malformed request or answer */
 } fc_kv_result;
 
-/* value NULL: the key was removed. Freed with fc_kv_change_free. */
+/* A key as it is now, or as it was changed. */
 typedef struct fc_kv_change {
   char *key;
-  json_t *value;
+  json_t *value; /* NULL: the key was removed */
   uint64_t version;
 } fc_kv_change;
 void fc_kv_change_free(gpointer change);
 
+/* A transaction: its writes are executed all together if every condition holds. */
 typedef struct fc_txn fc_txn;
 fc_txn *fc_txn_new(void);
 void fc_txn_free(fc_txn *txn);
-void fc_txn_compare(fc_txn *txn, const char *key, uint64_t version); /* 0: does not exist */
-void fc_txn_put(fc_txn *txn, const char *key, json_t *value);        /* takes the reference */
+/* Condition: the key has this version; 0: it does not exist. */
+void fc_txn_compare(fc_txn *txn, const char *key, uint64_t version);
+/* Writes; they take the reference to `value`. A leased key is removed when its lease expires. */
+void fc_txn_put(fc_txn *txn, const char *key, json_t *value);
 void fc_txn_put_leased(fc_txn *txn, const char *key, json_t *value, uint64_t lease);
 void fc_txn_delete(fc_txn *txn, const char *key);
+/* The number of writes. */
 size_t fc_txn_writes(const fc_txn *txn);
 
 fc_kv *fc_kv_new(const fc_endpoint *at);
 void fc_kv_free(fc_kv *kv);
-/* On OK *revision is the revision of the change; on CONFLICT `failed` (may be
- * NULL) receives the keys whose conditions failed, owned by the array. */
+
+/* Each of the calls below may suspend the calling routine. Results are set on FC_KV_OK alone,
+ * except that lists may hold elements after an error too. */
+
+/* *revision is that of the change. On FC_KV_CONFLICT `failed` (may be NULL) receives copies of the
+ * keys whose conditions failed. */
 fc_kv_result fc_kv_commit(fc_kv *kv, const fc_txn *txn, double deadline, uint64_t *revision, GPtrArray *failed);
-/* One key's value, the reference the caller's; GONE: there is none. */
+/* One key's value, the reference the caller's; FC_KV_GONE: there is none. */
 fc_kv_result fc_kv_get(fc_kv *kv, const char *key, double deadline, json_t **value);
-/* One page in key order, after `after` (NULL: from the start). */
+/* One page of at most `limit` keys in key order, after `after` (NULL: from the start). `out`
+ * receives fc_kv_change. */
 fc_kv_result fc_kv_list(fc_kv *kv, const char *prefix, const char *after, unsigned limit, double deadline,
                         GPtrArray *out, bool *more, uint64_t *revision);
-/* All changes after `from`, oldest first. Waits up to wait_s for the first. */
+/* All changes after the revision `from`, oldest first; waits up to `wait_s` for the first. `out`
+ * receives fc_kv_change. FC_KV_GONE: read the pages of fc_kv_list() instead. */
 fc_kv_result fc_kv_changes(fc_kv *kv, const char *prefix, uint64_t from, double wait_s, double deadline, GPtrArray *out,
                            uint64_t *revision);
 fc_kv_result fc_kv_lease_open(fc_kv *kv, double ttl_s, double deadline, uint64_t *lease);
+/* FC_KV_GONE: the lease has expired. */
 fc_kv_result fc_kv_lease_renew(fc_kv *kv, uint64_t lease, double deadline);
 
 #endif
--- a/src/protocol/operator_settings.cc
+++ b/src/protocol/operator_settings.cc
@@ -1,8 +1,9 @@
-// The only C++ of the project: toml++ behind a C call.
+// Reads the operators' settings file. The only C++ of the project: toml++ behind a C function.
 #define TOML_EXCEPTIONS 0
 #include <toml++/toml.h>
 
 #include <cstdio>
+#include <string>
 
 extern "C" {
 #include "protocol/settings.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-struct entry {
+struct number_entry {
   const char *table;
   const char *key;
   double least, most;
@@ -18,61 +19,82 @@
   void (*set)(fc_operator_settings *, double);
 };
 
-const entry k_numbers[] = {
-    {"scheduler", "round_s", 0.1, 60, false, [](fc_operator_settings *o, double v) { o->round_s = v; }},
-    {"scheduler", "handover_wait_s", 0, 3600, false, [](fc_operator_settings *o, double v) { o->handover_wait_s = v; }},
+const number_entry k_numbers[] = {
+    {"scheduler", "round_s", 0.1, 60, false, [](fc_operator_settings *out, double value) { out->round_s = value; }},
+    {"scheduler", "handover_wait_s", 0, 3600, false,
+     [](fc_operator_settings *out, double value) { out->handover_wait_s = value; }},
     {"scheduler", "split_limit", 1, 1000, true,
-     [](fc_operator_settings *o, double v) { o->split_limit = static_cast<unsigned>(v); }},
-    {"jobs", "over_keep_s", 60, 1e9, false, [](fc_operator_settings *o, double v) { o->over_keep_s = v; }},
+     [](fc_operator_settings *out, double value) { out->split_limit = static_cast<unsigned>(value); }},
+    {"jobs", "over_keep_s", 60, 1e9, false, [](fc_operator_settings *out, double value) { out->over_keep_s = value; }},
     {"membership", "lease_share", 0.2, 0.9, false,
-     [](fc_operator_settings *o, double v) { o->member_lease_share = v; }},
-    {"machines", "warm_deviations", 0, 10, false, [](fc_operator_settings *o, double v) { o->warm_deviations = v; }},
-    {"machines", "idle_keep_share", 0, 100, false, [](fc_operator_settings *o, double v) { o->idle_keep_share = v; }},
+     [](fc_operator_settings *out, double value) { out->member_lease_share = value; }},
+    {"machines", "warm_deviations", 0, 10, false,
+     [](fc_operator_settings *out, double value) { out->warm_deviations = value; }},
+    {"machines", "idle_keep_share", 0, 100, false,
+     [](fc_operator_settings *out, double value) { out->idle_keep_share = value; }},
 };
 
-bool set_entry(const char *table, const toml::key &key, const toml::node &node, fc_operator_settings *out, char *error,
-               size_t size) {
-  std::string name(key.str());
-  if (std::string(table) == "machines" && name == "rent") {
-    if (!node.is_boolean()) {
-      std::snprintf(error, size, "machines.rent: not true or false");
-      return false;
-    }
-    out->rent = *node.value<bool>();
-    return true;
+// Where the line about the first fault is written.
+struct fault_line {
+  char *text;
+  size_t size;
+};
+
+bool read_rent(const toml::node &node, fc_operator_settings *out, const fault_line &fault) {
+  if (!node.is_boolean()) {
+    std::snprintf(fault.text, fault.size, "machines.rent: not true or false");
+    return false;
   }
-  for (const entry &e : k_numbers) {
-    if (std::string(table) != e.table || name != e.key) continue;
-    auto v = node.value<double>();
-    bool typed = e.whole ? node.is_integer() : node.is_number();
-    if (!typed || !v || !(*v >= e.least && *v <= e.most)) {
-      std::snprintf(error, size, "%s.%s: not a number from %g to %g", table, e.key, e.least, e.most);
-      return false;
-    }
-    e.set(out, *v);
-    return true;
+  out->rent = *node.value<bool>();
+  return true;
+}
+
+bool read_number(const number_entry &entry, const toml::node &node, fc_operator_settings *out,
+                 const fault_line &fault) {
+  auto value = node.value<double>();
+  bool typed = entry.whole ? node.is_integer() : node.is_number();
+  if (!typed || !value || !(*value >= entry.least && *value <= entry.most)) {
+    std::snprintf(fault.text, fault.size, "%s.%s: not a number from %g to %g", entry.table, entry.key, entry.least,
+                  entry.most);
+    return false;
   }
-  std::snprintf(error, size, "%s.%s: unknown key", table, name.c_str());
+  entry.set(out, *value);
+  return true;
+}
+
+bool read_entry(const std::string &table, const std::string &key, const toml::node &node, fc_operator_settings *out,
+                const fault_line &fault) {
+  if (table == "machines" && key == "rent") return read_rent(node, out, fault);
+  for (const number_entry &entry : k_numbers)
+    if (table == entry.table && key == entry.key) return read_number(entry, node, out, fault);
+  std::snprintf(fault.text, fault.size, "%s.%s: unknown key", table.c_str(), key.c_str());
+  return false;
+}
+
+bool is_known_table(const std::string &name) {
+  for (const number_entry &entry : k_numbers)
+    if (name == entry.table) return true;
   return false;
 }
 
 }  // namespace
 
-extern "C" bool fc_operator_load(const char *path, fc_operator_settings *out, char *error, size_t size) {
+extern "C" bool fc_operator_load(const char *path, fc_operator_settings *out, char *error, size_t error_size) {
+  const fault_line fault = {error, error_size};
   toml::parse_result parsed = toml::parse_file(path);
   if (!parsed) {
-    std::snprintf(error, size, "%s: %s", path, std::string(parsed.error().description()).c_str());
+    std::snprintf(error, error_size, "%s: %s", path, std::string(parsed.error().description()).c_str());
     return false;
   }
-  for (auto &&[key, node] : parsed.table()) {
-    std::string table(key.str());
-    const toml::table *t = node.as_table();
-    if (!t || (table != "scheduler" && table != "jobs" && table != "membership" && table != "machines")) {
-      std::snprintf(error, size, "%s: unknown key", table.c_str());
+  for (auto &&[table_key, table_node] : parsed.table()) {
+    std::string name(table_key.str());
+    const toml::table *table = table_node.as_table();
+    if (!table || !is_known_table(name)) {
+      std::snprintf(error, error_size, "%s: unknown key", name.c_str());
       return false;
     }
-    for (auto &&[k, n] : *t)
-      if (!set_entry(table.c_str(), k, n, out, error, size)) return false;
+    for (auto &&[key, node] : *table)
+      if (!read_entry(name, std::string(key.str()), node, out, fault)) return false;
   }
   return true;
 }
--- a/src/protocol/peer_frame.h
+++ b/src/protocol/peer_frame.h
@@ -19,7 +19,7 @@
 /* A view is sent in pieces of about this size, each of whole machines. */
 #define FC_PIECE_BYTES ((size_t)64 * 1024)
 /* As many tasks as a heartbeat may name. */
-#define FC_FRAME_TASKS_MAX 4096u
+#define FC_FRAME_TASKS_MAX FC_HEARTBEAT_TASKS_MAX
 /* Cancellations in one frame; older ones are learned from the key-value store. */
 #define FC_FRAME_CANCELLATIONS_MAX 1024u
 
--- a/src/protocol/records.c
+++ b/src/protocol/records.c
@@ -2,61 +2,87 @@
 
 #include <string.h>
 
+#include "protocol/cloud_api.h"
 #include "protocol/job_record.h"
 #include "protocol/json.h"
 
-#define FORMAT 1
-#define COUNT_MOST ((uint64_t)INT64_MAX)
-#define AMOUNT_MOST 1e9
+#define RECORD_FORMAT 1
 
-static void copy_string(fc_reader *reader, const char *field, char *out, size_t size) {
-  const char *text = fc_read_string(reader, field, size - 1);
-  if (text) g_strlcpy(out, text, size);
-}
+/* The words of the records. */
+#define FIELD_FORMAT "f"
+#define FIELD_JOB_FORMAT "jobFormat"
+
+#define FIELD_TERM "term"
+#define FIELD_SEED "seed"
+#define FIELD_NAMES_SINCE "since"
+#define FIELD_MEMBERS "members"
+#define FIELD_NAME "name"
+#define FIELD_INCARNATION "boot"
+
+#define FIELD_TYPE "type"
+#define FIELD_ZONE "zone"
+#define FIELD_OWNER "owner"
+#define FIELD_ENDPOINT "at"
+#define FIELD_SPOT "spot"
+#define FIELD_COUNT "count"
+
+#define FIELD_DONE "done"
+#define FIELD_TASKS "tasks"
 
-static void start(fc_reader *reader, const json_t *v) {
-  fc_reader_init(reader, v);
-  (void)fc_read_count(reader, "f", FORMAT, FORMAT);
+#define FIELD_CARRIED "carried"
+#define FIELD_SHARES "shares"
+
+static void reader_init(fc_reader *reader, const json_t *value) {
+  fc_reader_init(reader, value);
+  (void)fc_read_count(reader, FIELD_FORMAT, RECORD_FORMAT, RECORD_FORMAT);
 }
 
 json_t *fc_mark_encode(void) {
-  return json_pack("{si}", "f", FORMAT);
+  return json_pack("{si}", FIELD_FORMAT, RECORD_FORMAT);
 }
 
+/* ---- members and terms ---- */
+
 json_t *fc_member_key_encode(void) {
-  return json_pack("{si si}", "f", FORMAT, "jobFormat", FC_JOB_FORMAT_AWAITING);
+  return json_pack("{si si}", FIELD_FORMAT, RECORD_FORMAT, FIELD_JOB_FORMAT, FC_JOB_FORMAT_AWAITING);
 }
 
-unsigned fc_member_key_format(const json_t *v) {
+unsigned fc_member_key_format(const json_t *value) {
   fc_reader reader;
-  start(&reader, v);
-  return (unsigned)fc_read_count_or(&reader, "jobFormat", 1, UINT32_MAX, FC_JOB_FORMAT_PLAIN);
+  reader_init(&reader, value);
+  return (unsigned)fc_read_count_or(&reader, FIELD_JOB_FORMAT, 1, UINT32_MAX, FC_JOB_FORMAT_PLAIN);
+}
+
+static json_t *encode_member(const fc_member *member) {
+  return json_pack("{ss sI}", FIELD_NAME, member->name, FIELD_INCARNATION, (json_int_t)member->incarnation);
+}
+
+static bool decode_member(const json_t *value, fc_member *out) {
+  fc_reader reader;
+  fc_reader_init(&reader, value);
+  fc_read_string_into(&reader, FIELD_NAME, out->name, sizeof out->name);
+  out->incarnation = fc_read_count(&reader, FIELD_INCARNATION, 0, FC_COUNT_MAX);
+  return fc_reader_ok(&reader);
 }
 
 json_t *fc_term_encode(const fc_term *term) {
   json_t *members = json_array();
-  for (size_t i = 0; i < term->count; i++)
-    json_array_append_new(
-        members, json_pack("{ss sI}", "name", term->members[i].name, "boot", (json_int_t)term->members[i].incarnation));
-  return json_pack("{si sI sI sI so}", "f", FORMAT, "term", (json_int_t)term->number, "seed", (json_int_t)term->seed,
-                   "since", (json_int_t)term->names_since, "members", members);
+  for (size_t i = 0; i < term->count; i++) json_array_append_new(members, encode_member(&term->members[i]));
+  return json_pack("{si sI sI sI so}", FIELD_FORMAT, RECORD_FORMAT, FIELD_TERM, (json_int_t)term->number, FIELD_SEED,
+                   (json_int_t)term->seed, FIELD_NAMES_SINCE, (json_int_t)term->names_since, FIELD_MEMBERS, members);
 }
 
-bool fc_term_decode(const json_t *v, fc_term *out) {
+bool fc_term_decode(const json_t *value, fc_term *out) {
   memset(out, 0, sizeof *out);
-  fc_reader r;
-  start(&r, v);
-  out->number = fc_read_count(&r, "term", 1, COUNT_MOST);
-  out->seed = fc_read_count(&r, "seed", 0, COUNT_MOST);
-  out->names_since = fc_read_count_or(&r, "since", 0, COUNT_MOST, out->number);
-  const json_t *members = fc_read_array(&r, "members");
-  if (!fc_reader_ok(&r) || json_array_size(members) > FC_MEMBERS_MAX) return false;
+  fc_reader reader;
+  reader_init(&reader, value);
+  out->number = fc_read_count(&reader, FIELD_TERM, 1, FC_COUNT_MAX);
+  out->seed = fc_read_count(&reader, FIELD_SEED, 0, FC_COUNT_MAX);
+  out->names_since = fc_read_count_or(&reader, FIELD_NAMES_SINCE, 0, FC_COUNT_MAX, out->number);
+  const json_t *members = fc_read_array(&reader, FIELD_MEMBERS);
+  if (!fc_reader_ok(&reader) || json_array_size(members) > FC_MEMBERS_MAX) return false;
   for (size_t i = 0; i < json_array_size(members); i++) {
-    fc_reader reader;
-    fc_reader_init(&reader, json_array_get(members, i));
-    copy_string(&reader, "name", out->members[i].name, sizeof out->members[i].name);
-    out->members[i].incarnation = fc_read_count(&reader, "boot", 0, COUNT_MOST);
-    if (!fc_reader_ok(&reader)) return false;
+    if (!decode_member(json_array_get(members, i), &out->members[i])) return false;
     out->count++;
   }
   return true;
@@ -68,90 +94,115 @@
   return -1;
 }
 
+/* ---- machines and rentals ---- */
+
+/* What records of machines and of rentals share. */
+static void read_kind_of_machine(fc_reader *reader, char type[FC_NAME_SIZE], char zone[FC_NAME_SIZE],
+                                 char owner[FC_NAME_SIZE], bool *spot) {
+  fc_read_string_into(reader, FIELD_TYPE, type, FC_NAME_SIZE);
+  fc_read_string_into(reader, FIELD_ZONE, zone, FC_NAME_SIZE);
+  fc_read_string_into(reader, FIELD_OWNER, owner, FC_NAME_SIZE);
+  *spot = fc_read_bool(reader, FIELD_SPOT);
+}
+
 json_t *fc_machine_record_encode(const fc_machine_record *record) {
-  return json_pack("{si ss ss ss ss* sb}", "f", FORMAT, "type", record->type, "zone", record->zone, "owner",
-                   record->owner, "at", record->endpoint[0] ? record->endpoint : NULL, "spot", (int)record->spot);
+  const char *endpoint = record->endpoint[0] ? record->endpoint : NULL;
+  return json_pack("{si ss ss ss ss* sb}", FIELD_FORMAT, RECORD_FORMAT, FIELD_TYPE, record->type, FIELD_ZONE,
+                   record->zone, FIELD_OWNER, record->owner, FIELD_ENDPOINT, endpoint, FIELD_SPOT, (int)record->spot);
 }
 
-bool fc_machine_record_decode(const json_t *v, fc_machine_record *out) {
+bool fc_machine_record_decode(const json_t *value, fc_machine_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  start(&reader, v);
-  copy_string(&reader, "type", out->type, sizeof out->type);
-  copy_string(&reader, "zone", out->zone, sizeof out->zone);
-  copy_string(&reader, "owner", out->owner, sizeof out->owner);
-  const char *at = fc_read_string_or_null(&reader, "at", sizeof out->endpoint - 1);
-  if (at) g_strlcpy(out->endpoint, at, sizeof out->endpoint);
-  out->spot = fc_read_bool(&reader, "spot");
+  reader_init(&reader, value);
+  read_kind_of_machine(&reader, out->type, out->zone, out->owner, &out->spot);
+  const char *endpoint = fc_read_string_or_null(&reader, FIELD_ENDPOINT, sizeof out->endpoint - 1);
+  if (endpoint) g_strlcpy(out->endpoint, endpoint, sizeof out->endpoint);
   return fc_reader_ok(&reader);
 }
 
 json_t *fc_rental_record_encode(const fc_rental_record *rental) {
-  return json_pack("{si ss ss ss sb si}", "f", FORMAT, "type", rental->type, "zone", rental->zone, "owner",
-                   rental->owner, "spot", (int)rental->spot, "count", (int)rental->count);
+  return json_pack("{si ss ss ss sb si}", FIELD_FORMAT, RECORD_FORMAT, FIELD_TYPE, rental->type, FIELD_ZONE,
+                   rental->zone, FIELD_OWNER, rental->owner, FIELD_SPOT, (int)rental->spot, FIELD_COUNT,
+                   (int)rental->count);
 }
 
-bool fc_rental_record_decode(const json_t *v, fc_rental_record *out) {
+bool fc_rental_record_decode(const json_t *value, fc_rental_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  start(&reader, v);
-  copy_string(&reader, "type", out->type, sizeof out->type);
-  copy_string(&reader, "zone", out->zone, sizeof out->zone);
-  copy_string(&reader, "owner", out->owner, sizeof out->owner);
-  out->spot = fc_read_bool(&reader, "spot");
-  out->count = (unsigned)fc_read_count(&reader, "count", 1, 50);
+  reader_init(&reader, value);
+  read_kind_of_machine(&reader, out->type, out->zone, out->owner, &out->spot);
+  out->count = (unsigned)fc_read_count(&reader, FIELD_COUNT, 1, FC_RENTAL_MAX);
   return fc_reader_ok(&reader);
 }
 
+/* ---- archived jobs ---- */
+
 json_t *fc_archived_job_encode(const fc_archived_job *archived) {
-  return json_pack("{si sb si}", "f", FORMAT, "done", (int)archived->done, "tasks", (int)archived->tasks_done);
+  return json_pack("{si sb si}", FIELD_FORMAT, RECORD_FORMAT, FIELD_DONE, (int)archived->done, FIELD_TASKS,
+                   (int)archived->tasks_done);
 }
 
-bool fc_archived_job_decode(const json_t *v, fc_archived_job *out) {
+bool fc_archived_job_decode(const json_t *value, fc_archived_job *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  start(&reader, v);
-  out->done = fc_read_bool(&reader, "done");
-  out->tasks_done = (uint32_t)fc_read_count(&reader, "tasks", 0, FC_TASKS_MAX);
+  reader_init(&reader, value);
+  out->done = fc_read_bool(&reader, FIELD_DONE);
+  out->tasks_done = (uint32_t)fc_read_count(&reader, FIELD_TASKS, 0, FC_TASKS_MAX);
   return fc_reader_ok(&reader);
 }
 
-json_t *fc_quota_record_encode(const fc_quota_record *quota, const fc_settings *settings) {
+/* ---- quota shares ---- */
+
+/* {"team":[cpus,gpus]} of one member. */
+static json_t *encode_shares(const fc_quota_record *quota, size_t member, const fc_settings *settings) {
   json_t *shares = json_object();
-  for (size_t m = 0; m < quota->member_count; m++) {
-    json_t *teams = json_object();
-    for (size_t t = 0; t < settings->team_count; t++) {
-      if (settings->teams[t].cpus_max <= 0 && settings->teams[t].gpus_max <= 0) continue;
-      json_object_set_new(teams, settings->teams[t].name, json_pack("[ff]", quota->cpus[m][t], quota->gpus[m][t]));
-    }
-    json_object_set_new(shares, quota->members[m], teams);
+  for (size_t team = 0; team < settings->team_count; team++) {
+    const fc_team_settings *limits = &settings->teams[team];
+    if (limits->cpus_max <= 0 && limits->gpus_max <= 0) continue;
+    json_t *pair = json_pack("[ff]", quota->cpus[member][team], quota->gpus[member][team]);
+    json_object_set_new(shares, limits->name, pair);
   }
-  return json_pack("{si sI sb so}", "f", FORMAT, "term", (json_int_t)quota->term, "carried", (int)quota->carried,
-                   "shares", shares);
+  return shares;
+}
+
+static bool decode_shares(const json_t *value, size_t member, const fc_settings *settings, fc_quota_record *out) {
+  for (size_t team = 0; team < settings->team_count; team++) {
+    const json_t *pair = json_object_get(value, settings->teams[team].name);
+    if (!pair) continue;
+    if (json_array_size(pair) != 2) return false;
+    double cpus = json_number_value(json_array_get(pair, 0));
+    double gpus = json_number_value(json_array_get(pair, 1));
+    if (!(cpus >= 0 && gpus >= 0)) return false;
+    out->cpus[member][team] = cpus;
+    out->gpus[member][team] = gpus;
+  }
+  return true;
+}
+
+json_t *fc_quota_record_encode(const fc_quota_record *quota, const fc_settings *settings) {
+  json_t *shares = json_object();
+  for (size_t member = 0; member < quota->member_count; member++)
+    json_object_set_new(shares, quota->members[member], encode_shares(quota, member, settings));
+  return json_pack("{si sI sb so}", FIELD_FORMAT, RECORD_FORMAT, FIELD_TERM, (json_int_t)quota->term, FIELD_CARRIED,
+                   (int)quota->carried, FIELD_SHARES, shares);
 }
 
-bool fc_quota_record_decode(const json_t *v, const fc_settings *settings, fc_quota_record *out) {
+bool fc_quota_record_decode(const json_t *value, const fc_settings *settings, fc_quota_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  start(&reader, v);
-  out->term = fc_read_count(&reader, "term", 1, COUNT_MOST);
-  out->carried = fc_read_bool_or(&reader, "carried", false);
-  const json_t *shares = fc_read_object(&reader, "shares");
+  reader_init(&reader, value);
+  out->term = fc_read_count(&reader, FIELD_TERM, 1, FC_COUNT_MAX);
+  out->carried = fc_read_bool_or(&reader, FIELD_CARRIED, false);
+  const json_t *shares = fc_read_object(&reader, FIELD_SHARES);
   if (!fc_reader_ok(&reader)) return false;
   const char *name;
   json_t *teams;
   json_object_foreach((json_t *)shares, name, teams) {
     if (out->member_count == FC_MEMBERS_MAX || strlen(name) >= sizeof out->members[0]) return false;
-    size_t m = out->member_count++;
-    g_strlcpy(out->members[m], name, sizeof out->members[m]);
-    for (size_t t = 0; t < settings->team_count; t++) {
-      const json_t *pair = json_object_get(teams, settings->teams[t].name);
-      if (!pair) continue;
-      if (json_array_size(pair) != 2) return false;
-      out->cpus[m][t] = json_number_value(json_array_get(pair, 0));
-      out->gpus[m][t] = json_number_value(json_array_get(pair, 1));
-      if (!(out->cpus[m][t] >= 0 && out->gpus[m][t] >= 0)) return false;
-    }
+    size_t member = out->member_count++;
+    g_strlcpy(out->members[member], name, sizeof out->members[member]);
+    if (!decode_shares(teams, member, settings, out)) return false;
   }
   return true;
 }
--- a/src/protocol/routes.h
+++ b/src/protocol/routes.h
@@ -1,4 +1,4 @@
-/* Which call of the users', workers' and health interface a request is. */
+/* Maps HTTP requests to the calls of the users', workers' and health interface. */
 #ifndef FC_PROTOCOL_ROUTES_H
 #define FC_PROTOCOL_ROUTES_H
 
@@ -13,10 +13,11 @@
   FC_ROUTE_METRICS,
 } fc_route;
 
+/* Of the buffer for an id in a path, with the closing NUL. A longer one is FC_ROUTE_NONE. */
 #define FC_ROUTE_ID_MAX 256
 
-/* `id` receives the job's id of POLL and CANCEL as it stands in the path;
- * `allow` the right method with WRONG_METHOD. */
+/* `id` receives the job's id of a poll or cancel as it stands in the path, unchecked; *allow the
+ * method to use, a constant, with FC_ROUTE_WRONG_METHOD, else NULL. */
 fc_route fc_route_of(const char *method, const char *path, char id[FC_ROUTE_ID_MAX], const char **allow);
 
 #endif
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -1,210 +1,239 @@
 #include "protocol/settings.h"
 
-#include <errno.h>
 #include <glib.h>
-#include <stdio.h>
+#include <stdarg.h>
 #include <string.h>
 
 #include "protocol/json.h"
 
 /* Libraries, stacks and an empty table; with less the process would be killed as it starts. */
-#define MEMORY_LEAST_MB 6
-/* Links to the peers, the own lease and reads of changes alone take half of this. */
-#define CPU_LEAST 0.002
-/* With less a warning is given: measured needs of some hundred machines, twice. */
+#define MEMORY_MIN_MB 6
+/* Links to the peers, the member's lease and reads of changes alone take half of this. */
+#define CPU_MIN 0.002
+/* Below these a warning is given: twice the measured needs with some hundred machines. */
 #define MEMORY_ROOMY_MB 20
 #define CPU_ROOMY 0.015
 #define FD_ROOMY 256
-/* Returns of machines and archived jobs change two keys at once. */
-#define TXN_OPS_LEAST 2
-#define NAME_MAX_BYTES 64u
+/* Releases of machines and archived jobs change two keys in one transaction. */
+#define TXN_OPS_MIN 2
+/* The peers' listener may take eight connections for each peer, and calls to peers an eighth of
+ * all descriptors. */
+#define FD_PER_CONTROLLER 16
+/* One lost answer costs a worker several heartbeat intervals. */
+#define HEARTBEATS_PER_LEASE_MIN 3
+#define NAME_LENGTH_MAX 64u
+#define TEXT_LENGTH_MAX 256u
+#define ENDPOINT_LENGTH_MAX 32u
 #define AMOUNT_MAX 1e9
+#define BYTES_PER_KB 1024
 
-static void copy_error(fc_reader *reader, const char *prefix, char *error, size_t size) {
-  g_snprintf(error, size, "%s%s", prefix, reader->error);
+/* Words that several objects of the file have. */
+#define FIELD_HOST_NAME "host_name"
+#define FIELD_DOMAIN "domain"
+#define FIELD_MEMBERS "members"
+#define FIELD_ZONES "zones"
+#define FIELD_TEAMS "teams"
+#define FIELD_STATE "state"
+
+/* Where the line about the first fault is written. */
+typedef struct fault_line {
+  char *text;
+  size_t size;
+} fault_line;
+
+/* Writes the line; returns false. */
+G_GNUC_PRINTF(2, 3)
+static bool refuse(const fault_line *fault, const char *format, ...) {
+  va_list arguments;
+  va_start(arguments, format);
+  g_vsnprintf(fault->text, fault->size, format, arguments);
+  va_end(arguments);
+  return false;
+}
+
+/* Whether the reader is without error; else writes it, with the path of the reader's object. */
+static bool accept(const fault_line *fault, const char *path, const fc_reader *reader) {
+  if (fc_reader_ok(reader)) return true;
+  char description[FC_READER_DESCRIPTION_SIZE];
+  fc_reader_describe(reader, description, sizeof description);
+  return refuse(fault, "%s%s", path, description);
 }
 
-static bool read_endpoint(fc_reader *reader, const char *field, fc_endpoint *out) {
-  const char *text = fc_read_string(reader, field, 32);
-  if (text && !fc_endpoint_parse(text, out)) fc_reader_fail(reader, field, "not an address like 10.0.0.1:8080");
-  return fc_reader_ok(reader);
+/* The same for an element of an array. */
+static bool accept_element(const fault_line *fault, const char *array, size_t index, const fc_reader *reader) {
+  g_autofree char *path = g_strdup_printf("%s[%zu].", array, index);
+  return accept(fault, path, reader);
 }
 
-static bool read_name(fc_reader *reader, const char *field, char **out) {
-  const char *text = fc_read_string(reader, field, NAME_MAX_BYTES);
-  /* Names become parts of keys in the state service, which hold no spaces. */
-  if (text && strpbrk(text, " /")) fc_reader_fail(reader, field, "holds a space or a slash");
+/* ---- names and addresses ---- */
+
+static void read_endpoint(fc_reader *reader, const char *field, fc_endpoint *out) {
+  const char *text = fc_read_string(reader, field, ENDPOINT_LENGTH_MAX);
+  if (text && !fc_endpoint_parse(text, out)) fc_reader_fail(reader, field, FC_FIELD_NOT_ENDPOINT);
+}
+
+static void read_name(fc_reader *reader, const char *field, char **out) {
+  const char *text = fc_read_string(reader, field, NAME_LENGTH_MAX);
+  /* Names become parts of keys in the key-value store, which hold no spaces. */
+  if (text && strpbrk(text, " /")) fc_reader_fail(reader, field, FC_FIELD_NAME_WITH_SEPARATOR);
   if (fc_reader_ok(reader)) *out = g_strdup(text);
-  return fc_reader_ok(reader);
 }
 
-static bool read_peers(fc_reader *top, fc_settings *settings, char *error, size_t size) {
-  const json_t *list = fc_read_array(top, "members");
-  if (!list) return false;
-  if (json_array_size(list) >= FC_MEMBERS_MAX) fc_reader_fail(top, "members", "too many");
-  if (!fc_reader_ok(top)) return false;
-  for (size_t i = 0; i < json_array_size(list); i++) {
-    fc_reader reader;
-    fc_reader_init(&reader, json_array_get(list, i));
-    fc_peer_settings *peer = &settings->peers[i];
-    if (!read_name(&reader, "host_name", &peer->name) || !read_name(&reader, "domain", &peer->zone) ||
-        !read_endpoint(&reader, "endpoint", &peer->peer_at)) {
-      g_snprintf(error, size, "members[%zu].%s", i, reader.error);
-      return false;
-    }
-    if (strcmp(peer->name, settings->name) == 0) {
-      g_snprintf(error, size, "members[%zu].host_name: same as our own", i);
-      return false;
-    }
+static bool read_own(fc_reader *root, fc_settings *settings, const fault_line *fault) {
+  read_name(root, FIELD_HOST_NAME, &settings->name);
+  read_name(root, FIELD_DOMAIN, &settings->zone);
+  read_endpoint(root, "client_listen", &settings->client_at);
+  read_endpoint(root, "peer_listen", &settings->peer_at);
+  return accept(fault, "", root);
+}
+
+static bool read_peer(const json_t *element, size_t index, fc_settings *settings, const fault_line *fault) {
+  fc_reader reader;
+  fc_reader_init(&reader, element);
+  fc_peer_settings *peer = &settings->peers[index];
+  read_name(&reader, FIELD_HOST_NAME, &peer->name);
+  read_name(&reader, FIELD_DOMAIN, &peer->zone);
+  read_endpoint(&reader, "endpoint", &peer->peer_at);
+  if (!accept_element(fault, FIELD_MEMBERS, index, &reader)) return false;
+  if (strcmp(peer->name, settings->name) == 0)
+    return refuse(fault, FIELD_MEMBERS "[%zu]." FIELD_HOST_NAME ": same as our own", index);
+  return true;
+}
+
+static bool read_peers(fc_reader *root, fc_settings *settings, const fault_line *fault) {
+  const json_t *list = fc_read_array(root, FIELD_MEMBERS);
+  size_t count = json_array_size(list);
+  if (count >= FC_MEMBERS_MAX) fc_reader_fail(root, FIELD_MEMBERS, FC_FIELD_TOO_MANY);
+  if (!accept(fault, "", root)) return false;
+  while (settings->peer_count < count) {
+    size_t index = settings->peer_count;
+    if (!read_peer(json_array_get(list, index), index, settings, fault)) return false;
     settings->peer_count++;
   }
   return true;
 }
 
-static bool read_teams(fc_reader *top, fc_settings *settings, char *error, size_t size) {
-  const json_t *list = fc_read_array(top, "teams");
-  if (!list) return false;
-  if (json_array_size(list) > FC_TEAMS_MAX) fc_reader_fail(top, "teams", "too many");
-  if (!fc_reader_ok(top)) return false;
-  for (size_t i = 0; i < json_array_size(list); i++) {
+static bool read_services(const json_t *outside, fc_settings *settings, const fault_line *fault) {
+  fc_reader reader;
+  fc_reader_init(&reader, outside);
+  read_endpoint(&reader, "cloud", &settings->cloud_at);
+  read_endpoint(&reader, FIELD_STATE, &settings->state_at);
+  return accept(fault, "outside.", &reader);
+}
+
+/* ---- zones, teams and objectives ---- */
+
+static bool read_zones(fc_reader *params, fc_settings *settings, const fault_line *fault) {
+  const json_t *list = fc_read_array(params, FIELD_ZONES);
+  size_t count = json_array_size(list);
+  if (count == 0 || count > FC_ZONES_MAX) fc_reader_fail(params, FIELD_ZONES, FC_FIELD_NONE_OR_TOO_MANY);
+  for (size_t i = 0; i < count && fc_reader_ok(params); i++) {
+    const char *name = json_string_value(json_array_get(list, i));
+    if (name && *name && strlen(name) <= NAME_LENGTH_MAX) {
+      settings->zones[settings->zone_count++] = g_strdup(name);
+    } else {
+      fc_reader_fail(params, FIELD_ZONES, FC_FIELD_ELEMENT_NOT_NAME);
+    }
+  }
+  return accept(fault, "settings.", params);
+}
+
+static bool read_teams(fc_reader *params, fc_settings *settings, const fault_line *fault) {
+  const json_t *list = fc_read_array(params, FIELD_TEAMS);
+  size_t count = json_array_size(list);
+  if (count > FC_TEAMS_MAX) fc_reader_fail(params, FIELD_TEAMS, FC_FIELD_TOO_MANY);
+  if (!accept(fault, "settings.", params)) return false;
+  for (size_t i = 0; i < count; i++) {
     fc_reader reader;
     fc_reader_init(&reader, json_array_get(list, i));
-    fc_team_settings *team_settings = &settings->teams[i];
-    team_settings->name = g_strdup(fc_read_string(&reader, "name", 256));
-    team_settings->cpus = fc_read_amount_or(&reader, "cpus", 0, AMOUNT_MAX, 0);
-    team_settings->gpus = fc_read_amount_or(&reader, "gpus", 0, AMOUNT_MAX, 0);
-    team_settings->cpus_max = fc_read_amount_or(&reader, "cpus_max", 0, AMOUNT_MAX, 0);
-    team_settings->gpus_max = fc_read_amount_or(&reader, "gpus_max", 0, AMOUNT_MAX, 0);
-    if (!fc_reader_ok(&reader)) {
-      g_snprintf(error, size, "settings.teams[%zu].%s", i, reader.error);
-      return false;
-    }
+    fc_team_settings *team = &settings->teams[i];
+    team->name = g_strdup(fc_read_string(&reader, "name", TEXT_LENGTH_MAX));
+    team->cpus = fc_read_amount_or(&reader, "cpus", 0, AMOUNT_MAX, 0);
+    team->gpus = fc_read_amount_or(&reader, "gpus", 0, AMOUNT_MAX, 0);
+    team->cpus_max = fc_read_amount_or(&reader, "cpus_max", 0, AMOUNT_MAX, 0);
+    team->gpus_max = fc_read_amount_or(&reader, "gpus_max", 0, AMOUNT_MAX, 0);
+    if (!accept_element(fault, "settings." FIELD_TEAMS, i, &reader)) return false;
     settings->team_count++;
   }
   return true;
 }
 
-static bool read_objectives(const json_t *params, fc_settings *settings, char *error, size_t size) {
+static bool read_objectives(const json_t *params, fc_settings *settings, const fault_line *fault) {
   const json_t *list = json_object_get(params, "objectives");
   if (!list || json_is_null(list)) return true;
-  if (!json_is_array(list) || json_array_size(list) > FC_OBJECTIVES_MAX) {
-    g_snprintf(error, size, "settings.objectives: not a short array");
-    return false;
-  }
+  if (!json_is_array(list) || json_array_size(list) > FC_OBJECTIVES_MAX)
+    return refuse(fault, "settings.objectives: not a short array");
   for (size_t i = 0; i < json_array_size(list); i++) {
     fc_reader reader;
     fc_reader_init(&reader, json_array_get(list, i));
-    fc_objective *o = &settings->objectives[i];
-    const char *kind = fc_read_string(&reader, "kind", NAME_MAX_BYTES);
-    const char *class_name = fc_read_string_or_null(&reader, "class", 256);
-    o->within_s = fc_read_amount_or(&reader, "within_s", 0, AMOUNT_MAX, 0);
-    o->share = fc_read_amount_or(&reader, "share", 0, 1, 0);
-    if (!fc_reader_ok(&reader)) {
-      g_snprintf(error, size, "settings.objectives[%zu].%s", i, reader.error);
-      return false;
-    }
-    o->kind = g_strdup(kind);
-    o->class_name = g_strdup(class_name);
+    fc_objective *objective = &settings->objectives[i];
+    const char *kind = fc_read_string(&reader, "kind", NAME_LENGTH_MAX);
+    const char *class_name = fc_read_string_or_null(&reader, "class", TEXT_LENGTH_MAX);
+    objective->within_s = fc_read_amount_or(&reader, "within_s", 0, AMOUNT_MAX, 0);
+    objective->share = fc_read_amount_or(&reader, "share", 0, 1, 0);
+    if (!accept_element(fault, "settings.objectives", i, &reader)) return false;
+    objective->kind = g_strdup(kind);
+    objective->class_name = g_strdup(class_name);
     settings->objective_count++;
   }
   return true;
 }
 
-static bool read_zones(fc_reader *top, fc_settings *settings) {
-  const json_t *list = fc_read_array(top, "zones");
-  if (!list) return false;
-  if (json_array_size(list) == 0 || json_array_size(list) > FC_ZONES_MAX) {
-    fc_reader_fail(top, "zones", "none, or too many");
-    return false;
-  }
-  for (size_t i = 0; i < json_array_size(list); i++) {
-    const char *z = json_string_value(json_array_get(list, i));
-    if (!z || !*z || strlen(z) > NAME_MAX_BYTES) {
-      fc_reader_fail(top, "zones", "holds something that is not a name");
-      return false;
-    }
-    settings->zones[settings->zone_count++] = g_strdup(z);
-  }
-  return true;
-}
+/* ---- limits of the key-value store ---- */
 
-/* Reads the numbers of one group, e.g. "settings.workers". */
-typedef struct number {
-  const char *field;
-  double *out;
-  double least, most;
-} number;
-
-static bool read_group(const json_t *params, const char *group, const number *n, size_t count, char *error,
-                       size_t size) {
-  fc_reader reader;
-  fc_reader_init(&reader, json_object_get(params, group));
-  for (size_t i = 0; i < count; i++) *n[i].out = fc_read_amount(&reader, n[i].field, n[i].least, n[i].most);
-  if (fc_reader_ok(&reader)) return true;
-  g_snprintf(error, size, "settings.%s.%s", group, reader.error);
-  return false;
-}
-
-/* The limits of the state service, as they are or as they will be. */
-typedef struct state_limits {
+/* As they are or as they will be. */
+typedef struct kv_limits {
   double rps, write_rps, value_kb, txn_ops;
-} state_limits;
+} kv_limits;
 
-typedef struct state_field {
+typedef struct kv_limit_field {
   const char *name;
-  size_t offset; /* in state_limits */
+  size_t offset; /* in kv_limits */
   double least, most;
-} state_field;
+} kv_limit_field;
 
-static const state_field k_state_fields[] = {
-    {"rps", offsetof(state_limits, rps), 0.1, 1e6},
-    {"write_rps", offsetof(state_limits, write_rps), 0.1, 1e6},
-    {"value_kb", offsetof(state_limits, value_kb), 1, 1024},
-    {"txn_ops", offsetof(state_limits, txn_ops), TXN_OPS_LEAST, 1e4},
+static const kv_limit_field k_kv_limit_fields[] = {
+    {"rps", offsetof(kv_limits, rps), 0.1, 1e6},
+    {"write_rps", offsetof(kv_limits, write_rps), 0.1, 1e6},
+    {"value_kb", offsetof(kv_limits, value_kb), 1, 1024},
+    {"txn_ops", offsetof(kv_limits, txn_ops), TXN_OPS_MIN, 1e4},
 };
 
-static double *state_limit(state_limits *limits, const state_field *field) {
+static double *limit_at(kv_limits *limits, const kv_limit_field *field) {
   return (double *)(void *)((char *)limits + field->offset);
 }
 
-static bool read_state_limits(const json_t *state, state_limits *out, char *error, size_t size) {
+static bool read_present_limits(const json_t *state, kv_limits *out, const fault_line *fault) {
   fc_reader reader;
   fc_reader_init(&reader, state);
-  for (size_t i = 0; i < G_N_ELEMENTS(k_state_fields); i++) {
-    const state_field *f = &k_state_fields[i];
-    *state_limit(out, f) = fc_read_amount(&reader, f->name, f->least, f->most);
+  for (size_t i = 0; i < G_N_ELEMENTS(k_kv_limit_fields); i++) {
+    const kv_limit_field *field = &k_kv_limit_fields[i];
+    *limit_at(out, field) = fc_read_amount(&reader, field->name, field->least, field->most);
   }
-  if (fc_reader_ok(&reader)) return true;
-  copy_error(&reader, "settings.state.", error, size);
-  return false;
+  return accept(fault, "settings.state.", &reader);
 }
 
-/* What is missing in `state.next` stays as it is. */
-static bool read_next_limits(const json_t *state, state_limits *next, char *error, size_t size) {
-  const json_t *v = json_object_get(state, "next");
-  if (!v || json_is_null(v)) return true;
+/* What `state.next` does not name stays as it is in `next`. */
+static bool read_next_limits(const json_t *state, kv_limits *next, const fault_line *fault) {
+  const json_t *object = json_object_get(state, "next");
+  if (!object || json_is_null(object)) return true;
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  if (!fc_reader_ok(&reader)) {
-    g_snprintf(error, size, "settings.state.next: %s", reader.error);
-    return false;
-  }
-  for (size_t i = 0; i < G_N_ELEMENTS(k_state_fields); i++) {
-    const state_field *f = &k_state_fields[i];
-    double *limit = state_limit(next, f);
-    *limit = fc_read_amount_or(&reader, f->name, f->least, f->most, *limit);
+  fc_reader_init(&reader, object);
+  if (!accept(fault, "settings.state.next: ", &reader)) return false;
+  for (size_t i = 0; i < G_N_ELEMENTS(k_kv_limit_fields); i++) {
+    const kv_limit_field *field = &k_kv_limit_fields[i];
+    double *limit = limit_at(next, field);
+    *limit = fc_read_amount_or(&reader, field->name, field->least, field->most, *limit);
   }
-  if (fc_reader_ok(&reader)) return true;
-  copy_error(&reader, "settings.state.next.", error, size);
-  return false;
+  return accept(fault, "settings.state.next.", &reader);
 }
 
-static bool read_state(const json_t *params, fc_settings *settings, char *error, size_t size) {
-  const json_t *state = json_object_get(params, "state");
-  state_limits now;
-  if (!read_state_limits(state, &now, error, size)) return false;
-  state_limits next = now;
-  if (!read_next_limits(state, &next, error, size)) return false;
+static bool read_kv_limits(const json_t *params, fc_settings *settings, const fault_line *fault) {
+  const json_t *state = json_object_get(params, FIELD_STATE);
+  kv_limits now;
+  if (!read_present_limits(state, &now, fault)) return false;
+  kv_limits next = now;
+  if (!read_next_limits(state, &next, fault)) return false;
   settings->state_rps = MIN(now.rps, next.rps);
   settings->state_value_kb = MIN(now.value_kb, next.value_kb);
   settings->state_txn_ops = (unsigned)MIN(now.txn_ops, next.txn_ops);
@@ -213,99 +242,89 @@
   return true;
 }
 
-static bool read_numbers(const json_t *params, fc_settings *settings, char *error, size_t size) {
+/* ---- groups of numbers ---- */
+
+typedef struct number_field {
+  const char *name;
+  double *out;
+  double least, most;
+} number_field;
+
+/* Reads the numbers of one group, such as "settings.workers". */
+static bool read_group(const json_t *params, const char *group, const number_field *fields, size_t count,
+                       const fault_line *fault) {
+  fc_reader reader;
+  fc_reader_init(&reader, json_object_get(params, group));
+  for (size_t i = 0; i < count; i++)
+    *fields[i].out = fc_read_amount(&reader, fields[i].name, fields[i].least, fields[i].most);
+  g_autofree char *path = g_strdup_printf("settings.%s.", group);
+  return accept(fault, path, &reader);
+}
+
+/* Whether the numbers allow the service to keep its rules. */
+static bool check_numbers(const fc_settings *settings, const fault_line *fault) {
+  if (settings->fd_limit < FD_PER_CONTROLLER * (settings->peer_count + 1))
+    return refuse(fault, "settings.limits.fd_limit: too few for the links to %zu other controllers",
+                  settings->peer_count);
+  if (settings->lease_s < HEARTBEATS_PER_LEASE_MIN * settings->heartbeat_s)
+    return refuse(fault, "settings.workers.lease_s: shorter than three times report_s");
+  /* A controller that may have missed a cancellation has to stop answering a whole worker lease
+   * before cancel_s is up (docs/design.md, "Cancellations"). */
+  if (settings->cancel_s < settings->lease_s + HEARTBEATS_PER_LEASE_MIN * settings->heartbeat_s)
+    return refuse(fault, "settings.workers.cancel_s: not beyond lease_s by three times report_s");
+  return true;
+}
+
+static bool read_numbers(const json_t *params, fc_settings *settings, const fault_line *fault) {
   double fd_limit = 0;
-  const number workers[] = {{"report_s", &settings->heartbeat_s, 0.01, 3600},
-                            {"lease_s", &settings->lease_s, 0.1, 36000},
-                            {"gang_wait_s", &settings->gang_wait_s, 0.1, 36000},
-                            {"gang_peer_s", &settings->gang_peer_s, 0.1, 36000},
-                            {"cancel_s", &settings->cancel_s, 0.1, 36000}};
-  const number cloud[] = {{"rps", &settings->cloud_rps, 0.01, 1e6},
-                          {"list_lag_s", &settings->cloud_list_lag_s, 0, 3600}};
-  const number limits[] = {{"cpu", &settings->cpu, CPU_LEAST, 1e4},
-                           {"memory_mb", &settings->memory_mb, MEMORY_LEAST_MB, 1e7},
-                           {"fd_limit", &fd_limit, 32, 1e6}};
-  if (!read_group(params, "workers", workers, G_N_ELEMENTS(workers), error, size) ||
-      !read_state(params, settings, error, size) ||
-      !read_group(params, "cloud", cloud, G_N_ELEMENTS(cloud), error, size) ||
-      !read_group(params, "limits", limits, G_N_ELEMENTS(limits), error, size))
-    return false;
+  const number_field workers[] = {{"report_s", &settings->heartbeat_s, 0.01, 3600},
+                                  {"lease_s", &settings->lease_s, 0.1, 36000},
+                                  {"gang_wait_s", &settings->gang_wait_s, 0.1, 36000},
+                                  {"gang_peer_s", &settings->gang_peer_s, 0.1, 36000},
+                                  {"cancel_s", &settings->cancel_s, 0.1, 36000}};
+  const number_field cloud[] = {{"rps", &settings->cloud_rps, 0.01, 1e6},
+                                {"list_lag_s", &settings->cloud_list_lag_s, 0, 3600}};
+  const number_field limits[] = {{"cpu", &settings->cpu, CPU_MIN, 1e4},
+                                 {"memory_mb", &settings->memory_mb, MEMORY_MIN_MB, 1e7},
+                                 {"fd_limit", &fd_limit, 32, 1e6}};
+  if (!read_group(params, "workers", workers, G_N_ELEMENTS(workers), fault)) return false;
+  if (!read_kv_limits(params, settings, fault)) return false;
+  if (!read_group(params, "cloud", cloud, G_N_ELEMENTS(cloud), fault)) return false;
+  if (!read_group(params, "limits", limits, G_N_ELEMENTS(limits), fault)) return false;
   settings->fd_limit = (unsigned)fd_limit;
-  /* The peers' listener may take eight for each peer, calls an eighth of all. */
-  if (settings->fd_limit < 16 * (settings->peer_count + 1)) {
-    g_snprintf(error, size, "settings.limits.fd_limit: too few for the links to %zu other controllers",
-               settings->peer_count);
-    return false;
-  }
-  /* One lost answer costs a worker several report intervals. */
-  if (settings->lease_s < 3 * settings->heartbeat_s) {
-    g_snprintf(error, size, "settings.workers.lease_s: shorter than three times report_s");
-    return false;
-  }
-  /* A controller that may have missed a cancellation has to stop answering a
-   * whole worker lease before cancel_s is up (docs/design.md, "Cancellations"). */
-  if (settings->cancel_s < settings->lease_s + 3 * settings->heartbeat_s) {
-    g_snprintf(error, size, "settings.workers.cancel_s: not beyond lease_s by three times report_s");
-    return false;
-  }
-  return true;
+  return check_numbers(settings, fault);
 }
 
-static bool settings_from_json(const json_t *root, fc_settings *settings, char *error, size_t size) {
-  fc_reader r;
-  fc_reader_init(&r, root);
-  if (!read_name(&r, "host_name", &settings->name) || !read_name(&r, "domain", &settings->zone) ||
-      !read_endpoint(&r, "client_listen", &settings->client_at) ||
-      !read_endpoint(&r, "peer_listen", &settings->peer_at)) {
-    copy_error(&r, "", error, size);
-    return false;
-  }
-  error[0] = '\0';
-  if (!read_peers(&r, settings, error, size)) {
-    if (!error[0]) copy_error(&r, "", error, size);
-    return false;
-  }
-  const json_t *outside = fc_read_object(&r, "outside");
-  const json_t *params = fc_read_object(&r, "settings");
-  if (!fc_reader_ok(&r)) {
-    copy_error(&r, "", error, size);
-    return false;
-  }
-  fc_reader reader;
-  fc_reader_init(&reader, outside);
-  if (!read_endpoint(&reader, "cloud", &settings->cloud_at) || !read_endpoint(&reader, "state", &settings->state_at)) {
-    copy_error(&reader, "outside.", error, size);
-    return false;
-  }
-  fc_reader p;
-  fc_reader_init(&p, params);
-  if (!read_zones(&p, settings) || !read_teams(&p, settings, error, size)) {
-    if (!error[0]) copy_error(&p, "settings.", error, size);
-    return false;
-  }
-  return read_objectives(params, settings, error, size) && read_numbers(params, settings, error, size);
+/* ---- the whole file ---- */
+
+static bool read_settings(const json_t *value, fc_settings *settings, const fault_line *fault) {
+  fc_reader root;
+  fc_reader_init(&root, value);
+  if (!read_own(&root, settings, fault)) return false;
+  if (!read_peers(&root, settings, fault)) return false;
+  const json_t *outside = fc_read_object(&root, "outside");
+  const json_t *params = fc_read_object(&root, "settings");
+  if (!accept(fault, "", &root)) return false;
+  if (!read_services(outside, settings, fault)) return false;
+  fc_reader params_reader;
+  fc_reader_init(&params_reader, params);
+  if (!read_zones(&params_reader, settings, fault)) return false;
+  if (!read_teams(&params_reader, settings, fault)) return false;
+  if (!read_objectives(params, settings, fault)) return false;
+  return read_numbers(params, settings, fault);
 }
 
 bool fc_settings_load(const char *path, fc_settings *out, char *error, size_t error_size) {
+  const fault_line fault = {.text = error, .size = error_size};
   memset(out, 0, sizeof *out);
   fc_operator_defaults(&out->op);
-  gchar *text = NULL;
-  gsize len = 0;
-  GError *err = NULL;
-  if (!g_file_get_contents(path, &text, &len, &err)) {
-    g_snprintf(error, error_size, "%s", err->message);
-    g_error_free(err);
-    return false;
-  }
-  json_t *root = fc_json_parse(text, len);
-  g_free(text);
-  if (!root) {
-    g_snprintf(error, error_size, "%s: not JSON", path);
-    return false;
-  }
-  bool ok = settings_from_json(root, out, error, error_size);
-  json_decref(root);
-  return ok;
+  g_autofree gchar *text = NULL;
+  gsize length = 0;
+  g_autoptr(GError) file_error = NULL;
+  if (!g_file_get_contents(path, &text, &length, &file_error)) return refuse(&fault, "%s", file_error->message);
+  json_auto_t *value = fc_json_parse(text, length);
+  if (!value) return refuse(&fault, "%s: not JSON", path);
+  return read_settings(value, out, &fault);
 }
 
 const char *fc_settings_warning(const fc_settings *settings) {
@@ -329,7 +348,7 @@
 }
 
 size_t fc_settings_value_bytes(const fc_settings *settings) {
-  return (size_t)(settings->state_value_kb * 1024);
+  return (size_t)(settings->state_value_kb * BYTES_PER_KB);
 }
 
 int fc_settings_team(const fc_settings *settings, const char *name) {
@@ -339,7 +358,7 @@
 }
 
 unsigned fc_settings_zone(const fc_settings *settings, const char *name) {
-  for (unsigned z = 0; z < settings->zone_count; z++)
-    if (strcmp(settings->zones[z], name) == 0) return z;
+  for (unsigned zone = 0; zone < settings->zone_count; zone++)
+    if (strcmp(settings->zones[zone], name) == 0) return zone;
   return FC_ZONES_MAX;
 }
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,4 +1,6 @@
-/* The platform's settings file (JSON) and the operators' own (TOML). */
+/* The platform's settings file (JSON) and the operators' own (TOML). Both are read once, at the
+ * start; all strings live as long as the process. Times are in seconds, `_rps` are requests a
+ * second. */
 #ifndef FC_PROTOCOL_SETTINGS_H
 #define FC_PROTOCOL_SETTINGS_H
 
@@ -30,16 +32,16 @@
   double within_s, share;
 } fc_objective;
 
-/* The operators' own; every one has a default. */
+/* The operators' own; each has a default. */
 typedef struct fc_operator_settings {
-  double round_s;            /* seconds between placing rounds */
-  double handover_wait_s;    /* wait beside idle room before a job is handed over */
-  unsigned split_limit;      /* virtual jobs an array may be halved into */
-  double member_lease_share; /* of the workers' lease */
-  double idle_keep_share;    /* idle time before return, of boot time + minimum charge */
-  double over_keep_s;        /* a job that is over stays in memory for so long */
-  double warm_deviations;    /* room kept for arrivals: standard deviations over a boot */
-  bool rent;                 /* rent machines at all */
+  double round_s;            /* between rounds of placement */
+  double handover_wait_s;    /* how long a job is pending before it is transferred to a shard with idle capacity */
+  unsigned split_limit;      /* slices that an array may be split into */
+  double member_lease_share; /* duration of a member's lease, as a share of the workers' */
+  double idle_keep_share;    /* idle time before release, as a share of boot time and minimum charge */
+  double over_keep_s;        /* how long an ended job stays in memory */
+  double warm_deviations;    /* reserve for arrivals: standard deviations of those during a boot */
+  bool rent;                 /* whether to rent machines */
 } fc_operator_settings;
 
 typedef struct fc_settings {
@@ -55,9 +57,9 @@
   fc_objective objectives[FC_OBJECTIVES_MAX];
   size_t objective_count;
   double heartbeat_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
-  /* Limits of the state service. It may lower them to those of `state.next` at any moment:
-   * sizes and requests keep to the smaller of both from the start, the write rate follows
-   * once it is refused. */
+  /* Limits of the key-value store. It may lower them to those of `state.next` at any moment:
+   * sizes and requests keep to the smaller of both from the start, the write rate is lowered
+   * once a write is refused. */
   double state_rps, state_value_kb;
   unsigned state_txn_ops;
   double state_write_rps, state_next_write_rps;
@@ -68,16 +70,18 @@
   fc_operator_settings op;
 } fc_settings;
 
-/* Both write one line that names the field into `error` when they fail. */
+/* False with one line that names the faulty field in `error`. */
 bool fc_settings_load(const char *path, fc_settings *out, char *error, size_t error_size);
 bool fc_operator_load(const char *path, fc_operator_settings *out, char *error, size_t error_size);
-/* Limits under which the service starts and keeps every rule, but has little room for a
- * larger fleet: one line that names the fields; NULL when there are none. */
+/* One line, a constant, about a limit under which the service works but has little room for a
+ * larger fleet; NULL: there is none. */
 const char *fc_settings_warning(const fc_settings *settings);
 void fc_operator_defaults(fc_operator_settings *out);
-/* Bytes that a value may have in the state service, now and later. */
+/* Bytes that a value may have in the key-value store, now and later. */
 size_t fc_settings_value_bytes(const fc_settings *settings);
-int fc_settings_team(const fc_settings *settings, const char *name);      /* -1: unknown */
-unsigned fc_settings_zone(const fc_settings *settings, const char *name); /* FC_ZONES_MAX: none of them */
+/* The index of a team; -1: unknown. */
+int fc_settings_team(const fc_settings *settings, const char *name);
+/* The index of a zone; FC_ZONES_MAX: unknown. */
+unsigned fc_settings_zone(const fc_settings *settings, const char *name);
 
 #endif
--- a/src/protocol/worker_api.c
+++ b/src/protocol/worker_api.c
@@ -3,31 +3,66 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "protocol/job.h"
 #include "protocol/json.h"
 #include "transport/http.h"
 
-#define COUNT_MOST ((uint64_t)INT64_MAX)
-#define TASKS_PER_MACHINE_MOST 4096u
+#define AMOUNT_MAX 1e9
+#define TASK_NAME_LENGTH_MAX 64u
+#define WORD_LENGTH_MAX 32u
+#define ERROR_SIZE 200u
 
-static const char *const k_states[] = {"pulling", "waiting", "running", "saving", "exited"};
-static const char *const k_causes[] = {"",      "done",    "stopped", "mates_gone", "incomplete",
-                                       "error", "no_room", "busy",    "unknown"};
-static const char *const k_ops[] = {"start", "halt", "clear"};
+/* The words of the worker protocol. */
+#define CALL_PATH "/orders"
 
-static int index_of(const char *text, const char *const *names, int count) {
-  for (int i = 0; i < count; i++)
-    if (strcmp(text, names[i]) == 0) return i;
-  return -1;
-}
+#define FIELD_MACHINE "paddock"
+#define FIELD_ENDPOINT "endpoint"
+#define FIELD_TYPE "build"
+#define FIELD_ZONE "ground"
+#define FIELD_SPOT "loaners"
+#define FIELD_EPOCH "stint"
+#define FIELD_SEQUENCE "tally"
+#define FIELD_FENCING_TOKEN "captaincy"
+#define FIELD_SPOT_NOTICE "recallS"
+#define FIELD_TASKS "runs"
 
-static void copy_string(fc_reader *reader, const char *field, char *out, size_t size) {
-  const char *text = fc_read_string(reader, field, size - 1);
-  if (text) g_strlcpy(out, text, size);
-}
+#define FIELD_TASK "run"
+#define FIELD_ATTEMPT "kickoff"
+#define FIELD_STATE "status"
+#define FIELD_CAUSE "cause"
+#define FIELD_SAVED "saved"
+
+#define FIELD_COMMANDS "calls"
+#define FIELD_COMMAND "call"
+#define FIELD_GRACE "leewayS"
+#define FIELD_CONTROLLER "coach"
+
+static const char *const k_states[] = {
+    [FC_TASK_FETCHING] = "pulling", [FC_TASK_WAITING] = "waiting", [FC_TASK_RUNNING] = "running",
+    [FC_TASK_SAVING] = "saving",    [FC_TASK_EXITED] = "exited",
+};
+
+static const char *const k_causes[] = {
+    [FC_CAUSE_NONE] = "",
+    [FC_CAUSE_DONE] = "done",
+    [FC_CAUSE_STOPPED] = "stopped",
+    [FC_CAUSE_PEERS_GONE] = "mates_gone",
+    [FC_CAUSE_INCOMPLETE] = "incomplete",
+    [FC_CAUSE_ERROR] = "error",
+    [FC_CAUSE_NO_ROOM] = "no_room",
+    [FC_CAUSE_BUSY] = "busy",
+    [FC_CAUSE_UNKNOWN] = "unknown",
+};
+
+static const char *const k_commands[] = {
+    [FC_COMMAND_START] = "start",
+    [FC_COMMAND_STOP] = "halt",
+    [FC_COMMAND_FORGET] = "clear",
+};
+
+/* ---- heartbeats ---- */
 
-/* "job-000412/3" */
-static bool split_task(const char *text, fc_task_status *task) {
+/* Splits "job-000412/3". */
+static bool split_task_name(const char *text, fc_task_status *task) {
   const char *slash = strchr(text, '/');
   if (!slash || (size_t)(slash - text) >= sizeof task->job) return false;
   memcpy(task->job, text, (size_t)(slash - text));
@@ -40,54 +75,70 @@
   return true;
 }
 
-static bool parse_task(fc_reader *top, const json_t *v, fc_task_status *task) {
+static void read_state(fc_reader *reader, const char *text, fc_task_status *task) {
+  for (size_t state = 0; state < G_N_ELEMENTS(k_states); state++) {
+    if (strcmp(text, k_states[state]) != 0) continue;
+    task->state = (fc_task_state)state;
+    return;
+  }
+  fc_reader_fail(reader, FIELD_STATE, FC_FIELD_UNKNOWN_VALUE);
+}
+
+static fc_exit_cause cause_named(const char *text) {
+  if (!text) return FC_CAUSE_NONE;
+  for (size_t cause = 0; cause < G_N_ELEMENTS(k_causes); cause++)
+    if (strcmp(text, k_causes[cause]) == 0) return (fc_exit_cause)cause;
+  /* An exit for a cause of a newer version is still an exit. */
+  return FC_CAUSE_ERROR;
+}
+
+static bool read_task(fc_reader *heartbeat, const json_t *element, fc_task_status *task) {
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  const char *name = fc_read_string(&reader, "run", 64);
-  task->attempt = fc_read_count(&reader, "kickoff", 0, COUNT_MOST);
-  const char *state = fc_read_string(&reader, "status", 32);
-  const char *cause = fc_read_string_or_null(&reader, "cause", 32);
-  task->saved = fc_read_bool_or(&reader, "saved", false);
-  if (fc_reader_ok(&reader) && !split_task(name, task)) fc_reader_fail(&reader, "run", "not a task");
+  fc_reader_init(&reader, element);
+  const char *name = fc_read_string(&reader, FIELD_TASK, TASK_NAME_LENGTH_MAX);
+  task->attempt = fc_read_count(&reader, FIELD_ATTEMPT, 0, FC_COUNT_MAX);
+  const char *state = fc_read_string(&reader, FIELD_STATE, WORD_LENGTH_MAX);
+  const char *cause = fc_read_string_or_null(&reader, FIELD_CAUSE, WORD_LENGTH_MAX);
+  task->saved = fc_read_bool_or(&reader, FIELD_SAVED, false);
+  if (fc_reader_ok(&reader) && !split_task_name(name, task)) fc_reader_fail(&reader, FIELD_TASK, FC_FIELD_NOT_TASK);
   if (fc_reader_ok(&reader)) {
-    int s = index_of(state, k_states, G_N_ELEMENTS(k_states));
-    if (s < 0) fc_reader_fail(&reader, "status", "unknown value");
-    task->state = (fc_task_state)(s < 0 ? 0 : s);
-    /* An exit for a reason we do not know of is still an exit. */
-    int c = cause ? index_of(cause, k_causes, G_N_ELEMENTS(k_causes)) : 0;
-    task->cause = (fc_exit_cause)(c < 0 ? FC_CAUSE_ERROR : c);
+    read_state(&reader, state, task);
+    task->cause = cause_named(cause);
   }
   if (fc_reader_ok(&reader)) return true;
-  g_snprintf(top->error, sizeof top->error, "runs.%s", reader.error);
+  fc_reader_fail_element(heartbeat, FIELD_TASKS, &reader);
   return false;
 }
 
-bool fc_heartbeat_parse(const char *text, size_t len, fc_heartbeat *out, char *error, size_t error_size) {
+static void read_tasks(fc_reader *reader, fc_heartbeat *out) {
+  const json_t *tasks = fc_read_array(reader, FIELD_TASKS);
+  size_t count = json_array_size(tasks);
+  if (count > FC_HEARTBEAT_TASKS_MAX) fc_reader_fail(reader, FIELD_TASKS, FC_FIELD_TOO_MANY);
+  if (!fc_reader_ok(reader) || count == 0) return;
+  out->tasks = g_new0(fc_task_status, count);
+  while (out->task_count < count) {
+    if (!read_task(reader, json_array_get(tasks, out->task_count), &out->tasks[out->task_count])) return;
+    out->task_count++;
+  }
+}
+
+bool fc_heartbeat_parse(const char *text, size_t length, fc_heartbeat *out, char *error, size_t error_size) {
   memset(out, 0, sizeof *out);
-  json_t *v = fc_json_parse(text, len);
+  json_auto_t *object = fc_json_parse(text, length);
   fc_reader reader;
-  fc_reader_init(&reader, v);
-  copy_string(&reader, "paddock", out->machine, sizeof out->machine);
-  copy_string(&reader, "endpoint", out->endpoint, sizeof out->endpoint);
-  copy_string(&reader, "build", out->type, sizeof out->type);
-  copy_string(&reader, "ground", out->zone, sizeof out->zone);
-  out->spot = fc_read_bool_or(&reader, "loaners", false);
-  out->epoch = fc_read_count(&reader, "stint", 0, COUNT_MOST);
-  out->sequence = fc_read_count(&reader, "tally", 0, COUNT_MOST);
-  out->fencing_token = fc_read_count(&reader, "captaincy", 0, COUNT_MOST);
-  out->spot_notice_s = fc_read_amount_or(&reader, "recallS", 0, 1e9, -1);
-  const json_t *tasks = fc_read_array(&reader, "runs");
-  if (tasks && json_array_size(tasks) > TASKS_PER_MACHINE_MOST) fc_reader_fail(&reader, "runs", "too many");
-  if (fc_reader_ok(&reader) && json_array_size(tasks) > 0) {
-    out->tasks = g_new0(fc_task_status, json_array_size(tasks));
-    for (size_t i = 0; i < json_array_size(tasks); i++) {
-      if (!parse_task(&reader, json_array_get(tasks, i), &out->tasks[i])) break;
-      out->task_count++;
-    }
-  }
-  json_decref(v);
+  fc_reader_init(&reader, object);
+  fc_read_string_into(&reader, FIELD_MACHINE, out->machine, sizeof out->machine);
+  fc_read_string_into(&reader, FIELD_ENDPOINT, out->endpoint, sizeof out->endpoint);
+  fc_read_string_into(&reader, FIELD_TYPE, out->type, sizeof out->type);
+  fc_read_string_into(&reader, FIELD_ZONE, out->zone, sizeof out->zone);
+  out->spot = fc_read_bool_or(&reader, FIELD_SPOT, false);
+  out->epoch = fc_read_count(&reader, FIELD_EPOCH, 0, FC_COUNT_MAX);
+  out->sequence = fc_read_count(&reader, FIELD_SEQUENCE, 0, FC_COUNT_MAX);
+  out->fencing_token = fc_read_count(&reader, FIELD_FENCING_TOKEN, 0, FC_COUNT_MAX);
+  out->spot_notice_s = fc_read_amount_or(&reader, FIELD_SPOT_NOTICE, 0, AMOUNT_MAX, -1);
+  read_tasks(&reader, out);
   if (fc_reader_ok(&reader)) return true;
-  g_strlcpy(error, reader.error, error_size);
+  fc_reader_describe(&reader, error, error_size);
   fc_heartbeat_clear(out);
   return false;
 }
@@ -97,54 +148,77 @@
   memset(heartbeat, 0, sizeof *heartbeat);
 }
 
+/* ---- answers and direct calls ---- */
+
+static void append_number_field(GString *out, const char *field, uint64_t number) {
+  g_string_append_printf(out, "\"%s\":%" G_GUINT64_FORMAT, field, (guint64)number);
+}
+
+static void append_command(GString *out, const fc_command *command) {
+  g_string_append_printf(out, "{\"" FIELD_COMMAND "\":\"%s\",\"" FIELD_TASK "\":\"%s/%u\",", k_commands[command->op],
+                         command->job, command->index);
+  append_number_field(out, FIELD_ATTEMPT, command->attempt);
+  if (command->op == FC_COMMAND_STOP) {
+    char seconds[G_ASCII_DTOSTR_BUF_SIZE];
+    g_ascii_formatd(seconds, sizeof seconds, "%.3f", command->grace_s);
+    g_string_append_printf(out, ",\"" FIELD_GRACE "\":%s", seconds);
+  }
+  g_string_append_c(out, '}');
+}
+
 static void append_commands(GString *out, const fc_command *commands, size_t count) {
-  g_string_append(out, "\"calls\":[");
+  g_string_append(out, "\"" FIELD_COMMANDS "\":[");
   for (size_t i = 0; i < count; i++) {
-    const fc_command *command = &commands[i];
-    g_string_append_printf(out, "%s{\"call\":\"%s\",\"run\":\"%s/%u\",\"kickoff\":%" G_GUINT64_FORMAT, i ? "," : "",
-                           k_ops[command->op], command->job, command->index, (guint64)command->attempt);
-    if (command->op == FC_COMMAND_STOP) {
-      char num[G_ASCII_DTOSTR_BUF_SIZE];
-      g_string_append_printf(out, ",\"leewayS\":%s", g_ascii_formatd(num, sizeof num, "%.3f", command->grace_s));
-    }
-    g_string_append_c(out, '}');
+    if (i > 0) g_string_append_c(out, ',');
+    append_command(out, &commands[i]);
   }
-  g_string_append(out, "]}");
+  g_string_append_c(out, ']');
 }
 
-void fc_heartbeat_answer(GString *out, uint64_t token, const fc_command *commands, size_t count) {
-  g_string_append_printf(out, "{\"captaincy\":%" G_GUINT64_FORMAT ",", (guint64)token);
+void fc_heartbeat_answer(GString *out, uint64_t fencing_token, const fc_command *commands, size_t count) {
+  g_string_append_c(out, '{');
+  append_number_field(out, FIELD_FENCING_TOKEN, fencing_token);
+  g_string_append_c(out, ',');
   append_commands(out, commands, count);
+  g_string_append_c(out, '}');
 }
 
-void fc_worker_commands_body(GString *out, uint64_t token, uint64_t session, const fc_command *commands, size_t count) {
-  g_string_append_printf(out, "{\"captaincy\":%" G_GUINT64_FORMAT ",\"stint\":%" G_GUINT64_FORMAT ",", (guint64)token,
-                         (guint64)session);
+void fc_worker_commands_body(GString *out, uint64_t fencing_token, uint64_t epoch, const fc_command *commands,
+                             size_t count) {
+  g_string_append_c(out, '{');
+  append_number_field(out, FIELD_FENCING_TOKEN, fencing_token);
+  g_string_append_c(out, ',');
+  append_number_field(out, FIELD_EPOCH, epoch);
+  g_string_append_c(out, ',');
   append_commands(out, commands, count);
+  g_string_append_c(out, '}');
 }
 
 void fc_worker_redirect(GString *out, const char *controller) {
-  json_t *v = json_object();
-  if (controller) json_object_set_new(v, "coach", json_string(controller));
-  fc_json_append(out, v);
+  json_t *body = json_object();
+  if (controller) json_object_set_new(body, FIELD_CONTROLLER, json_string(controller));
+  fc_json_append(out, body);
 }
 
-fc_worker_call_result fc_worker_call(const fc_endpoint *at, uint64_t token, uint64_t session,
-                                     const fc_command *commands, size_t count, double deadline, fc_heartbeat *report) {
-  GString *body = g_string_new(NULL);
-  fc_worker_commands_body(body, token, session, commands, count);
+static fc_worker_call_result result_of_answer(const fc_http_reply *reply, fc_heartbeat *heartbeat) {
+  if (reply->status != 200 && reply->status != 409) return FC_WORKER_CALL_UNKNOWN;
+  char error[ERROR_SIZE];
+  if (!fc_heartbeat_parse(reply->body->str, reply->body->len, heartbeat, error, sizeof error))
+    return FC_WORKER_CALL_UNKNOWN;
+  return reply->status == 200 ? FC_WORKER_CALL_DONE : FC_WORKER_CALL_REFUSED;
+}
+
+fc_worker_call_result fc_worker_call(const fc_endpoint *at, uint64_t fencing_token, uint64_t epoch,
+                                     const fc_command *commands, size_t count, double deadline,
+                                     fc_heartbeat *heartbeat) {
+  g_autoptr(GString) body = g_string_new(NULL);
+  fc_worker_commands_body(body, fencing_token, epoch, commands, count);
   fc_http_client *http = fc_http_client_new(at, FC_HTTP_BODY_MAX);
   fc_http_reply reply;
-  char error[200];
-  fc_worker_call_result result = FC_WORKER_CALL_UNKNOWN;
-  if (!fc_http_call(http, "POST", "/orders", body->str, body->len, deadline, &reply)) {
-    if (reply.unsent) result = FC_WORKER_CALL_UNSENT;
-  } else if ((reply.status == 200 || reply.status == 409) &&
-             fc_heartbeat_parse(reply.body->str, reply.body->len, report, error, sizeof error)) {
-    result = reply.status == 200 ? FC_WORKER_CALL_DONE : FC_WORKER_CALL_REFUSED;
-  }
+  bool answered = fc_http_call(http, "POST", CALL_PATH, body->str, body->len, deadline, &reply);
+  fc_worker_call_result result = reply.unsent ? FC_WORKER_CALL_UNSENT : FC_WORKER_CALL_UNKNOWN;
+  if (answered) result = result_of_answer(&reply, heartbeat);
   fc_http_reply_clear(&reply);
   fc_http_client_free(http);
-  g_string_free(body, TRUE);
   return result;
 }
--- a/src/transport/conn.h
+++ b/src/transport/conn.h
@@ -14,6 +14,9 @@
   uint16_t port;
 } fc_endpoint;
 
+/* Of a buffer for an endpoint's text, with the closing NUL. */
+#define FC_ENDPOINT_SIZE 32
+
 /* "10.0.0.1:8080"; false when it is anything else. */
 bool fc_endpoint_parse(const char *text, fc_endpoint *out);
 
