--- a/src/transport/conn.c
+++ b/src/transport/conn.c
@@ -12,50 +12,52 @@
 
 #include "transport/routine.h"
 
+#define LISTEN_BACKLOG 256
+
 typedef struct listener listener;
 
 struct fc_conn {
-  const listener *from; /* NULL: we connected */
+  const listener *accepted_by; /* NULL: this side connected */
   uint64_t number;
   int fd;
   ev_io io;
-  int wanted;      /* events the routine waits for */
-  bool wait_first; /* we have just written: an answer can't be there yet */
+  int wanted;        /* events that the waiter waits for */
+  bool just_written; /* an answer cannot have arrived yet */
   fc_routine *waiter;
 };
 
 bool fc_endpoint_parse(const char *text, fc_endpoint *out) {
   const char *colon = text ? strrchr(text, ':') : NULL;
-  if (!colon || colon - text > 15 || colon == text) return false;
-  char host[16] = {0};
+  char host[INET_ADDRSTRLEN] = {0};
+  if (!colon || colon == text || (size_t)(colon - text) >= sizeof host) return false;
   memcpy(host, text, (size_t)(colon - text));
   struct in_addr ip;
   if (inet_pton(AF_INET, host, &ip) != 1) return false;
   char *end = NULL;
   errno = 0;
   long port = strtol(colon + 1, &end, 10);
-  if (errno || end == colon + 1 || *end || port < 1 || port > 65535) return false;
+  if (errno || end == colon + 1 || *end || port < 1 || port > UINT16_MAX) return false;
   out->ip = ip.s_addr;
   out->port = (uint16_t)port;
   return true;
 }
 
-/* One more system call by the running routine; what it returned is passed on. */
+/* Accounts one system call to the calling routine and returns its result. */
 static ssize_t count_call(ssize_t result) {
   fc_routine_usage()->system_calls++;
   return result;
 }
 
-static void on_io(struct ev_loop *loop, ev_io *w, int events) {
-  fc_conn *conn = w->data;
+static void on_io(struct ev_loop *loop, ev_io *watcher, int events) {
+  fc_conn *conn = watcher->data;
   if (conn->waiter && (events & (conn->wanted | EV_ERROR))) {
     fc_routine *routine = conn->waiter;
     conn->waiter = NULL;
     fc_routine_wake(routine);
-    return; /* it stays armed: for most messages the next wait is for the same event */
+    return; /* it stays active: most often the next wait is for the same event */
   }
-  /* Level-triggered: without a routine to read it, the event would fire for ever. */
-  ev_io_stop(loop, w);
+  /* Level-triggered: without a routine that reads, the event would fire again at once. */
+  ev_io_stop(loop, watcher);
 }
 
 static fc_conn *conn_new(int fd) {
@@ -67,27 +69,39 @@
   static uint64_t last_number;
   conn->number = ++last_number;
   conn->fd = fd;
-  int one = 1;
+  int on = 1;
   /* Best effort: without it messages are only slower. */
-  (void)count_call(setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one));
+  (void)count_call(setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on));
   ev_io_init(&conn->io, on_io, fd, EV_READ);
   conn->io.data = conn;
   return conn;
 }
 
-static fc_wake conn_wait(fc_conn *conn, int events, double deadline) {
+/* Waits until the socket is ready. False at the deadline or when the routine is cancelled. */
+static bool conn_wait(fc_conn *conn, int events, double deadline) {
   conn->wanted = events;
   conn->waiter = fc_routine_self();
   if ((conn->io.events & (EV_READ | EV_WRITE)) != events) {
     ev_io_stop(fc_loop(), &conn->io);
-    /* Not ev_io_set(): after it libev takes the descriptor for a new one, and tells the
-     * kernel of it with a call that fails and one that does not, at every wait. */
+    /* Not ev_io_set(): after it libev takes the descriptor for a new one, and registers it with
+     * the kernel by a call that fails and one that does not, at every wait. */
     ev_io_modify(&conn->io, events);
   }
-  ev_io_start(fc_loop(), &conn->io); /* nothing when it is active */
-  fc_wake w = fc_routine_park(deadline);
+  ev_io_start(fc_loop(), &conn->io); /* without effect when it is active */
+  fc_wake wake = fc_routine_park(deadline);
   conn->waiter = NULL;
-  return w;
+  return wake == FC_WAKE_OK;
+}
+
+static struct sockaddr_in socket_address(const fc_endpoint *endpoint) {
+  return (struct sockaddr_in){
+      .sin_family = AF_INET, .sin_port = htons(endpoint->port), .sin_addr.s_addr = endpoint->ip};
+}
+
+static bool connected(int fd) {
+  int error = 0;
+  socklen_t size = sizeof error;
+  return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline) {
@@ -95,60 +109,56 @@
   if (fd < 0) return NULL;
   fc_conn *conn = conn_new(fd);
   if (!conn) return NULL;
-  struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(to->port)};
-  sa.sin_addr.s_addr = to->ip;
-  if (count_call(connect(fd, (struct sockaddr *)&sa, sizeof sa)) == 0) return conn;
-  if (errno != EINPROGRESS) goto fail;
-  if (conn_wait(conn, EV_WRITE, deadline) != FC_WAKE_OK) goto fail;
-  int err = 0;
-  socklen_t len = sizeof err;
-  if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len) != 0 || err != 0) goto fail;
-  return conn;
-fail:
+  struct sockaddr_in address = socket_address(to);
+  if (count_call(connect(fd, (struct sockaddr *)&address, sizeof address)) == 0) return conn;
+  if (errno == EINPROGRESS && conn_wait(conn, EV_WRITE, deadline) && connected(fd)) return conn;
   fc_conn_close(conn);
   return NULL;
 }
 
-ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t size, double deadline) {
+static bool would_block(void) {
+  return errno == EAGAIN || errno == EWOULDBLOCK;
+}
+
+ssize_t fc_conn_read(fc_conn *conn, void *buffer, size_t size, double deadline) {
   for (;;) {
-    /* Saves a system call for each message; each is dear where we run. */
-    if (conn->wait_first) {
-      conn->wait_first = false;
-      if (conn_wait(conn, EV_READ, deadline) != FC_WAKE_OK) return -1;
+    /* Saves a recv() in vain for each message; system calls are slow where this runs. */
+    if (conn->just_written) {
+      conn->just_written = false;
+      if (!conn_wait(conn, EV_READ, deadline)) return -1;
     }
-    ssize_t n = count_call(recv(conn->fd, buf, size, 0));
-    if (n >= 0) {
-      fc_routine_usage()->bytes_in += (uint64_t)n;
-      return n;
+    ssize_t received = count_call(recv(conn->fd, buffer, size, 0));
+    if (received >= 0) {
+      fc_routine_usage()->bytes_in += (uint64_t)received;
+      return received;
     }
     if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) return -1;
-    if (conn_wait(conn, EV_READ, deadline) != FC_WAKE_OK) return -1;
+    if (!would_block() || !conn_wait(conn, EV_READ, deadline)) return -1;
   }
 }
 
-bool fc_conn_write(fc_conn *conn, const void *buf, size_t size, double deadline) {
-  const char *p = buf;
+bool fc_conn_write(fc_conn *conn, const void *buffer, size_t size, double deadline) {
+  const char *next = buffer;
   while (size > 0) {
-    ssize_t n = count_call(send(conn->fd, p, size, MSG_NOSIGNAL));
-    if (n > 0) {
-      fc_routine_usage()->bytes_out += (uint64_t)n;
-      p += n;
-      size -= (size_t)n;
+    ssize_t sent = count_call(send(conn->fd, next, size, MSG_NOSIGNAL));
+    if (sent > 0) {
+      fc_routine_usage()->bytes_out += (uint64_t)sent;
+      next += sent;
+      size -= (size_t)sent;
       continue;
     }
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) return false;
-    if (conn_wait(conn, EV_WRITE, deadline) != FC_WAKE_OK) return false;
+    if (sent < 0 && errno == EINTR) continue;
+    if (sent < 0 && !would_block()) return false;
+    if (!conn_wait(conn, EV_WRITE, deadline)) return false;
   }
-  conn->wait_first = true;
+  conn->just_written = true;
   return true;
 }
 
 bool fc_conn_stale(fc_conn *conn) {
   char byte;
-  ssize_t n = count_call(recv(conn->fd, &byte, 1, MSG_PEEK));
-  return !(n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
+  ssize_t received = count_call(recv(conn->fd, &byte, 1, MSG_PEEK));
+  return received >= 0 || !would_block();
 }
 
 void fc_conn_close(fc_conn *conn) {
@@ -166,11 +176,12 @@
   ev_io io;
   fc_conn_fn on_conn;
   void *arg;
-  size_t open, most;
+  size_t open_count, open_max;
 };
 
 bool fc_conn_crowded(const fc_conn *conn) {
-  return conn->from && conn->from->open * 5 >= conn->from->most * 4;
+  const listener *listener = conn->accepted_by;
+  return listener && listener->open_count * 5 >= listener->open_max * 4;
 }
 
 typedef struct accepted {
@@ -178,66 +189,77 @@
   fc_conn *conn;
 } accepted;
 
-static void accepted_main(void *arg) {
-  accepted a = *(accepted *)arg;
+static void serve_accepted(void *arg) {
+  accepted accepted_conn = *(accepted *)arg;
+  free(arg);
+  listener *listener = accepted_conn.listener;
+  listener->on_conn(accepted_conn.conn, listener->arg);
+  fc_conn_close(accepted_conn.conn);
+  listener->open_count--;
+}
+
+/* Starts a routine that serves the connection. */
+static bool spawn_server(listener *listener, fc_conn *conn) {
+  accepted *arg = malloc(sizeof *arg);
+  if (!arg) return false;
+  *arg = (accepted){.listener = listener, .conn = conn};
+  if (fc_routine_spawn(serve_accepted, arg)) return true;
   free(arg);
-  a.listener->on_conn(a.conn, a.listener->arg);
-  fc_conn_close(a.conn);
-  a.listener->open--;
+  return false;
 }
 
-static void on_accept(struct ev_loop *loop, ev_io *w, int events) {
+static void on_accept(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)loop;
   (void)events;
-  listener *l = w->data;
+  listener *listener = watcher->data;
   for (;;) {
-    int fd = accept4(w->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    int fd = accept4(watcher->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    /* Past the bound the connection is closed at once: the sockets left over
-     * are needed for workers, peers and the state service. */
-    if (l->open >= l->most) {
+    /* Beyond the limit the connection is closed at once: the remaining descriptors are needed for
+     * workers, peers and the key-value store. */
+    if (listener->open_count >= listener->open_max) {
       close(fd);
       continue;
     }
     fc_conn *conn = conn_new(fd);
-    accepted *a = conn ? malloc(sizeof *a) : NULL;
-    if (!a) {
-      if (conn) fc_conn_close(conn);
-      continue;
-    }
-    a->listener = l;
-    a->conn = conn;
-    conn->from = l;
-    l->open++;
-    if (!fc_routine_spawn(accepted_main, a)) {
-      l->open--;
+    if (!conn) continue;
+    conn->accepted_by = listener;
+    if (spawn_server(listener, conn)) {
+      listener->open_count++;
+    } else {
       fc_conn_close(conn);
-      free(a);
     }
   }
 }
 
-bool fc_listen(const fc_endpoint *at, size_t most, fc_conn_fn on_conn, void *arg) {
+/* A listening socket; -1 when there can be none. */
+static int open_listener(const fc_endpoint *at) {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (fd < 0) return -1;
+  int on = 1;
+  struct sockaddr_in address = socket_address(at);
+  if (setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0) goto fail;
+  if (bind(fd, (struct sockaddr *)&address, sizeof address) != 0) goto fail;
+  if (listen(fd, LISTEN_BACKLOG) != 0) goto fail;
+  return fd;
+fail:
+  close(fd);
+  return -1;
+}
+
+bool fc_listen(const fc_endpoint *at, size_t most, fc_conn_fn on_conn, void *arg) {
+  int fd = open_listener(at);
   if (fd < 0) return false;
-  int one = 1;
-  struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(at->port)};
-  sa.sin_addr.s_addr = at->ip;
-  if (setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one) != 0 ||
-      bind(fd, (struct sockaddr *)&sa, sizeof sa) != 0 || listen(fd, 256) != 0) {
-    close(fd);
-    return false;
-  }
-  listener *l = calloc(1, sizeof *l);
-  if (!l) {
+  listener *listener = calloc(1, sizeof *listener);
+  if (!listener) {
     close(fd);
     return false;
   }
-  l->on_conn = on_conn;
-  l->arg = arg;
-  l->most = most;
-  ev_io_init(&l->io, on_accept, fd, EV_READ);
-  l->io.data = l;
-  ev_io_start(fc_loop(), &l->io);
+  listener->on_conn = on_conn;
+  listener->arg = arg;
+  listener->open_max = most;
+  ev_io_init(&listener->io, on_accept, fd, EV_READ);
+  listener->io.data = listener;
+  ev_io_start(fc_loop(), &listener->io);
   return true;
 }
--- a/src/transport/conn.h
+++ b/src/transport/conn.h
@@ -1,4 +1,5 @@
-/* TCP connections whose reads and writes wait inside the calling routine. */
+/* TCP connections and listeners. Reads and writes wait inside the calling routine, with deadlines of
+ * the monotonic clock. */
 #ifndef FC_TRANSPORT_CONN_H
 #define FC_TRANSPORT_CONN_H
 
@@ -10,32 +11,38 @@
 typedef struct fc_conn fc_conn;
 
 typedef struct fc_endpoint {
-  uint32_t ip; /* network order */
+  uint32_t ip; /* IPv4, network byte order */
   uint16_t port;
 } fc_endpoint;
 
 /* Of a buffer for an endpoint's text, with the closing NUL. */
 #define FC_ENDPOINT_SIZE 32
 
-/* "10.0.0.1:8080"; false when it is anything else. */
+/* Reads a text such as "10.0.0.1:8080"; false when it is malformed or NULL. */
 bool fc_endpoint_parse(const char *text, fc_endpoint *out);
 
+/* The connection is the caller's to close; NULL when it is refused, at the deadline or when the
+ * routine is cancelled. May suspend the calling routine. */
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline);
-/* Bytes read, 0 at the end of the stream, -1 on error, deadline or cancel. */
-ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t size, double deadline);
-bool fc_conn_write(fc_conn *conn, const void *buf, size_t size, double deadline);
-/* True when the other side has closed an idle connection, or sent unasked. */
+/* The number of bytes read; 0 at the end of the stream; -1 on an error, at the deadline or when the
+ * routine is cancelled. May suspend the calling routine. */
+ssize_t fc_conn_read(fc_conn *conn, void *buffer, size_t size, double deadline);
+/* Writes all bytes. False on an error, at the deadline or when the routine is cancelled; some may
+ * be sent then. May suspend the calling routine. */
+bool fc_conn_write(fc_conn *conn, const void *buffer, size_t size, double deadline);
+/* Whether an idle connection is unusable: the other side has closed it or sent something unasked. */
 bool fc_conn_stale(fc_conn *conn);
-/* A number of its own. */
+/* A number that no other connection of this process has. */
 uint64_t fc_conn_number(const fc_conn *conn);
-/* Does its listener have little room left for new connections? */
+/* Whether the listener that accepted it has little room left for new connections. */
 bool fc_conn_crowded(const fc_conn *conn);
+/* Closes and frees the connection; NULL: nothing. */
 void fc_conn_close(fc_conn *conn);
 
-/* Accepts until the process ends; each connection gets a routine of its own.
- * At most `most` connections of this listener are open; `on_conn` owns none of
- * the connection: it is closed when the function returns. */
-typedef void (*fc_conn_fn)(fc_conn *c, void *arg);
+/* Serves one connection, in a routine of its own; it is closed when the function returns. */
+typedef void (*fc_conn_fn)(fc_conn *conn, void *arg);
+/* Accepts connections until the process ends, at most `most` open at a time. False when the address
+ * cannot be listened on. */
 bool fc_listen(const fc_endpoint *at, size_t most, fc_conn_fn on_conn, void *arg);
 
 #endif
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -1,3 +1,4 @@
+/* The HTTP client: a pool of connections to one server. */
 #include <http_parser.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,82 +8,86 @@
 
 #define POOL_MAX 4u
 #define POOL_IDLE_S 20.0
-#define POOL_TRUSTED_S 0.5 /* so shortly after an answer it is taken to be open */
+#define POOL_FRESH_S 0.5 /* a connection idle for less is taken to be open without a check */
+#define HEADER_NAME_MAX 1024u
+#define HEADER_VALUE_MAX 8192u
+#define RETRY_AFTER_MAX_S 3600
+#define REQUEST_HEAD_SIZE 256u
 
-typedef struct pooled {
+typedef struct pooled_conn {
   fc_conn *conn;
-  double since;
-} pooled;
+  double idle_since;
+} pooled_conn;
 
 struct fc_http_client {
   fc_endpoint to;
-  char host[32];
+  char host[FC_ENDPOINT_SIZE];
   size_t most_body;
-  pooled pool[POOL_MAX];
+  pooled_conn pool[POOL_MAX]; /* the most recently used last */
   size_t pool_count;
 };
 
+/* What the parser has found of an answer. */
 typedef struct answer {
   GString *body;
   size_t most_body;
-  GString *field;
-  GString *value;
+  GString *header_name, *header_value; /* of the header that is being parsed */
   bool in_value, complete, too_large;
   int retry_after_s;
 } answer;
 
-static void end_header(answer *a) {
-  if (a->field->len && g_ascii_strcasecmp(a->field->str, "Retry-After") == 0) {
-    long v = strtol(a->value->str, NULL, 10);
-    if (v > 0 && v < 3600) a->retry_after_s = (int)v;
+static void end_header(answer *answer) {
+  if (g_ascii_strcasecmp(answer->header_name->str, "Retry-After") == 0) {
+    long seconds = strtol(answer->header_value->str, NULL, 10);
+    if (seconds > 0 && seconds < RETRY_AFTER_MAX_S) answer->retry_after_s = (int)seconds;
   }
-  g_string_truncate(a->field, 0);
-  g_string_truncate(a->value, 0);
+  g_string_truncate(answer->header_name, 0);
+  g_string_truncate(answer->header_value, 0);
 }
 
-static int on_field(http_parser *p, const char *at, size_t len) {
-  answer *a = p->data;
-  if (a->in_value) {
-    end_header(a);
-    a->in_value = false;
+static int on_header_name(http_parser *parser, const char *text, size_t length) {
+  answer *answer = parser->data;
+  if (answer->in_value) {
+    end_header(answer);
+    answer->in_value = false;
   }
-  if (a->field->len + len > 1024) return 1;
-  g_string_append_len(a->field, at, (gssize)len);
+  if (answer->header_name->len + length > HEADER_NAME_MAX) return 1;
+  g_string_append_len(answer->header_name, text, (gssize)length);
   return 0;
 }
 
-static int on_value(http_parser *p, const char *at, size_t len) {
-  answer *a = p->data;
-  a->in_value = true;
-  if (a->value->len + len > 8192) return 1;
-  g_string_append_len(a->value, at, (gssize)len);
+static int on_header_value(http_parser *parser, const char *text, size_t length) {
+  answer *answer = parser->data;
+  answer->in_value = true;
+  if (answer->header_value->len + length > HEADER_VALUE_MAX) return 1;
+  g_string_append_len(answer->header_value, text, (gssize)length);
   return 0;
 }
 
-static int on_headers(http_parser *p) {
-  end_header(p->data);
+static int on_headers_complete(http_parser *parser) {
+  end_header(parser->data);
   return 0;
 }
 
-static int on_body(http_parser *p, const char *at, size_t len) {
-  answer *a = p->data;
-  a->too_large = a->body->len + len > a->most_body;
-  if (a->too_large) return 1;
-  g_string_append_len(a->body, at, (gssize)len);
+static int on_body(http_parser *parser, const char *bytes, size_t length) {
+  answer *answer = parser->data;
+  answer->too_large = answer->body->len + length > answer->most_body;
+  if (answer->too_large) return 1;
+  g_string_append_len(answer->body, bytes, (gssize)length);
   return 0;
 }
 
-static int on_complete(http_parser *p) {
-  answer *a = p->data;
-  a->complete = true;
-  http_parser_pause(p, 1);
+static int on_complete(http_parser *parser) {
+  answer *answer = parser->data;
+  answer->complete = true;
+  http_parser_pause(parser, 1);
   return 0;
 }
 
 static const http_parser_settings k_settings = {
-    .on_header_field = on_field,
-    .on_header_value = on_value,
-    .on_headers_complete = on_headers,
+    .on_header_field = on_header_name,
+    .on_header_value = on_header_value,
+    .on_headers_complete = on_headers_complete,
     .on_body = on_body,
     .on_message_complete = on_complete,
 };
@@ -102,80 +107,87 @@
   g_free(client);
 }
 
-static fc_conn *take_conn(fc_http_client *client, double deadline) {
+/* A connection of the pool that is still open, or a new one; NULL: there is none. */
+static fc_conn *acquire_conn(fc_http_client *client, double deadline) {
   double now = fc_now();
   while (client->pool_count > 0) {
-    pooled p = client->pool[--client->pool_count];
-    double idle = now - p.since;
-    if (idle < POOL_IDLE_S && (idle < POOL_TRUSTED_S || !fc_conn_stale(p.conn))) return p.conn;
-    fc_conn_close(p.conn);
+    pooled_conn pooled = client->pool[--client->pool_count];
+    double idle_s = now - pooled.idle_since;
+    if (idle_s < POOL_IDLE_S && (idle_s < POOL_FRESH_S || !fc_conn_stale(pooled.conn))) return pooled.conn;
+    fc_conn_close(pooled.conn);
   }
   return fc_conn_connect(&client->to, deadline);
 }
 
-static void give_conn(fc_http_client *client, fc_conn *conn) {
+static void release_conn(fc_http_client *client, fc_conn *conn) {
   if (client->pool_count == POOL_MAX) {
     fc_conn_close(conn);
     return;
   }
-  client->pool[client->pool_count++] = (pooled){.conn = conn, .since = fc_now()};
+  client->pool[client->pool_count++] = (pooled_conn){.conn = conn, .idle_since = fc_now()};
 }
 
-/* One for all: nothing waits between filling it and having parsed what is in it. */
+static GString *encode_request(const fc_http_client *client, const char *method, const char *path, const char *body,
+                               size_t body_len) {
+  GString *out = g_string_sized_new(REQUEST_HEAD_SIZE + body_len);
+  g_string_append_printf(out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, client->host);
+  if (body) {
+    g_string_append_printf(out, "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n", body_len);
+    g_string_append_len(out, body, (gssize)body_len);
+  } else {
+    g_string_append(out, strcmp(method, "GET") == 0 ? "\r\n" : "Content-Length: 0\r\n\r\n");
+  }
+  return out;
+}
+
+/* Shared by all routines: none is suspended between filling it and parsing what is in it. */
 static char g_input[16u * 1024u];
 
-/* Reads one whole answer into `a`; true when it is complete. */
-static bool read_answer(fc_conn *conn, http_parser *p, answer *a, double deadline) {
-  while (!a->complete) {
-    ssize_t n = fc_conn_read(conn, g_input, sizeof g_input, deadline);
-    if (n < 0) return false;
-    http_parser_execute(p, &k_settings, g_input, (size_t)n); /* n == 0 tells the parser of the end */
-    enum http_errno err = HTTP_PARSER_ERRNO(p);
-    if (err != HPE_OK && err != HPE_PAUSED) return false;
-    if (n == 0) break;
+/* Reads one whole answer; true when it is complete. */
+static bool read_answer(fc_conn *conn, http_parser *parser, double deadline) {
+  const answer *answer = parser->data;
+  while (!answer->complete) {
+    ssize_t received = fc_conn_read(conn, g_input, sizeof g_input, deadline);
+    if (received < 0) return false;
+    http_parser_execute(parser, &k_settings, g_input, (size_t)received); /* 0 bytes: the end of the stream */
+    enum http_errno error = HTTP_PARSER_ERRNO(parser);
+    if (error != HPE_OK && error != HPE_PAUSED) return false;
+    if (received == 0) break;
   }
-  return a->complete;
+  return answer->complete;
 }
 
 bool fc_http_call(fc_http_client *client, const char *method, const char *path, const char *body, size_t body_len,
                   double deadline, fc_http_reply *reply) {
   *reply = (fc_http_reply){.body = g_string_new(NULL)};
-  fc_conn *conn = take_conn(client, deadline);
+  fc_conn *conn = acquire_conn(client, deadline);
   if (!conn) {
     reply->unsent = true;
     return false;
   }
-  answer a = {
-      .body = reply->body, .most_body = client->most_body, .field = g_string_new(NULL), .value = g_string_new(NULL)};
-  GString *out = g_string_sized_new(256 + body_len);
-  g_string_append_printf(out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, client->host);
-  if (body) {
-    g_string_append_printf(out, "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n", body_len);
-    g_string_append_len(out, body, (gssize)body_len);
-  } else {
-    g_string_append(out, strcmp(method, "GET") == 0 ? "\r\n" : "Content-Length: 0\r\n\r\n");
-  }
-  http_parser p;
-  http_parser_init(&p, HTTP_RESPONSE);
-  p.data = &a;
-  bool ok = fc_conn_write(conn, out->str, out->len, deadline) && read_answer(conn, &p, &a, deadline);
-  reply->too_large = a.too_large;
-  bool keep = false;
-  if (ok) {
-    reply->status = (int)p.status_code;
-    reply->retry_after_s = a.retry_after_s;
-    http_parser_pause(&p, 0);
-    keep = http_should_keep_alive(&p);
+  g_autoptr(GString) header_name = g_string_new(NULL);
+  g_autoptr(GString) header_value = g_string_new(NULL);
+  answer answer = {
+      .body = reply->body, .most_body = client->most_body, .header_name = header_name, .header_value = header_value};
+  http_parser parser;
+  http_parser_init(&parser, HTTP_RESPONSE);
+  parser.data = &answer;
+  g_autoptr(GString) request = encode_request(client, method, path, body, body_len);
+  bool answered = fc_conn_write(conn, request->str, request->len, deadline) && read_answer(conn, &parser, deadline);
+  reply->too_large = answer.too_large;
+  bool reusable = false;
+  if (answered) {
+    reply->status = (int)parser.status_code;
+    reply->retry_after_s = answer.retry_after_s;
+    http_parser_pause(&parser, 0);
+    reusable = http_should_keep_alive(&parser);
   }
-  if (keep) {
-    give_conn(client, conn);
+  if (reusable) {
+    release_conn(client, conn);
   } else {
     fc_conn_close(conn);
   }
-  g_string_free(out, TRUE);
-  g_string_free(a.field, TRUE);
-  g_string_free(a.value, TRUE);
-  return ok;
+  return answered;
 }
 
 void fc_http_reply_clear(fc_http_reply *reply) {
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -1,74 +1,65 @@
+/* The HTTP server: one request after the other on each connection. */
 #include <http_parser.h>
 #include <string.h>
 
 #include "transport/http.h"
 #include "transport/routine.h"
 
-#define URL_MAX 2048u
-#define HEAD_MAX ((size_t)16 * 1024) /* also bounds http-parser's own header count */
+#define URL_LENGTH_MAX 2048u
+#define HEADERS_LENGTH_MAX ((size_t)16 * 1024) /* also bounds http-parser's own header count */
+#define RESPONSE_HEAD_SIZE 256u
 
 typedef struct server {
   fc_http_server_options opt;
   fc_http_handler handler;
   void *arg;
-  const char *first; /* bytes that were read before we got the connection */
+  const char *first; /* bytes that were read before the connection was handed to this server */
   size_t first_len;
 } server;
 
-typedef struct exchange {
+/* What the parser has found of a request. */
+typedef struct incoming {
   GString *url;
   GString *body;
-  size_t head_bytes;
-  bool begun, complete, too_large;
-} exchange;
-
-static int on_begin(http_parser *p) {
-  exchange *x = p->data;
-  x->begun = true;
+  size_t headers_length;
+  bool complete, too_large;
+} incoming;
+
+/* Appends bytes up to a bound; the result is the parser's: not 0 ends it. */
+static int append_bounded(incoming *incoming, GString *out, const char *bytes, size_t length, size_t most) {
+  incoming->too_large = out->len + length > most;
+  if (incoming->too_large) return 1;
+  g_string_append_len(out, bytes, (gssize)length);
   return 0;
 }
 
-static int on_url(http_parser *p, const char *at, size_t len) {
-  exchange *x = p->data;
-  if (x->url->len + len > URL_MAX) {
-    x->too_large = true;
-    return 1;
-  }
-  g_string_append_len(x->url, at, (gssize)len);
-  return 0;
+static int on_url(http_parser *parser, const char *text, size_t length) {
+  incoming *incoming = parser->data;
+  return append_bounded(incoming, incoming->url, text, length, URL_LENGTH_MAX);
 }
 
-static int on_header(http_parser *p, const char *at, size_t len) {
-  (void)at;
-  exchange *x = p->data;
-  x->head_bytes += len;
-  if (x->head_bytes > HEAD_MAX) {
-    x->too_large = true;
-    return 1;
-  }
-  return 0;
+static int on_header(http_parser *parser, const char *text, size_t length) {
+  (void)text;
+  incoming *incoming = parser->data;
+  incoming->headers_length += length;
+  incoming->too_large = incoming->headers_length > HEADERS_LENGTH_MAX;
+  return incoming->too_large ? 1 : 0;
 }
 
-static int on_body(http_parser *p, const char *at, size_t len) {
-  exchange *x = p->data;
-  if (x->body->len + len > FC_HTTP_BODY_MAX) {
-    x->too_large = true;
-    return 1;
-  }
-  g_string_append_len(x->body, at, (gssize)len);
-  return 0;
+static int on_body(http_parser *parser, const char *bytes, size_t length) {
+  incoming *incoming = parser->data;
+  return append_bounded(incoming, incoming->body, bytes, length, FC_HTTP_BODY_MAX);
 }
 
-static int on_complete(http_parser *p) {
-  exchange *x = p->data;
-  x->complete = true;
-  /* Requests are never pipelined: stop here, so that none is parsed into this one. */
-  http_parser_pause(p, 1);
+static int on_complete(http_parser *parser) {
+  incoming *incoming = parser->data;
+  incoming->complete = true;
+  /* Requests are never pipelined: the parser stops here, so that no other is parsed into this one. */
+  http_parser_pause(parser, 1);
   return 0;
 }
 
 static const http_parser_settings k_settings = {
-    .on_message_begin = on_begin,
     .on_url = on_url,
     .on_header_field = on_header,
     .on_header_value = on_header,
@@ -88,112 +79,113 @@
   }
 }
 
-static bool send_response(fc_conn *conn, const fc_http_response *res, bool keep, double deadline) {
-  GString *out = g_string_sized_new(256 + (res->body ? res->body->len : 0));
+static bool send_response(fc_conn *conn, const fc_http_response *res, bool keep_alive, double deadline) {
+  g_autoptr(GString) out = g_string_sized_new(RESPONSE_HEAD_SIZE + res->body->len);
   g_string_append_printf(out, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n", res->status,
                          reason_of(res->status), res->content_type ? res->content_type : "application/json",
-                         res->body ? res->body->len : 0);
+                         res->body->len);
   if (res->retry_after_s > 0) g_string_append_printf(out, "Retry-After: %d\r\n", res->retry_after_s);
   if (res->allow) g_string_append_printf(out, "Allow: %s\r\n", res->allow);
-  if (!keep) g_string_append(out, "Connection: close\r\n");
+  if (!keep_alive) g_string_append(out, "Connection: close\r\n");
   g_string_append(out, "\r\n");
-  if (res->body) g_string_append_len(out, res->body->str, (gssize)res->body->len);
-  bool ok = fc_conn_write(conn, out->str, out->len, deadline);
-  g_string_free(out, TRUE);
-  return ok;
+  g_string_append_len(out, res->body->str, (gssize)res->body->len);
+  return fc_conn_write(conn, out->str, out->len, deadline);
 }
 
-static bool send_plain(fc_conn *conn, int status, const char *what, double deadline) {
-  fc_http_response res = {.status = status, .body = g_string_new(NULL)};
-  g_string_append_printf(res.body, "{\"error\":\"%s\"}", what);
-  bool ok = send_response(conn, &res, false, deadline);
-  g_string_free(res.body, TRUE);
-  return ok;
+/* Answers a request that cannot be parsed; the connection is closed after it. */
+static void send_bad_request(fc_conn *conn, const char *reason, double deadline) {
+  g_autoptr(GString) body = g_string_new(NULL);
+  g_string_append_printf(body, "{\"error\":\"%s\"}", reason);
+  const fc_http_response res = {.status = HTTP_STATUS_BAD_REQUEST, .body = body};
+  (void)send_response(conn, &res, false, deadline);
 }
 
-/* One for all: nothing waits between filling it and having parsed what is in it. On each
- * connection's stack it took a page of memory for as long as the connection is open. */
+/* Shared by all routines: none is suspended between filling it and parsing what is in it. On each
+ * connection's stack it would use a page of memory for as long as the connection is open. */
 static char g_input[16u * 1024u];
 
-/* Reads one request; false ends the connection. */
-static bool read_request(server *s, fc_conn *conn, http_parser *p, exchange *x) {
-  char *buf = g_input;
-  double deadline = fc_now() + s->opt.idle_s;
-  bool timed = false;
-  while (!x->complete) {
-    ssize_t n = (ssize_t)s->first_len;
-    if (n > 0) {
-      memcpy(buf, s->first, s->first_len);
-      s->first_len = 0;
-    } else {
-      n = fc_conn_read(conn, buf, sizeof g_input, deadline);
-    }
-    if (n <= 0) return false;
-    if (!timed) {
-      timed = true;
-      deadline = fc_now() + s->opt.request_s;
+/* Fills g_input with the bytes that were read before, or else from the connection. */
+static ssize_t read_input(server *server, fc_conn *conn, double deadline) {
+  size_t length = server->first_len;
+  if (length == 0) return fc_conn_read(conn, g_input, sizeof g_input, deadline);
+  memcpy(g_input, server->first, length);
+  server->first_len = 0;
+  return (ssize_t)length;
+}
+
+/* Reads one request; false: the connection is to be closed. */
+static bool read_request(server *server, fc_conn *conn, http_parser *parser) {
+  const incoming *incoming = parser->data;
+  double deadline = fc_now() + server->opt.idle_s;
+  bool arriving = false;
+  while (!incoming->complete) {
+    ssize_t received = read_input(server, conn, deadline);
+    if (received <= 0) return false;
+    if (!arriving) {
+      arriving = true;
+      deadline = fc_now() + server->opt.request_s;
     }
-    http_parser_execute(p, &k_settings, buf, (size_t)n);
-    enum http_errno err = HTTP_PARSER_ERRNO(p);
-    if (err != HPE_OK && err != HPE_PAUSED) {
-      (void)send_plain(conn, 400, x->too_large ? "request too large" : "malformed HTTP", deadline);
+    http_parser_execute(parser, &k_settings, g_input, (size_t)received);
+    enum http_errno error = HTTP_PARSER_ERRNO(parser);
+    if (error != HPE_OK && error != HPE_PAUSED) {
+      send_bad_request(conn, incoming->too_large ? "request too large" : "malformed HTTP", deadline);
       return false;
     }
   }
   return true;
 }
 
-static bool serve_one(server *s, fc_conn *conn, http_parser *p, exchange *x) {
-  if (!read_request(s, conn, p, x)) return false;
-  bool keep = http_should_keep_alive(p);
-  http_parser_pause(p, 0);
-  char *query = strchr(x->url->str, '?');
+/* Calls the handler and sends its answer; false: the connection is to be closed. */
+static bool answer_request(const server *server, fc_conn *conn, const http_parser *parser, bool keep_alive) {
+  const incoming *incoming = parser->data;
+  char *query = strchr(incoming->url->str, '?');
   if (query) *query++ = '\0';
-  fc_http_request req = {
-      .method = http_method_str((enum http_method)p->method),
-      .path = x->url->str,
+  const fc_http_request req = {
+      .method = http_method_str((enum http_method)parser->method),
+      .path = incoming->url->str,
       .query = query ? query : "",
-      .body = x->body->str,
-      .body_len = x->body->len,
+      .body = incoming->body->str,
+      .body_len = incoming->body->len,
       .connection = fc_conn_number(conn),
       .crowded = fc_conn_crowded(conn),
   };
-  fc_http_response res = {.status = 500, .body = g_string_new(NULL)};
-  s->handler(&req, &res, s->arg);
-  keep = keep && !res.close && !fc_routine_cancelled();
-  bool ok = send_response(conn, &res, keep, fc_now() + s->opt.request_s);
-  g_string_free(res.body, TRUE);
-  return ok && keep;
+  g_autoptr(GString) body = g_string_new(NULL);
+  fc_http_response res = {.status = HTTP_STATUS_INTERNAL_SERVER_ERROR, .body = body};
+  server->handler(&req, &res, server->arg);
+  keep_alive = keep_alive && !res.close && !fc_routine_cancelled();
+  return send_response(conn, &res, keep_alive, fc_now() + server->opt.request_s) && keep_alive;
 }
 
-static void serve(fc_conn *conn, void *arg) {
-  server *s = arg;
-  http_parser p;
-  bool go_on = true;
-  while (go_on) {
-    http_parser_init(&p, HTTP_REQUEST);
-    exchange x = {.url = g_string_new(NULL), .body = g_string_new(NULL)};
-    p.data = &x;
-    go_on = serve_one(s, conn, &p, &x);
-    g_string_free(x.url, TRUE);
-    g_string_free(x.body, TRUE);
-  }
+/* Serves one request; false: the connection is to be closed. */
+static bool serve_request(server *server, fc_conn *conn) {
+  g_autoptr(GString) url = g_string_new(NULL);
+  g_autoptr(GString) body = g_string_new(NULL);
+  incoming incoming = {.url = url, .body = body};
+  http_parser parser;
+  http_parser_init(&parser, HTTP_REQUEST);
+  parser.data = &incoming;
+  if (!read_request(server, conn, &parser)) return false;
+  bool keep_alive = http_should_keep_alive(&parser);
+  return answer_request(server, conn, &parser, keep_alive);
+}
+
+static void serve_conn(fc_conn *conn, void *arg) {
+  bool keep_alive = true;
+  while (keep_alive) keep_alive = serve_request(arg, conn);
 }
 
 void fc_http_serve_conn(fc_conn *conn, const char *first, size_t first_len, const fc_http_server_options *opt,
                         fc_http_handler handler, void *arg) {
-  server s = {.opt = *opt, .handler = handler, .arg = arg, .first = first, .first_len = first_len};
-  serve(conn, &s);
+  server server = {.opt = *opt, .handler = handler, .arg = arg, .first = first, .first_len = first_len};
+  serve_conn(conn, &server);
 }
 
 bool fc_http_serve(const fc_endpoint *at, const fc_http_server_options *opt, fc_http_handler handler, void *arg) {
-  server *s = g_new0(server, 1);
-  s->opt = *opt;
-  s->handler = handler;
-  s->arg = arg;
-  if (!fc_listen(at, opt->most_connections, serve, s)) {
-    g_free(s);
-    return false;
-  }
-  return true;
+  server *server = g_new0(struct server, 1);
+  server->opt = *opt;
+  server->handler = handler;
+  server->arg = arg;
+  if (fc_listen(at, opt->most_connections, serve_conn, server)) return true;
+  g_free(server);
+  return false;
 }
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -13,9 +13,9 @@
 #define ASAN_UNPOISON_MEMORY_REGION(p, n) ((void)0)
 #endif
 
-/* Boost.Context's switching primitives have a C calling convention but only a
- * C++ header, so they are declared here. They make no system call, unlike the
- * swapcontext() under libpcl (docs/design.md, "Routines"). */
+/* Boost.Context's switching functions have a C calling convention but only a C++ header, so they
+ * are declared here. They make no system call, unlike the swapcontext() under libpcl
+ * (docs/design.md, "Routines"). */
 typedef void *fcontext_t;
 typedef struct {
   fcontext_t fctx;
@@ -27,30 +27,33 @@
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(transfer_t));
 
-/* Only the pages a routine touches count as memory; what is reserved does not. */
+/* Of address space: memory is used only for the pages that a routine touches. */
 #define STACK_BYTES ((size_t)96 * 1024)
 #define GUARD_BYTES 4096u
-#define SPARE_STACKS 16u
-#define SWEEPS_MOST 4u
+/* Stacks of finished routines that are reused. */
+#define SPARE_STACKS_MAX 16u
+#define QUEUE_PASSES_MAX 4u
 #define LAG_HALF_LIFE_S 1.0
+#define TIMER_REUSE_SHARE_MIN 0.5
 
 struct fc_routine {
   fcontext_t context;
-  fc_routine_fn fn;
+  fc_routine_fn body;
   void *arg;
   char *stack;
   fc_usage *usage;
   ev_timer timer;
-  double armed_until; /* when the timer fires, if it is active */
-  double deadline;    /* of the present wait */
+  double fires_at; /* of the timer, if it is active */
+  double deadline; /* of the present wait */
   fc_wake reason;
-  bool parked;
+  bool parked; /* suspended until it is woken */
   bool queued; /* in the run queue */
   bool cancelled;
   bool finished;
   fc_routine *next; /* run queue */
 };
 
+/* One wait on a condition, on the stack of its routine. */
 struct fc_waiter {
   fc_routine *routine;
   struct fc_waiter *next;
@@ -63,17 +66,17 @@
 static fc_routine *g_queue_head, *g_queue_tail;
 static ev_prepare g_prepare;
 static ev_idle g_idle;
-static char *g_spare[SPARE_STACKS];
-static size_t g_spare_count;
-static size_t g_count;
-static fc_usage g_unaccounted; /* of routines that never said what they are for */
-static double g_slice_from;    /* use before this is counted already */
+static char *g_spare_stacks[SPARE_STACKS_MAX];
+static size_t g_spare_stack_count;
+static size_t g_routine_count;
+static fc_usage g_unaccounted; /* of routines that never called fc_routine_account() */
+static double g_slice_start;   /* processor time before this is accounted already */
 static double g_lag_s, g_lag_at;
 
 static double read_clock(clockid_t clock) {
-  struct timespec ts;
-  if (clock_gettime(clock, &ts) != 0) abort();
-  return (double)ts.tv_sec + (double)ts.tv_nsec * 1e-9;
+  struct timespec now;
+  if (clock_gettime(clock, &now) != 0) abort();
+  return (double)now.tv_sec + (double)now.tv_nsec * 1e-9;
 }
 
 double fc_now(void) {
@@ -94,7 +97,7 @@
   return g_self && g_self->cancelled;
 }
 size_t fc_routine_count(void) {
-  return g_count;
+  return g_routine_count;
 }
 
 fc_usage *fc_routine_usage(void) {
@@ -104,18 +107,19 @@
   return ev_iteration(g_loop);
 }
 
-/* Counts the time since the last call as used by the running routine. */
-static void count_slice(double now) {
-  g_self->usage->busy_s += now - g_slice_from;
-  g_slice_from = now;
+/* Accounts the time since the last call to the running routine. */
+static void account_slice(double now) {
+  g_self->usage->busy_s += now - g_slice_start;
+  g_slice_start = now;
 }
 
 void fc_routine_account(fc_usage *usage) {
   if (!g_self || g_self->usage == usage) return;
-  count_slice(fc_now());
+  account_slice(fc_now());
   g_self->usage = usage;
 }
 
+/* The recorded lag, decayed since. */
 static double lag_at(double now) {
   return g_lag_s * exp2((g_lag_at - now) / LAG_HALF_LIFE_S);
 }
@@ -124,42 +128,43 @@
   return lag_at(fc_now());
 }
 
-static void note_lag(double now, double late_s) {
+static void record_lag(double now, double late_s) {
   g_lag_s = fmax(late_s, lag_at(now));
   g_lag_at = now;
 }
 
-static char *stack_take(void) {
-  if (g_spare_count > 0) {
-    char *spare = g_spare[--g_spare_count];
-    /* The frames it ended with were never left. */
+static char *stack_acquire(void) {
+  if (g_spare_stack_count > 0) {
+    char *spare = g_spare_stacks[--g_spare_stack_count];
+    /* Its last functions never returned, so the sanitizer still guards their frames. */
     ASAN_UNPOISON_MEMORY_REGION(spare + GUARD_BYTES, STACK_BYTES - GUARD_BYTES);
     return spare;
   }
-  char *p = mmap(NULL, STACK_BYTES, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
-  if (p == MAP_FAILED) return NULL;
-  /* A guard page turns an overflow into a crash instead of corrupted tables. */
-  if (mprotect(p, GUARD_BYTES, PROT_NONE) != 0) {
-    munmap(p, STACK_BYTES);
+  char *stack = mmap(NULL, STACK_BYTES, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
+  if (stack == MAP_FAILED) return NULL;
+  /* A guard page turns an overflow into a crash instead of corrupted memory. */
+  if (mprotect(stack, GUARD_BYTES, PROT_NONE) != 0) {
+    munmap(stack, STACK_BYTES);
     return NULL;
   }
-  return p;
+  return stack;
 }
 
-static void stack_give(char *p) {
-  if (g_spare_count < SPARE_STACKS) {
-    g_spare[g_spare_count++] = p;
+static void stack_release(char *stack) {
+  if (g_spare_stack_count < SPARE_STACKS_MAX) {
+    g_spare_stacks[g_spare_stack_count++] = stack;
   } else {
-    munmap(p, STACK_BYTES);
+    munmap(stack, STACK_BYTES);
   }
 }
 
-static void entry(transfer_t t) {
-  g_main_context = t.fctx;
-  fc_routine *routine = t.data;
-  routine->fn(routine->arg);
+/* The first function on each routine's stack. */
+static void routine_entry(transfer_t from) {
+  g_main_context = from.fctx;
+  fc_routine *routine = from.data;
+  routine->body(routine->arg);
   routine->finished = true;
-  count_slice(fc_now());
+  account_slice(fc_now());
   jump_fcontext(g_main_context, routine);
   abort(); /* a finished routine is never entered again */
 }
@@ -176,46 +181,61 @@
   g_queue_tail = routine;
 }
 
-static void run_one(fc_routine *routine) {
-  fc_routine *before = g_self;
+/* Ends the wait of a parked routine. */
+static void resume(fc_routine *routine, fc_wake reason) {
+  routine->parked = false;
+  routine->reason = reason;
+  enqueue(routine);
+}
+
+static fc_routine *dequeue(void) {
+  fc_routine *routine = g_queue_head;
+  g_queue_head = routine->next;
+  if (!g_queue_head) g_queue_tail = NULL;
+  routine->queued = false;
+  return routine;
+}
+
+static void routine_free(fc_routine *routine) {
+  ev_timer_stop(g_loop, &routine->timer);
+  stack_release(routine->stack);
+  free(routine);
+  g_routine_count--;
+}
+
+/* Runs a routine until it waits or ends. */
+static void switch_to(fc_routine *routine) {
+  fc_routine *previous = g_self;
   g_self = routine;
   routine->usage->switches++;
-  transfer_t t = jump_fcontext(routine->context, routine);
-  routine->context = t.fctx;
-  g_self = before;
-  if (routine->finished) {
-    ev_timer_stop(g_loop, &routine->timer);
-    stack_give(routine->stack);
-    free(routine);
-    g_count--;
-  }
+  transfer_t from = jump_fcontext(routine->context, routine);
+  routine->context = from.fctx;
+  g_self = previous;
+  if (routine->finished) routine_free(routine);
 }
 
 /* Runs the routines that are ready now, not those that these make ready. */
-static void sweep_queue(void) {
-  fc_routine *last = g_queue_tail;
+static void run_queue_once(void) {
+  const fc_routine *last = g_queue_tail;
   while (g_queue_head) {
-    fc_routine *routine = g_queue_head;
-    bool stop = routine == last;
-    g_queue_head = routine->next;
-    if (!g_queue_head) g_queue_tail = NULL;
-    routine->queued = false;
-    run_one(routine);
-    if (stop) break;
+    fc_routine *routine = dequeue();
+    bool is_last = routine == last;
+    switch_to(routine);
+    if (is_last) break;
   }
 }
 
-/* Routines that wake each other must not starve the sockets; but each look at those is a
- * system call, so a short chain of them is run to its end first. */
-static void drain_queue(void) {
-  if (g_queue_head) g_slice_from = fc_now();
-  for (unsigned sweep = 0; sweep < SWEEPS_MOST && g_queue_head; sweep++) sweep_queue();
+/* Routines that wake each other must not starve the sockets. But each poll of those is a system
+ * call, so several passes are made before the next one. */
+static void run_queue(void) {
+  if (g_queue_head) g_slice_start = fc_now();
+  for (unsigned pass = 0; pass < QUEUE_PASSES_MAX && g_queue_head; pass++) run_queue_once();
 }
 
-static void on_prepare(struct ev_loop *loop, ev_prepare *w, int events) {
-  (void)w;
+static void on_prepare(struct ev_loop *loop, ev_prepare *watcher, int events) {
+  (void)watcher;
   (void)events;
-  drain_queue();
+  run_queue();
   /* The idle watcher keeps the loop from sleeping while routines are ready. */
   if (g_queue_head) {
     ev_idle_start(loop, &g_idle);
@@ -224,9 +244,9 @@
   }
 }
 
-static void on_idle(struct ev_loop *loop, ev_idle *w, int events) {
+static void on_idle(struct ev_loop *loop, ev_idle *watcher, int events) {
   (void)loop;
-  (void)w;
+  (void)watcher;
   (void)events;
 }
 
@@ -244,52 +264,50 @@
   ev_run(g_loop, 0);
 }
 
-static void arm(fc_routine *routine, double now) {
+static void arm_timer(fc_routine *routine, double now) {
   ev_timer_stop(g_loop, &routine->timer);
   ev_now_update(g_loop);
   ev_timer_set(&routine->timer, routine->deadline - now, 0.);
   ev_timer_start(g_loop, &routine->timer);
-  routine->armed_until = routine->deadline;
+  routine->fires_at = routine->deadline;
 }
 
-/* A timer that an earlier wait has left is good for this one if it fires no later, and
- * not so early that it would mostly fire for nothing. */
-static bool armed_well(const fc_routine *routine, double now) {
-  return ev_is_active(&routine->timer) && routine->armed_until <= routine->deadline &&
-         routine->armed_until - now >= (routine->deadline - now) * 0.5;
+/* Whether the timer of an earlier wait also serves this one: it fires no later, and not so early
+ * that it mostly fires in vain. */
+static bool timer_suffices(const fc_routine *routine, double now) {
+  if (!ev_is_active(&routine->timer) || routine->fires_at > routine->deadline) return false;
+  return routine->fires_at - now >= (routine->deadline - now) * TIMER_REUSE_SHARE_MIN;
 }
 
-static void on_timer(struct ev_loop *loop, ev_timer *w, int events) {
+static void on_timer(struct ev_loop *loop, ev_timer *watcher, int events) {
   (void)loop;
   (void)events;
-  fc_routine *routine = w->data;
+  fc_routine *routine = watcher->data;
   if (!routine->parked) return;
   double now = fc_now();
   if (now < routine->deadline) {
-    arm(routine, now);
+    arm_timer(routine, now);
     return;
   }
-  note_lag(now, now - routine->deadline);
-  routine->parked = false;
-  routine->reason = FC_WAKE_TIMEOUT;
-  enqueue(routine);
+  record_lag(now, now - routine->deadline);
+  resume(routine, FC_WAKE_TIMEOUT);
 }
 
-fc_routine *fc_routine_spawn(fc_routine_fn fn, void *arg) {
+fc_routine *fc_routine_spawn(fc_routine_fn body, void *arg) {
   fc_routine *routine = calloc(1, sizeof *routine);
   if (!routine) return NULL;
-  routine->stack = stack_take();
+  routine->stack = stack_acquire();
   if (!routine->stack) {
     free(routine);
     return NULL;
   }
-  routine->fn = fn;
+  routine->body = body;
   routine->arg = arg;
   routine->usage = fc_routine_usage();
-  routine->context = make_fcontext(routine->stack + STACK_BYTES, STACK_BYTES - GUARD_BYTES, entry);
+  routine->context = make_fcontext(routine->stack + STACK_BYTES, STACK_BYTES - GUARD_BYTES, routine_entry);
   ev_timer_init(&routine->timer, on_timer, 0., 0.);
   routine->timer.data = routine;
-  g_count++;
+  g_routine_count++;
   enqueue(routine);
   return routine;
 }
@@ -302,61 +320,56 @@
   routine->parked = true;
   routine->reason = FC_WAKE_OK;
   routine->deadline = deadline;
-  count_slice(now);
-  if (!armed_well(routine, now)) arm(routine, now);
-  transfer_t t = jump_fcontext(g_main_context, routine);
-  g_main_context = t.fctx;
+  account_slice(now);
+  if (!timer_suffices(routine, now)) arm_timer(routine, now);
+  transfer_t from = jump_fcontext(g_main_context, routine);
+  g_main_context = from.fctx;
   return routine->reason;
 }
 
 void fc_routine_wake(fc_routine *routine) {
-  if (!routine->parked) return;
-  routine->parked = false;
-  routine->reason = FC_WAKE_OK;
-  enqueue(routine);
+  if (routine->parked) resume(routine, FC_WAKE_OK);
 }
 
 void fc_routine_cancel(fc_routine *routine) {
   routine->cancelled = true;
-  if (!routine->parked) return;
-  routine->parked = false;
-  routine->reason = FC_WAKE_CANCELLED;
-  enqueue(routine);
+  if (routine->parked) resume(routine, FC_WAKE_CANCELLED);
 }
 
 fc_wake fc_routine_sleep(double seconds) {
   double until = fc_now() + seconds;
   for (;;) {
-    fc_wake w = fc_routine_park(until);
-    if (w == FC_WAKE_TIMEOUT) return FC_WAKE_OK;
-    if (w == FC_WAKE_CANCELLED) return w;
+    fc_wake wake = fc_routine_park(until);
+    if (wake == FC_WAKE_TIMEOUT) return FC_WAKE_OK;
+    if (wake == FC_WAKE_CANCELLED) return wake;
   }
 }
 
-fc_wake fc_cond_wait(fc_cond *c, double deadline) {
-  struct fc_waiter self = {.routine = g_self, .next = c->first, .signalled = false};
-  c->first = &self;
+static void cond_remove(fc_cond *cond, const struct fc_waiter *waiter) {
+  struct fc_waiter **link = &cond->first;
+  while (*link && *link != waiter) link = &(*link)->next;
+  if (*link) *link = waiter->next;
+}
+
+fc_wake fc_cond_wait(fc_cond *cond, double deadline) {
+  struct fc_waiter self = {.routine = g_self, .next = cond->first, .signalled = false};
+  cond->first = &self;
   for (;;) {
-    fc_wake w = fc_routine_park(deadline);
+    fc_wake wake = fc_routine_park(deadline);
     if (self.signalled) return FC_WAKE_OK;
-    if (w == FC_WAKE_OK) continue; /* woken for another reason */
-    for (struct fc_waiter **p = &c->first; *p; p = &(*p)->next) {
-      if (*p == &self) {
-        *p = self.next;
-        break;
-      }
-    }
-    return w;
+    if (wake == FC_WAKE_OK) continue; /* woken for another reason */
+    cond_remove(cond, &self);
+    return wake;
   }
 }
 
-void fc_cond_broadcast(fc_cond *c) {
-  struct fc_waiter *w = c->first;
-  c->first = NULL;
-  while (w) {
-    struct fc_waiter *next = w->next;
-    w->signalled = true;
-    fc_routine_wake(w->routine);
-    w = next;
+void fc_cond_broadcast(fc_cond *cond) {
+  struct fc_waiter *waiter = cond->first;
+  cond->first = NULL;
+  while (waiter) {
+    struct fc_waiter *next = waiter->next; /* on the stack of a routine that may end once it runs */
+    waiter->signalled = true;
+    fc_routine_wake(waiter->routine);
+    waiter = next;
   }
 }
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -1,6 +1,7 @@
-/* Routines: one for each connection and each long-lived duty, on one libev
- * loop. A routine gives way only inside the waits declared here; every wait has
- * a deadline and ends early when the routine is cancelled. */
+/* Routines: stackful coroutines on one libev loop and one thread, one for each connection and each
+ * long-lived task. A routine is suspended only inside the functions that say "May suspend the calling
+ * routine": between them it sees no change made by others. Every such wait has a deadline and ends
+ * early when the routine is cancelled. */
 #ifndef FC_TRANSPORT_ROUTINE_H
 #define FC_TRANSPORT_ROUTINE_H
 
@@ -14,55 +15,63 @@
 
 typedef enum { FC_WAKE_OK = 0, FC_WAKE_TIMEOUT = -1, FC_WAKE_CANCELLED = -2 } fc_wake;
 
-/* Prepares the loop; call once, before anything else here. */
+/* Prepares the loop; to be called once, before anything else here. False when libev offers none. */
 bool fc_loop_init(void);
 struct ev_loop *fc_loop(void);
+/* Runs the loop; does not return while it has watchers. */
 void fc_loop_run(void);
 
-/* The steady clock, in seconds. Never the time of day. */
+/* The monotonic clock, in seconds; all deadlines are times of it. */
 double fc_now(void);
-/* Time of day in seconds, off by as much as the platform says; decides nothing that has to
- * be safe. */
+/* The time of day, in seconds. It may be wrong by as much as the platform states, so nothing that
+ * has to be safe depends on it. */
 double fc_time_of_day(void);
 
-/* Starts a routine at the next turn of the loop. NULL when memory is short. */
-fc_routine *fc_routine_spawn(fc_routine_fn fn, void *arg);
+/* Starts a routine, which first runs once the caller is suspended or returns to the loop, and is freed
+ * when `body` returns. NULL when memory is short. */
+fc_routine *fc_routine_spawn(fc_routine_fn body, void *arg);
+/* The calling routine; NULL outside of routines. */
 fc_routine *fc_routine_self(void);
-/* Ends the present wait, and every later one, with FC_WAKE_CANCELLED. */
+/* Ends the present wait of a routine, and every later one, with FC_WAKE_CANCELLED. */
 void fc_routine_cancel(fc_routine *routine);
+/* Whether the calling routine was cancelled. */
 bool fc_routine_cancelled(void);
 size_t fc_routine_count(void);
 
-/* What the routines of one duty have used since the process started. */
+/* What a group of routines has used since the process started. */
 typedef struct fc_usage {
-  uint64_t switches;     /* times one of them was switched to */
-  uint64_t system_calls; /* made on sockets */
+  uint64_t switches;     /* to one of them */
+  uint64_t system_calls; /* on sockets */
   uint64_t bytes_in, bytes_out;
-  double busy_s; /* steady time between being switched to and giving way */
+  double busy_s; /* time that they ran, by the monotonic clock */
 } fc_usage;
 
-/* Counts what the calling routine uses from now on as `usage`, which has to outlive it;
- * routines that it starts begin with the same. */
+/* Accounts what the calling routine uses from now on to `usage`, which has to outlive it. Routines
+ * that it starts inherit this. */
 void fc_routine_account(fc_usage *usage);
-/* Where the calling routine's use is counted; never NULL. */
+/* Where the calling routine's use is accounted; never NULL. */
 fc_usage *fc_routine_usage(void);
 
-/* How many times the loop has looked for events. */
+/* How many iterations the loop has made. */
 unsigned fc_loop_turns(void);
-/* How late timers fire, in seconds: the worst lately, halved every second. A process
- * that gets less processor time than it needs sees it grow. */
+/* How late timers fire, in seconds: the recent maximum, which halves every second. It grows when the
+ * process gets less processor time than it needs. */
 double fc_loop_lag(void);
 
-/* Waits until woken, cancelled or the deadline (steady clock) has come. */
+/* Waits until woken, cancelled or the deadline. May suspend the calling routine. */
 fc_wake fc_routine_park(double deadline);
+/* Ends the wait of a routine in fc_routine_park(); without effect when it is not waiting. */
 void fc_routine_wake(fc_routine *routine);
+/* FC_WAKE_OK after that time. May suspend the calling routine. */
 fc_wake fc_routine_sleep(double seconds);
 
-/* A condition that routines wait on. Waking is a broadcast. */
+/* A condition variable of routines; zeroed: nobody waits. */
 typedef struct fc_cond {
   struct fc_waiter *first;
 } fc_cond;
-fc_wake fc_cond_wait(fc_cond *c, double deadline);
-void fc_cond_broadcast(fc_cond *c);
+/* Waits for the next broadcast. May suspend the calling routine. */
+fc_wake fc_cond_wait(fc_cond *cond, double deadline);
+/* Wakes all routines that wait now. */
+void fc_cond_broadcast(fc_cond *cond);
 
 #endif
