--- a/src/controller/kv_watch.c
+++ b/src/controller/kv_watch.c
@@ -326,7 +326,7 @@
 
 /* Two fifths of our share of the request rate go into reads of changes. */
 static double read_spacing(const fc_controller *controller) {
-  return (double)(controller->settings->peer_count + 1) / (controller->settings->state_rps * 0.4);
+  return (double)(controller->settings->peer_count + 1) / (controller->settings->kv_rps * 0.4);
 }
 
 /* One long read after the other: tells of changes as they happen. */
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -16,24 +16,24 @@
   controller->table->clock_offset_s = fc_time_of_day() - fc_now();
   controller->cancels = fc_cancellation_log_new();
   fc_metrics_init(&controller->metrics);
-  controller->state = fc_kv_new(&settings->state_at);
+  controller->state = fc_kv_new(&settings->kv_at);
   controller->cloud = fc_cloud_new(&settings->cloud_at);
   controller->archived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   double nodes = (double)(settings->peer_count + 1);
   const fc_group_commit_limits limits = {
-      .txn_ops = settings->state_txn_ops,
+      .txn_ops = settings->kv_txn_ops,
       .value_bytes = fc_settings_value_bytes(settings),
-      .writes_per_s = settings->state_write_rps / nodes,
-      .lowest_writes_per_s = settings->state_next_write_rps / nodes,
-      .requests_per_s = settings->state_rps / nodes * 0.35,
+      .writes_per_s = settings->kv_write_rps / nodes,
+      .lowest_writes_per_s = settings->kv_next_write_rps / nodes,
+      .requests_per_s = settings->kv_rps / nodes * 0.35,
       .answer_s = settings->heartbeat_s * 0.75,
   };
   controller->commit = fc_group_commit_new(controller->state, &limits);
   fc_token_bucket_init(&controller->cloud_budget, settings->cloud_rps / nodes, MAX(1.0, settings->cloud_rps / nodes),
                        fc_now());
-  fc_token_bucket_init(&controller->lookup_budget, settings->state_rps / nodes * 0.1,
-                       MAX(1.0, settings->state_rps / nodes * 0.1), fc_now());
+  fc_token_bucket_init(&controller->lookup_budget, settings->kv_rps / nodes * 0.1,
+                       MAX(1.0, settings->kv_rps / nodes * 0.1), fc_now());
   fc_leader_lease_init(&controller->authority, settings->lease_s * settings->op.member_lease_share, settings->lease_s,
                        settings->cancel_s, settings->heartbeat_s, settings->peer_count);
   if (!fc_front_start(controller)) {
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -117,7 +117,7 @@
   fc_reader reader;
   fc_reader_init(&reader, outside);
   read_endpoint(&reader, "cloud", &settings->cloud_at);
-  read_endpoint(&reader, FIELD_STATE, &settings->state_at);
+  read_endpoint(&reader, FIELD_STATE, &settings->kv_at);
   return accept(fault, "outside.", &reader);
 }
 
@@ -234,11 +234,11 @@
   if (!read_present_limits(state, &now, fault)) return false;
   kv_limits next = now;
   if (!read_next_limits(state, &next, fault)) return false;
-  settings->state_rps = MIN(now.rps, next.rps);
-  settings->state_value_kb = MIN(now.value_kb, next.value_kb);
-  settings->state_txn_ops = (unsigned)MIN(now.txn_ops, next.txn_ops);
-  settings->state_write_rps = now.write_rps;
-  settings->state_next_write_rps = MIN(now.write_rps, next.write_rps);
+  settings->kv_rps = MIN(now.rps, next.rps);
+  settings->kv_value_kb = MIN(now.value_kb, next.value_kb);
+  settings->kv_txn_ops = (unsigned)MIN(now.txn_ops, next.txn_ops);
+  settings->kv_write_rps = now.write_rps;
+  settings->kv_next_write_rps = MIN(now.write_rps, next.write_rps);
   return true;
 }
 
@@ -348,7 +348,7 @@
 }
 
 size_t fc_settings_value_bytes(const fc_settings *settings) {
-  return (size_t)(settings->state_value_kb * BYTES_PER_KB);
+  return (size_t)(settings->kv_value_kb * BYTES_PER_KB);
 }
 
 int fc_settings_team(const fc_settings *settings, const char *name) {
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -47,7 +47,7 @@
 typedef struct fc_settings {
   char *name;
   char *zone;
-  fc_endpoint client_at, peer_at, cloud_at, state_at;
+  fc_endpoint client_at, peer_at, cloud_at, kv_at;
   fc_peer_settings peers[FC_MEMBERS_MAX];
   size_t peer_count;
   char *zones[FC_ZONES_MAX];
@@ -60,9 +60,9 @@
   /* Limits of the key-value store. It may lower them to those of `state.next` at any moment:
    * sizes and requests keep to the smaller of both from the start, the write rate is lowered
    * once a write is refused. */
-  double state_rps, state_value_kb;
-  unsigned state_txn_ops;
-  double state_write_rps, state_next_write_rps;
+  double kv_rps, kv_value_kb;
+  unsigned kv_txn_ops;
+  double kv_write_rps, kv_next_write_rps;
   double cloud_rps, cloud_list_lag_s;
   double cpu; /* share of one core */
   double memory_mb;
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -262,11 +262,11 @@
   world_keep_idle();
   for (int n = 0; n < WORLD_NODES; n++) {
     fc_settings *settings = &g_settings[n];
-    settings->state_rps = 500;
-    settings->state_write_rps = settings->state_next_write_rps = machines;
-    settings->state_txn_ops = 24;
-    world_state_limits(settings->state_value_kb, settings->state_txn_ops, 0);
-    state_later_limits(settings->state_value_kb, settings->state_txn_ops);
+    settings->kv_rps = 500;
+    settings->kv_write_rps = settings->kv_next_write_rps = machines;
+    settings->kv_txn_ops = 24;
+    world_state_limits(settings->kv_value_kb, settings->kv_txn_ops, 0);
+    state_later_limits(settings->kv_value_kb, settings->kv_txn_ops);
     settings->fd_limit = machines * 2;
     settings->cloud_rps = 6;
     settings->teams[0].gpus = machines;
@@ -279,8 +279,8 @@
   world_large(machines);
   for (int n = 0; n < WORLD_NODES; n++) {
     fc_settings *settings = &g_settings[n];
-    settings->state_rps = 100;
-    settings->state_write_rps = settings->state_next_write_rps = 40;
+    settings->kv_rps = 100;
+    settings->kv_write_rps = settings->kv_next_write_rps = 40;
     settings->cloud_rps = 2;
     settings->memory_mb = 27;
     settings->cpu = 0.024;
@@ -306,15 +306,15 @@
 static void set_limits(unsigned node) {
   const state_sizes *known = g_former[node] ? &g_now : &g_next;
   fc_settings *settings = &g_settings[node];
-  settings->state_value_kb = known->value_kb;
-  settings->state_txn_ops = known->txn_ops;
-  settings->state_next_write_rps = known->write_rps;
+  settings->kv_value_kb = known->value_kb;
+  settings->kv_txn_ops = known->txn_ops;
+  settings->kv_next_write_rps = known->write_rps;
 }
 
 void world_state_next(double value_kb, unsigned txn_ops, double write_rps) {
   const fc_settings *settings = &g_settings[0];
-  g_next = (state_sizes){MIN(settings->state_value_kb, value_kb), MIN(settings->state_txn_ops, txn_ops),
-                         MIN(settings->state_write_rps, write_rps)};
+  g_next = (state_sizes){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
+                         MIN(settings->kv_write_rps, write_rps)};
   state_later_limits(g_next.value_kb, g_next.txn_ops);
   for (unsigned n = 0; n < WORLD_NODES; n++) set_limits(n);
 }
@@ -580,7 +580,7 @@
   settings->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8080};
   settings->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8081};
   settings->cloud_at = (fc_endpoint){htonl(WORLD_CLOUD_IP), 8443};
-  settings->state_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
+  settings->kv_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
   for (int k = 0; k < WORLD_NODES; k++) {
     if (k == n) continue;
     fc_peer_settings *peer = &settings->peers[settings->peer_count++];
@@ -599,10 +599,10 @@
   settings->cancel_s = CANCEL_S;
   settings->gang_wait_s = GANG_WAIT_S;
   settings->gang_peer_s = GANG_PEER_S;
-  settings->state_rps = 120;
-  settings->state_write_rps = settings->state_next_write_rps = 40;
-  settings->state_value_kb = 8;
-  settings->state_txn_ops = 8;
+  settings->kv_rps = 120;
+  settings->kv_write_rps = settings->kv_next_write_rps = 40;
+  settings->kv_value_kb = 8;
+  settings->kv_txn_ops = 8;
   settings->cloud_rps = 4;
   settings->memory_mb = 56;
   settings->cpu = 0.08;
@@ -675,7 +675,7 @@
   memset(g_former, 0, sizeof g_former);
   for (int n = 0; n < WORLD_NODES; n++) settings_of(n);
   const fc_settings *settings = &g_settings[0];
-  g_now = g_next = (state_sizes){settings->state_value_kb, settings->state_txn_ops, settings->state_write_rps};
+  g_now = g_next = (state_sizes){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
 }
 
 void world_start_nodes(void) {
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -132,7 +132,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = world_settings();
-    settings.state_value_kb = 2;
+    settings.kv_value_kb = 2;
     fc_cluster *cluster = world_table(&settings);
     const fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", rows[i].tasks, 1, "");
     size_t bytes = (rows[i].tasks + 7) / 8;
--- a/tests/world.h
+++ b/tests/world.h
@@ -19,7 +19,7 @@
   settings.gang_peer_s = 5;
   settings.gang_wait_s = 40;
   settings.cpu = 0.08;
-  settings.state_value_kb = 8;
+  settings.kv_value_kb = 8;
   return settings;
 }
 
