--- a/src/controller/archive_lookup.c
+++ b/src/controller/archive_lookup.c
@@ -19,7 +19,7 @@
 
 fc_archive_lookup *fc_archive_lookup_new(const fc_cluster *cluster, fc_kv *kv, fc_group_commit *commit) {
   const fc_settings *settings = cluster->settings;
-  double rate = settings->state_rps / (double)(settings->peer_count + 1) * LOOKUP_RATE_SHARE;
+  double rate = settings->kv_rps / (double)(settings->peer_count + 1) * LOOKUP_RATE_SHARE;
   fc_archive_lookup *lookup = g_new0(fc_archive_lookup, 1);
   lookup->cluster = cluster;
   lookup->kv = kv;
--- a/src/controller/kv_watch.c
+++ b/src/controller/kv_watch.c
@@ -154,7 +154,7 @@
 /* Seconds between two reads of one reader: there are two. */
 static double read_spacing_s(const fc_kv_watch *watch) {
   const fc_settings *settings = watch->cluster->settings;
-  return 2 * ((double)(settings->peer_count + 1) / (settings->state_rps * READ_RATE_SHARE));
+  return 2 * ((double)(settings->peer_count + 1) / (settings->kv_rps * READ_RATE_SHARE));
 }
 
 static double next_backoff_s(double backoff_s) {
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -26,7 +26,7 @@
   controller->leadership = fc_leadership_new(controller->cluster);
   controller->peers = fc_peers_new(controller->cluster, controller->leadership);
   controller->cancellations = fc_cancellations_new(controller->cluster, controller->wakeups);
-  controller->kv = fc_kv_new(&settings->state_at);
+  controller->kv = fc_kv_new(&settings->kv_at);
   fc_record_applier *applier = fc_record_applier_new(controller->cluster, controller->leadership, controller->peers,
                                                      controller->cancellations, controller->wakeups);
   controller->watch = fc_kv_watch_new(controller->cluster, controller->kv, applier, controller->leadership,
@@ -35,11 +35,11 @@
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   double nodes = (double)(settings->peer_count + 1);
   const fc_group_commit_limits limits = {
-      .txn_ops = settings->state_txn_ops,
+      .txn_ops = settings->kv_txn_ops,
       .value_bytes = fc_settings_value_bytes(settings),
-      .writes_per_s = settings->state_write_rps / nodes,
-      .min_writes_per_s = settings->state_next_write_rps / nodes,
-      .requests_per_s = settings->state_rps / nodes * 0.35,
+      .writes_per_s = settings->kv_write_rps / nodes,
+      .min_writes_per_s = settings->kv_next_write_rps / nodes,
+      .requests_per_s = settings->kv_rps / nodes * 0.35,
       .response_timeout_s = settings->heartbeat_s * 0.75,
   };
   controller->commit = fc_group_commit_new(controller->kv, &limits);
