--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -12,11 +12,15 @@
 #include "bookkeeping/record_writes.h"
 #include "bookkeeping/token_bucket.h"
 #include "controller/cancellations.h"
+#include "controller/heartbeats.h"
 #include "controller/kv_watch.h"
 #include "controller/leadership.h"
+#include "controller/machine_probes.h"
 #include "controller/metrics.h"
 #include "controller/peers.h"
 #include "controller/wakeups.h"
+#include "controller/worker_calls.h"
+#include "controller/worker_leases.h"
 #include "protocol/cloud_api.h"
 #include "protocol/json.h"
 #include "protocol/peer_frame.h"
@@ -38,6 +42,10 @@
   fc_peers *peers;
   fc_cancellations *cancellations;
   fc_kv_watch *watch;
+  fc_worker_calls *worker_calls;
+  fc_machine_probes *probes;
+  fc_worker_leases *worker_leases;
+  fc_heartbeats *heartbeats;
 
   fc_token_bucket cloud_budget;
   fc_token_bucket lookup_budget; /* for questions about jobs that are not in memory */
@@ -48,14 +56,11 @@
   uint64_t share_cap_version; /* that write is conditional on it */
   bool share_capped;
 
-  unsigned giving[FC_MEMBERS_MAX]; /* machines whose records, being written, give them to these */
-  unsigned worker_calls;           /* direct calls to workers under way */
   uint64_t attempt_counter;
   uint64_t rental_counter;
   double started_at;
-  double looked_at;      /* when places beyond free room were last looked for */
-  double types_at;       /* when the machine types were last read */
-  GHashTable *recording; /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
+  double looked_at; /* when places beyond free room were last looked for */
+  double types_at;  /* when the machine types were last read */
 };
 
 typedef enum { FC_FOUND, FC_NOT_THERE, FC_NOT_SURE } fc_lookup;
@@ -84,31 +89,4 @@
 /* The cloud has confirmed that these machines are gone: nothing is on them any more. */
 void fc_machines_gone(fc_controller *controller, const GPtrArray *ids);
 
-/* workers.c */
-void fc_workers_report(fc_controller *controller, const fc_http_request *req, int *status, GString *out);
-/* Sends what the machine is owed (starts, stops, clears) or, when it is not
- * settled yet, an empty command that fences it. */
-void fc_workers_push(fc_controller *controller, fc_machine *machine);
-/* Takes in what a machine of ours has answered to a direct call that was sent at `asked_at`. */
-void fc_workers_called(fc_controller *controller, fc_machine *machine, const fc_heartbeat *heartbeat, double asked_at);
-/* Is there a socket for it? */
-bool fc_workers_may_push(const fc_controller *controller, const fc_machine *machine);
-/* Marks the task to be stopped with time to save; it is told by the next push or
- * answer. */
-void fc_workers_stop(const fc_controller *controller, fc_placement *placement);
-/* May the task not run any more? */
-bool fc_workers_unwanted(const fc_controller *controller, const fc_placement *placement);
-/* Marks the machine to be asked directly when there is reason to; true: it is. */
-bool fc_workers_doubt(const fc_controller *controller, fc_machine *machine);
-/* completions.c */
-/* Writes the ends of a job's tasks to the state service. */
-void fc_workers_record(fc_controller *controller, const char *job_id);
-
-/* reachability.c */
-/* Asks another member's machine directly, where its owner may have to know whether anybody
- * reaches it. */
-void fc_workers_ask(fc_controller *controller, fc_machine *machine);
-/* Silent for so long that its worker has given up all its tasks? */
-void fc_workers_expire(fc_controller *controller);
-
 #endif
--- /dev/null
+++ b/src/controller/failure_attribution.c
@@ -0,0 +1,48 @@
+#include "controller/failure_attribution.h"
+
+#include "bookkeeping/cluster_machines.h"
+#include "transport/routine.h"
+
+#define FAILED_MACHINES_MAX 3u /* a job that has failed on more of them is at fault itself */
+#define FAILED_JOBS_FAULTY 2u  /* so many jobs that fail on a machine make it faulty */
+
+/* How long a failed job is held back: doubled with each failure in a row, up to a bound. */
+#define BACKOFF_HEARTBEATS 0.25
+#define BACKOFF_DOUBLINGS_MAX 6u
+
+static double backoff_s(const fc_settings *settings, unsigned failures) {
+  return settings->heartbeat_s * (double)(1u << MIN(failures, BACKOFF_DOUBLINGS_MAX)) * BACKOFF_HEARTBEATS;
+}
+
+static void note_failure(const fc_settings *settings, fc_job *job, fc_machine *machine) {
+  if (!job) return;
+  if (!job->failures.machines) job->failures.machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  bool first_here = g_hash_table_add(job->failures.machines, g_strdup(machine->id));
+  job->failures.count++;
+  job->queue.blocked_until = fc_now() + backoff_s(settings, job->failures.count);
+  if (g_hash_table_size(job->failures.machines) > FAILED_MACHINES_MAX) {
+    /* Where it failed everywhere it may try everywhere again. */
+    g_hash_table_remove_all(job->failures.machines);
+    return;
+  }
+  if (!first_here) return;
+  machine->health.failed_jobs++;
+  if (machine->health.failed_jobs >= FAILED_JOBS_FAULTY && !machine->health.faulty) {
+    machine->health.faulty = true;
+    fc_machine_cordon(machine);
+    g_info("faulty machine=%s", machine->id);
+  }
+}
+
+void fc_failure_attribution_note_exit(const fc_settings *settings, const fc_placement *placement) {
+  fc_job *job = placement->job;
+  fc_machine *machine = placement->machine;
+  if (placement->status.cause == FC_CAUSE_ERROR) {
+    note_failure(settings, job, machine);
+  } else if (placement->status.cause == FC_CAUSE_DONE) {
+    if (machine->health.failed_jobs > 0) machine->health.failed_jobs--;
+    if (job) job->failures.count = 0;
+  }
+  g_debug("exit task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s cause=%d", placement->job_id, placement->index,
+          (guint64)placement->attempt, machine->id, placement->status.cause);
+}
--- a/src/controller/job_api.c
+++ b/src/controller/job_api.c
@@ -386,7 +386,7 @@
   switch (route) {
     case FC_ROUTE_HEARTBEAT:
       fc_metrics_enter_duty(controller->metrics, FC_DUTY_HEARTBEATS);
-      fc_workers_report(controller, req, &res->status, res->body);
+      fc_heartbeats_answer(controller->heartbeats, req->body, req->body_len, req->connection, &res->status, res->body);
       break;
     case FC_ROUTE_SUBMIT:
       fc_metrics_enter_duty(controller->metrics, FC_DUTY_SUBMISSIONS);
--- /dev/null
+++ b/src/controller/reconciler.c
@@ -0,0 +1,193 @@
+#include "controller/reconciler.h"
+
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/reconciliation_progress.h"
+#include "controller/failure_attribution.h"
+#include "coordination/leader_lease.h"
+#include "transport/routine.h"
+
+struct fc_reconciler {
+  fc_cluster *cluster;
+  fc_task_completion *completion;
+  fc_wakeups *wakeups;
+  fc_metrics *metrics;
+};
+
+/* Where a worker's task list came from, and what it proves. */
+typedef struct list_origin {
+  double asked_at; /* the direct call that it answers was sent then; 0: it came with a heartbeat */
+  bool reconciles; /* it is the first with the fencing token of this term */
+  bool new_epoch;  /* the worker has stopped everything since the last list */
+} list_origin;
+
+fc_reconciler *fc_reconciler_new(fc_cluster *cluster, fc_task_completion *completion, fc_wakeups *wakeups,
+                                 fc_metrics *metrics) {
+  fc_reconciler *reconciler = g_new(fc_reconciler, 1);
+  *reconciler = (fc_reconciler){.cluster = cluster, .completion = completion, .wakeups = wakeups, .metrics = metrics};
+  return reconciler;
+}
+
+void fc_reconciler_free(fc_reconciler *reconciler) {
+  g_free(reconciler);
+}
+
+/* ---- the machine ---- */
+
+/* A direct start of which we don't know whether it arrived can't be carried out any more once the
+ * worker has shown a higher fencing token than the start carried, or a later epoch: it refuses
+ * commands from before. The token of the machine's last heartbeat is not the measure: a controller
+ * that owns a machine across a change of term sends its first start before the worker has shown
+ * the new token, and the next heartbeat, which does, was taken for proof; the copy came after the
+ * task had been forgotten, and ran (fault test, seed 1106). */
+static void drop_outdated_starts(fc_machine *machine, const fc_heartbeat *heartbeat, bool new_epoch) {
+  for (guint i = 0; i < machine->placements->len; i++) {
+    fc_placement *placement = machine->placements->pdata[i];
+    if (new_epoch || heartbeat->fencing_token > placement->start.direct_token)
+      placement->start.direct = FC_DIRECT_START_NONE;
+  }
+}
+
+static void update_agent(fc_machine_agent *agent, const fc_heartbeat *heartbeat, double now) {
+  if (!agent->reported || heartbeat->epoch != agent->epoch || !agent->sequence) agent->epoch_began_at = now;
+  agent->epoch = heartbeat->epoch;
+  agent->sequence = heartbeat->sequence;
+  agent->fencing_token = heartbeat->fencing_token;
+  agent->reported = true;
+  agent->heard_at = now;
+}
+
+static void update_machine(fc_machine *machine, const fc_heartbeat *heartbeat, const list_origin *origin, double now) {
+  drop_outdated_starts(machine, heartbeat, origin->new_epoch);
+  update_agent(&machine->agent, heartbeat, now);
+  if (heartbeat->spot_notice_s >= 0 && !machine->drain.spot_notice_until)
+    machine->drain.spot_notice_until = now + heartbeat->spot_notice_s;
+  if (heartbeat->endpoint[0]) g_strlcpy(machine->record.endpoint, heartbeat->endpoint, sizeof machine->record.endpoint);
+  bool hears_us = origin->asked_at > 0 || origin->reconciles; /* it answers us, or has the token of this term */
+  if (hears_us) machine->reachability.unidirectional_since = 0;
+  if (origin->reconciles) machine->agent.restarted = false; /* its incarnation before never had this token */
+}
+
+static void update_idle_time(fc_machine *machine, double now) {
+  if (!fc_machine_vacant(machine)) {
+    machine->idle_since = 0;
+  } else if (!machine->idle_since) {
+    machine->idle_since = now;
+  }
+}
+
+/* ---- its tasks ---- */
+
+static void note_running(fc_reconciler *reconciler, fc_placement *placement, double now) {
+  if (!placement->status.running_since) {
+    placement->status.running_since = now;
+    fc_metrics_time(reconciler->metrics, FC_TIME_START, now - placement->created_at);
+    g_debug("running task=%s/%u machine=%s", placement->job_id, placement->index, placement->machine->id);
+  }
+  if (placement->job) fc_machine_touch_image(placement->machine, placement->job->spec.image);
+}
+
+static void update_placement(fc_reconciler *reconciler, fc_placement *placement, const fc_task_status *task,
+                             double now) {
+  bool has_exited = placement->status.state != FC_TASK_EXITED && task->state == FC_TASK_EXITED;
+  placement->status.reported = placement->start.sent = true;
+  if (task->state == FC_TASK_RUNNING) note_running(reconciler, placement, now);
+  if (placement->status.state != task->state || placement->status.cause != task->cause)
+    fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_REPLICATE);
+  placement->status.state = task->state;
+  placement->status.cause = task->cause;
+  if (has_exited) {
+    fc_failure_attribution_note_exit(reconciler->cluster->settings, placement);
+    fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_SCHEDULE);
+  }
+  fc_task_completion_update(reconciler->completion, placement);
+}
+
+/* Is a task that the list does not name certainly gone from the machine? If its start was certainly
+ * not carried out, it is marked to be sent again. */
+static bool is_gone(fc_placement *placement, const fc_heartbeat *heartbeat, const list_origin *origin) {
+  const fc_placement_start *start = &placement->start;
+  if (origin->reconciles) return true; /* fenced: what it does not list can't start any more */
+  if (!start->sent) return false;      /* only planned so far */
+  if (origin->new_epoch || placement->status.reported) return true;
+  /* Sent, never listed. While a direct copy of the start may arrive nothing is known. Then the
+   * heartbeat after the one whose answer carried the start decides; so does the answer to a direct
+   * call that was sent when the worker would have dropped that other answer. A restarted machine is
+   * believed by its direct answers alone: such a start was never decided there, counted against its
+   * team's limit, and a gang waited for ever (fault test with meetings, seed 241). */
+  if (start->direct) return false;
+  if (origin->asked_at <= 0 && heartbeat->sequence <= start->heartbeat_sequence) return false;
+  double answer_lost_at = start->sent_at + FC_WORKER_REQUEST_TIMEOUT_S * (1 + 2 * FC_CLOCK_DRIFT);
+  if (origin->asked_at > 0 && start->heartbeat_sequence && origin->asked_at < answer_lost_at) return false;
+  /* It was not carried out: it is sent again, or dropped if the task is not wanted any more. */
+  if (!placement->stop.requested) placement->start.sent = false;
+  return placement->stop.requested;
+}
+
+static void remove_unlisted(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat,
+                            const list_origin *origin) {
+  for (guint i = machine->placements->len; i-- > 0;) {
+    fc_placement *placement = machine->placements->pdata[i];
+    if (placement->status.listed || !is_gone(placement, heartbeat, origin)) continue;
+    fc_placement_remove(placement);
+    fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_SCHEDULE);
+    fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_REPLICATE);
+  }
+}
+
+/* The worker's list replaces what was thought to be on the machine. */
+static void update_tasks(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat,
+                         const list_origin *origin, double now) {
+  for (guint i = 0; i < machine->placements->len; i++)
+    ((fc_placement *)machine->placements->pdata[i])->status.listed = false;
+  for (size_t i = 0; i < heartbeat->task_count; i++) {
+    const fc_task_status *task = &heartbeat->tasks[i];
+    fc_placement *placement = fc_machine_find_placement(machine, task->job, task->index, task->attempt);
+    if (!placement)
+      placement = fc_cluster_add_placement(reconciler->cluster, machine, task->job, task->index, task->attempt, now);
+    update_placement(reconciler, placement, task, now);
+    placement->status.listed = true;
+  }
+  remove_unlisted(reconciler, machine, heartbeat, origin);
+}
+
+/* From here on nothing can start on the machine but what we send in this term. */
+static void mark_reconciled(fc_reconciler *reconciler, fc_machine *machine) {
+  fc_cluster *cluster = reconciler->cluster;
+  uint64_t term = cluster->membership.term.number;
+  machine->reconciled_term = term;
+  /* No view so far has shown the machine as reconciled, and only that counts: a slice was handed
+   * over to a member that had acknowledged a view without it, and started there again (fault test,
+   * seed 285). */
+  for (guint i = 0; i < machine->placements->len; i++)
+    ((fc_placement *)machine->placements->pdata[i])->first_view = cluster->view_number + 1;
+  fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_REPLICATE);
+  g_debug("reconciled machine=%s term=%" G_GUINT64_FORMAT " tasks=%u", machine->id, (guint64)term,
+          machine->placements->len);
+  (void)fc_cluster_update_reconciled(cluster);
+  fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_SCHEDULE);
+}
+
+static void apply(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat, double asked_at) {
+  const fc_cluster *cluster = reconciler->cluster;
+  double now = fc_now();
+  bool was_reconciled = fc_machine_reconciled(cluster, machine);
+  const list_origin origin = {
+      .asked_at = asked_at,
+      .reconciles = !was_reconciled && heartbeat->fencing_token == cluster->membership.term.number,
+      .new_epoch = machine->agent.reported && heartbeat->epoch > machine->agent.epoch,
+  };
+  update_machine(machine, heartbeat, &origin, now);
+  if (!was_reconciled && !origin.reconciles) return; /* not fenced yet: its list proves nothing */
+  update_tasks(reconciler, machine, heartbeat, &origin, now);
+  if (origin.reconciles) mark_reconciled(reconciler, machine);
+  update_idle_time(machine, now);
+}
+
+void fc_reconciler_apply_heartbeat(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat) {
+  apply(reconciler, machine, heartbeat, 0);
+}
+
+void fc_reconciler_apply_answer(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat,
+                                double asked_at) {
+  apply(reconciler, machine, heartbeat, asked_at);
+}
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -26,7 +26,7 @@
     /* A gang that lost a task before it started waits for nothing. */
     bool orphan = job && job->spec.kind == FC_JOB_GANG && placement->status.state == FC_TASK_WAITING &&
                   job->placements->len < job->spec.tasks - job->completion.count;
-    if (!orphan && !fc_workers_unwanted(controller, placement)) continue;
+    if (!orphan && !fc_worker_commands_unwanted(controller->cluster, placement)) continue;
     placement->stop.requested = true;
     placement->stop.grace_s = 0;
     *work = true;
@@ -47,8 +47,8 @@
   for (guint i = 0; i < job->placements->len; i++) {
     fc_placement *placement = job->placements->pdata[i];
     if (!fc_placement_active(placement) || placement->stop.requested) continue;
-    fc_workers_stop(controller, placement);
-    fc_workers_push(controller, placement->machine);
+    fc_worker_commands_request_stop(controller->settings, placement);
+    fc_worker_calls_send(controller->worker_calls, placement->machine);
   }
   g_debug("stop gang job=%s", job->spec.id);
 }
@@ -67,7 +67,7 @@
       stop_gang(controller, placement->job);
       continue;
     }
-    fc_workers_stop(controller, placement);
+    fc_worker_commands_request_stop(controller->settings, placement);
     *work = true;
   }
 }
@@ -87,7 +87,7 @@
 static void send_stops(fc_controller *controller, GPtrArray *stops, GPtrArray *push) {
   for (guint i = 0; i < stops->len; i++) {
     fc_placement *placement = stops->pdata[i];
-    fc_workers_stop(controller, placement);
+    fc_worker_commands_request_stop(controller->settings, placement);
     controller->metrics->counters.preempted++;
     g_debug("preempt task=%s/%u machine=%s", placement->job_id, placement->index, placement->machine->id);
     if (!g_ptr_array_find(push, placement->machine, NULL)) g_ptr_array_add(push, placement->machine);
@@ -146,7 +146,7 @@
 static void tick(fc_controller *controller) {
   fc_cluster *cluster = controller->cluster;
   controller->metrics->counters.rounds++;
-  fc_workers_expire(controller);
+  fc_worker_leases_expire(controller->worker_leases);
   (void)fc_cluster_update_reconciled(cluster);
   GHashTableIter it;
   gpointer value;
@@ -154,10 +154,10 @@
   GPtrArray *push = g_ptr_array_new();
   while (g_hash_table_iter_next(&it, NULL, &value)) {
     fc_machine *machine = value;
-    if (!fc_machine_owned_by_self(cluster, machine)) fc_workers_ask(controller, machine);
+    if (!fc_machine_owned_by_self(cluster, machine)) fc_machine_probes_assist_owner(controller->probes, machine);
     if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version) continue;
     bool settled = fc_machine_reconciled(cluster, machine);
-    bool work = !settled || fc_workers_doubt(controller, machine);
+    bool work = !settled || fc_machine_probes_check(controller->probes, machine);
     /* Before it is settled it is sent nothing but the question what it holds. Marked to
      * be stopped by then, a task was never told so, where the machine did not report. */
     if (settled) stop_unwanted(controller, machine, &work);
@@ -181,7 +181,7 @@
         owes_commands(controller, machine, now) && !g_ptr_array_find(push, machine, NULL))
       g_ptr_array_add(push, machine);
   }
-  for (guint i = 0; i < push->len; i++) fc_workers_push(controller, push->pdata[i]);
+  for (guint i = 0; i < push->len; i++) fc_worker_calls_send(controller->worker_calls, push->pdata[i]);
   g_ptr_array_free(push, TRUE);
 }
 
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -157,13 +157,13 @@
     fc_placement *placement = machine->placements->pdata[i];
     if (placement->stop.requested || !fc_placement_active(placement) || !fc_preemptible_for_gang(placement, gang))
       continue;
-    fc_workers_stop(controller, placement);
+    fc_worker_commands_request_stop(controller->settings, placement);
     controller->metrics->counters.preempted++;
     any = true;
   }
   if (!any) return;
   g_debug("clear machine=%s for=%s", machine->id, gang->spec.id);
-  fc_workers_push(controller, machine);
+  fc_worker_calls_send(controller->worker_calls, machine);
 }
 
 static void lend(fc_controller *controller, const fc_peer_progress *told) {
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -7,6 +7,24 @@
 #include "controller/view_receiver.h"
 #include "controller/view_sender.h"
 
+/* Builds the modules that deal with workers. */
+static void build_worker_modules(fc_controller *controller) {
+  fc_cluster *cluster = controller->cluster;
+  const fc_leadership *leadership = controller->leadership;
+  fc_wakeups *wakeups = controller->wakeups;
+  fc_metrics *metrics = controller->metrics;
+  fc_task_completion *completion = fc_task_completion_new(cluster, controller->commit, controller->watch, metrics);
+  fc_reconciler *reconciler = fc_reconciler_new(cluster, completion, wakeups, metrics);
+  fc_worker_commands *commands = fc_worker_commands_new(cluster, completion);
+  fc_machine_registration *registration =
+      fc_machine_registration_new(cluster, leadership, controller->commit, controller->watch, wakeups);
+  controller->worker_calls = fc_worker_calls_new(cluster, leadership, commands, reconciler, metrics);
+  controller->probes = fc_machine_probes_new(cluster, leadership, controller->worker_calls);
+  controller->worker_leases = fc_worker_leases_new(cluster, leadership, controller->peers, wakeups);
+  controller->heartbeats = fc_heartbeats_new(cluster, leadership, controller->peers, registration, reconciler, commands,
+                                             controller->worker_calls, metrics);
+}
+
 /* The routine of group commit. */
 static void run_group_commit(void *arg) {
   fc_controller *controller = arg;
@@ -32,7 +50,6 @@
                                       controller->wakeups, controller->metrics);
   controller->cloud = fc_cloud_new(&settings->cloud_at);
   controller->archived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   double nodes = (double)(settings->peer_count + 1);
   const fc_group_commit_limits limits = {
       .txn_ops = settings->state_txn_ops,
@@ -43,6 +60,7 @@
       .response_timeout_s = settings->heartbeat_s * 0.75,
   };
   controller->commit = fc_group_commit_new(controller->kv, &limits);
+  build_worker_modules(controller);
   fc_token_bucket_init(&controller->cloud_budget, settings->cloud_rps / nodes, MAX(1.0, settings->cloud_rps / nodes),
                        fc_now());
   fc_token_bucket_init(&controller->lookup_budget, settings->state_rps / nodes * 0.1,
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -1,119 +1,166 @@
-/* Completed tasks: written to the job's record, batched, before they are cleared from
- * their machines. */
+#include "controller/task_completion.h"
+
 #include <string.h>
 
 #include "bookkeeping/cluster_machines.h"
-#include "controller/controller.h"
+#include "bookkeeping/record_writes.h"
 #include "scheduler/pending_tasks.h"
+#include "transport/routine.h"
+
+#define WRITE_RATE_SHARE 0.25  /* of our write rate, for ends that nobody waits for */
+#define GATHER_LEASES_MAX 2.0  /* they are gathered for no longer than so many worker leases */
+#define GATHER_JITTER_MIN 0.75 /* of the time that ends are gathered for */
+#define GATHER_JITTER_MAX 1.25
+#define WRITE_TIMEOUT_S 10.0
+#define OUTCOME_TIMEOUT_S 2.0
+#define RETRY_MIN_S 0.05
+#define RETRY_MAX_S 0.2
+#define JOB_ID_BYTES 32
+
+struct fc_task_completion {
+  fc_cluster *cluster;
+  fc_group_commit *commit;
+  fc_kv_watch *watch;
+  fc_metrics *metrics;
+  GHashTable *recording; /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
+};
+
+typedef struct recording_routine {
+  fc_task_completion *completion;
+  char job_id[JOB_ID_BYTES];
+} recording_routine;
+
+fc_task_completion *fc_task_completion_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
+                                           fc_metrics *metrics) {
+  fc_task_completion *completion = g_new(fc_task_completion, 1);
+  *completion = (fc_task_completion){.cluster = cluster,
+                                     .commit = commit,
+                                     .watch = watch,
+                                     .metrics = metrics,
+                                     .recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
+  return completion;
+}
+
+void fc_task_completion_free(fc_task_completion *completion) {
+  g_hash_table_destroy(completion->recording);
+  g_free(completion);
+}
 
-typedef struct record_arg {
-  fc_controller *c;
-  char id[32];
-} record_arg;
+static bool is_done(const fc_placement *placement) {
+  return placement->status.state == FC_TASK_EXITED && placement->status.cause == FC_CAUSE_DONE;
+}
+
+static size_t bitmap_bytes(const fc_job *job) {
+  return (job->spec.tasks + 7) / 8;
+}
+
+static void set_bit(uint8_t *bitmap, uint32_t index) {
+  bitmap[index / 8] |= (uint8_t)(1u << (index % 8));
+}
+
+static uint32_t count_bits(const uint8_t *bitmap, uint32_t tasks) {
+  uint32_t count = 0;
+  for (uint32_t i = 0; i < tasks; i++) count += bitmap[i / 8] >> (i % 8) & 1;
+  return count;
+}
 
-/* The finished tasks of a job that its record does not show yet. */
-static bool unrecorded(const fc_job *job, uint8_t *bits) {
-  bool any = false;
-  memcpy(bits, job->completion.bitmap, (job->spec.tasks + 7) / 8);
+/* Fills in the bitmap of the tasks that are done, recorded or not. False: the record shows all. */
+static bool collect_done(const fc_job *job, uint8_t *bitmap) {
+  bool unrecorded = false;
+  memcpy(bitmap, job->completion.bitmap, bitmap_bytes(job));
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
-    if (placement->status.state != FC_TASK_EXITED || placement->status.cause != FC_CAUSE_DONE ||
-        placement->index >= job->spec.tasks)
-      continue;
+    if (!is_done(placement) || placement->index >= job->spec.tasks) continue;
     if (fc_job_task_done(job, placement->index)) continue;
-    bits[placement->index / 8] |= (uint8_t)(1u << (placement->index % 8));
-    any = true;
+    set_bit(bitmap, placement->index);
+    unrecorded = true;
   }
-  /* A gang completes together: if one task is done, all are. Waiting for each
-   * task's own report left a gang open for ever when a machine was lost between
-   * (fault test, seed 23): the rest could not start as a gang again. */
-  if (any && job->spec.kind == FC_JOB_GANG)
-    for (uint32_t i = 0; i < job->spec.tasks; i++) bits[i / 8] |= (uint8_t)(1u << (i % 8));
-  return any;
+  /* A gang completes together: if one task is done, all are. Waiting for the end of each left a
+   * gang incomplete for ever when a machine was lost in between (fault test, seed 23): the rest
+   * could not start as a gang again. */
+  if (unrecorded && job->spec.kind == FC_JOB_GANG)
+    for (uint32_t i = 0; i < job->spec.tasks; i++) set_bit(bitmap, i);
+  return unrecorded;
 }
 
-/* Is anything of our slices still to come? */
-static bool more_to_come(const fc_controller *controller, const fc_job *job) {
+/* Does a task of our slices still run, or wait to be started? */
+static bool more_expected(const fc_cluster *cluster, const fc_job *job) {
   if (job->spec.kind == FC_JOB_GANG) return false; /* its tasks complete together */
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
-    if (fc_placement_active(placement) && fc_machine_owned_by_self(controller->cluster, placement->machine))
-      return true;
+    if (fc_placement_active(placement) && fc_machine_owned_by_self(cluster, placement->machine)) return true;
   }
-  return fc_job_has_pending_tasks(job, controller->cluster->membership.self);
+  return fc_job_has_pending_tasks(job, cluster->membership.self);
 }
 
-#define ENDS_SHARE 0.25   /* of our write rate, for ends that nobody waits for */
-#define GATHER_LEASES 2.0 /* they are gathered for no longer than so many worker leases */
-
-/* How long ends are gathered before they are written: for a round, or as long as it takes to
- * keep to their part of the write rate. With fifty arrays that ran they took all of it, and
- * users' submissions were refused for minutes. */
-static double gather_time(const fc_controller *controller) {
-  double jobs = g_hash_table_size(controller->recording);
-  double spacing = jobs / (fc_group_commit_rate(controller->commit) * ENDS_SHARE);
-  return CLAMP(spacing, controller->settings->op.round_s, controller->settings->lease_s * GATHER_LEASES);
+/* How long ends are gathered before they are written: for a scheduling round, or as long as it
+ * takes to keep to their share of the write rate. With fifty arrays that ran they took all of it,
+ * and users' submissions were refused for minutes. */
+static double gather_time_s(const fc_task_completion *completion) {
+  const fc_settings *settings = completion->cluster->settings;
+  double jobs = g_hash_table_size(completion->recording);
+  double spacing_s = jobs / (fc_group_commit_rate(completion->commit) * WRITE_RATE_SHARE);
+  return CLAMP(spacing_s, settings->op.round_s, settings->lease_s * GATHER_LEASES_MAX);
 }
 
-/* Waits for more ends of the job: an array of 150 would be written 150 times. The last ones
- * are written at once: somebody waits to be told, and jobs that await this one to be started. */
-static void gather_ends(fc_controller *controller, const char *id) {
-  double until = fc_now() + gather_time(controller) * g_random_double_range(0.75, 1.25);
+/* Waits for more ends of the job: an array of 150 would be written 150 times. The last ones are
+ * written at once: users and dependent jobs wait for them. */
+static void gather_ends(fc_task_completion *completion, const char *job_id) {
+  const fc_cluster *cluster = completion->cluster;
+  double until = fc_now() + gather_time_s(completion) * g_random_double_range(GATHER_JITTER_MIN, GATHER_JITTER_MAX);
   for (;;) {
-    const fc_job *job = fc_cluster_find_job(controller->cluster, id);
-    if (!job || job->phase != FC_PHASE_ACCEPTED || !more_to_come(controller, job)) return;
-    fc_cond *ended = g_hash_table_lookup(controller->recording, id);
+    const fc_job *job = fc_cluster_find_job(cluster, job_id);
+    if (!job || job->phase != FC_PHASE_ACCEPTED || !more_expected(cluster, job)) return;
+    fc_cond *ended = g_hash_table_lookup(completion->recording, job_id);
     if (fc_cond_wait(ended, until) != FC_WAKE_OK) return;
   }
 }
 
-/* The write of what has ended; NULL: nothing has, or nothing of it has room in the record
- * before more has ended. Tasks that are not recorded stay on their machines. */
-static fc_write *ends_write(const fc_controller *controller, const fc_job *job, uint32_t *count) {
-  size_t bytes = (job->spec.tasks + 7) / 8;
-  uint8_t *ended = g_malloc0(bytes), *done = g_malloc0(bytes);
+static fc_write *record_write(const fc_cluster *cluster, const fc_job *job, fc_job_phase phase, const uint8_t *done) {
+  return fc_job_record_write(cluster, job, job->record.version, phase, done, job->record.handed_to,
+                             &job->record.origin);
+}
+
+/* The write of what has ended, and *count of the tasks that are done. NULL: nothing has ended, or
+ * nothing of it has room in the record before more has. Tasks that are not recorded stay on their
+ * machines. */
+static fc_write *prepare_write(const fc_cluster *cluster, const fc_job *job, uint32_t *count) {
+  uint8_t *ended = g_malloc0(bitmap_bytes(job)), *fitting = g_malloc0(bitmap_bytes(job));
   fc_write *write = NULL;
-  if (unrecorded(job, ended)) {
-    for (uint32_t i = 0; i < job->spec.tasks; i++) *count += ended[i / 8] >> (i % 8) & 1;
+  if (collect_done(job, ended)) {
+    *count = count_bits(ended, job->spec.tasks);
     fc_job_phase phase = *count == job->spec.tasks ? FC_PHASE_DONE : FC_PHASE_ACCEPTED;
-    write = fc_job_record_write(controller->cluster, job, job->record.version, phase, ended, job->record.handed_to,
-                                &job->record.origin);
-    if (!write && phase == FC_PHASE_ACCEPTED && fc_job_record_fit_completions(controller->cluster, job, ended, done))
-      write = fc_job_record_write(controller->cluster, job, job->record.version, phase, done, job->record.handed_to,
-                                  &job->record.origin);
+    write = record_write(cluster, job, phase, ended);
+    if (!write && phase == FC_PHASE_ACCEPTED && fc_job_record_fit_completions(cluster, job, ended, fitting))
+      write = record_write(cluster, job, phase, fitting);
   }
   g_free(ended);
-  g_free(done);
+  g_free(fitting);
   return write;
 }
 
-static void record_main(void *arg) {
-  record_arg a = *(record_arg *)arg;
-  g_free(arg);
-  fc_controller *controller = a.c;
-  fc_metrics_enter_duty(controller->metrics, FC_DUTY_COMMITS);
-  for (;;) {
-    gather_ends(controller, a.id);
-    fc_job *job = fc_cluster_find_job(controller->cluster, a.id);
-    if (!job || job->phase != FC_PHASE_ACCEPTED || fc_routine_cancelled()) break;
-    uint32_t count = 0;
-    fc_write *write = ends_write(controller, job, &count);
-    if (!write) break;
-    uint64_t revision = 0;
-    fc_kv_result res =
-        fc_group_commit_write(controller->commit, write, FC_WRITE_PRIORITY_HEARTBEAT, fc_now() + 10.0, &revision);
-    if (res == FC_KV_OK) {
-      g_debug("recorded job=%s done=%u", a.id, count);
-      (void)fc_kv_watch_wait_revision(controller->watch, revision, fc_now() + 2.0);
-    } else {
-      (void)fc_routine_sleep(g_random_double_range(0.05, 0.2));
-      (void)fc_kv_watch_wait_fresh(controller->watch, fc_now() + 2.0);
-    }
+/* Writes what has ended so far. False: there is nothing to write. */
+static bool write_ends(fc_task_completion *completion, const char *job_id) {
+  const fc_job *job = fc_cluster_find_job(completion->cluster, job_id);
+  if (!job || job->phase != FC_PHASE_ACCEPTED || fc_routine_cancelled()) return false;
+  uint32_t count = 0;
+  fc_write *write = prepare_write(completion->cluster, job, &count);
+  if (!write) return false;
+  uint64_t revision = 0;
+  fc_kv_result result = fc_group_commit_write(completion->commit, write, FC_WRITE_PRIORITY_HEARTBEAT,
+                                              fc_now() + WRITE_TIMEOUT_S, &revision);
+  if (result == FC_KV_OK) {
+    g_debug("recorded job=%s done=%u", job_id, count);
+  } else {
+    (void)fc_routine_sleep(g_random_double_range(RETRY_MIN_S, RETRY_MAX_S));
   }
-  g_hash_table_remove(controller->recording, a.id);
-  /* What is recorded now can be cleared from its machine. */
-  fc_job *job = fc_cluster_find_job(controller->cluster, a.id);
-  for (guint i = 0; job && i < job->placements->len; i++) {
+  fc_kv_watch_wait_outcome(completion->watch, result, revision, fc_now() + OUTCOME_TIMEOUT_S);
+  return true;
+}
+
+/* What is recorded may now be forgotten by its worker. */
+static void mark_recorded(const fc_job *job) {
+  for (guint i = 0; i < job->placements->len; i++) {
     fc_placement *placement = job->placements->pdata[i];
     if (placement->status.state == FC_TASK_EXITED &&
         (job->phase != FC_PHASE_ACCEPTED || fc_job_task_done(job, placement->index)))
@@ -121,18 +168,46 @@
   }
 }
 
-void fc_workers_record(fc_controller *controller, const char *job_id) {
-  fc_cond *ended = g_hash_table_lookup(controller->recording, job_id);
+/* The routine that records the ends of one job, until there are none left to be written. */
+static void run_recording(void *arg) {
+  const recording_routine routine = *(recording_routine *)arg;
+  g_free(arg);
+  fc_task_completion *completion = routine.completion;
+  fc_metrics_enter_duty(completion->metrics, FC_DUTY_COMMITS);
+  do {
+    gather_ends(completion, routine.job_id);
+  } while (write_ends(completion, routine.job_id));
+  g_hash_table_remove(completion->recording, routine.job_id);
+  const fc_job *job = fc_cluster_find_job(completion->cluster, routine.job_id);
+  if (job) mark_recorded(job);
+}
+
+void fc_task_completion_record(fc_task_completion *completion, const char *job_id) {
+  fc_cond *ended = g_hash_table_lookup(completion->recording, job_id);
   if (ended) {
     fc_cond_broadcast(ended);
     return;
   }
-  record_arg *a = g_new0(record_arg, 1);
-  a->c = controller;
-  g_strlcpy(a->id, job_id, sizeof a->id);
-  g_hash_table_insert(controller->recording, g_strdup(job_id), g_new0(fc_cond, 1));
-  if (!fc_routine_spawn(record_main, a)) {
-    g_hash_table_remove(controller->recording, job_id);
-    g_free(a);
+  recording_routine *routine = g_new0(recording_routine, 1);
+  routine->completion = completion;
+  g_strlcpy(routine->job_id, job_id, sizeof routine->job_id);
+  g_hash_table_insert(completion->recording, g_strdup(job_id), g_new0(fc_cond, 1));
+  if (!fc_routine_spawn(run_recording, routine)) {
+    g_hash_table_remove(completion->recording, job_id);
+    g_free(routine);
+  }
+}
+
+void fc_task_completion_update(fc_task_completion *completion, fc_placement *placement) {
+  if (placement->status.state != FC_TASK_EXITED || placement->end_recorded) return;
+  const fc_cluster *cluster = completion->cluster;
+  const fc_job *job = placement->job;
+  bool done = is_done(placement);
+  if (done && job && job->phase == FC_PHASE_ACCEPTED && !fc_job_task_done(job, placement->index)) {
+    fc_task_completion_record(completion, placement->job_id);
+    return;
   }
+  /* A job that is not in memory ended long ago, if everything has been read since. */
+  if (done && !job && placement->created_at + cluster->settings->heartbeat_s >= cluster->sync.read_at) return;
+  placement->end_recorded = true;
 }
--- /dev/null
+++ b/src/controller/worker_commands.h
@@ -0,0 +1,30 @@
+/* The commands that a worker is to carry out next: starts, stops, and commands to forget tasks
+ * whose ends are recorded. */
+#ifndef FC_CONTROLLER_WORKER_COMMANDS_H
+#define FC_CONTROLLER_WORKER_COMMANDS_H
+
+#include <glib.h>
+
+#include "bookkeeping/cluster.h"
+#include "controller/task_completion.h"
+
+typedef struct fc_worker_commands fc_worker_commands;
+
+/* The arguments have to outlive it. The caller frees it with fc_worker_commands_free(). */
+fc_worker_commands *fc_worker_commands_new(const fc_cluster *cluster, fc_task_completion *completion);
+void fc_worker_commands_free(fc_worker_commands *commands);
+
+/* Lists the commands (fc_command) for a reconciled machine, to be sent by a direct call. Starts
+ * count as sent from here on; the placement of a task that is to be stopped and was never sent is
+ * removed. The caller frees the array; its strings belong to the placements. */
+GArray *fc_worker_commands_for_call(fc_worker_commands *commands, fc_machine *machine);
+/* The same for the answer to the heartbeat with that sequence number. */
+GArray *fc_worker_commands_for_answer(fc_worker_commands *commands, fc_machine *machine, uint64_t sequence);
+
+/* Must the task not run any more? */
+bool fc_worker_commands_unwanted(const fc_cluster *cluster, const fc_placement *placement);
+/* Marks the task, whose job is in memory, to be stopped with enough time for a checkpoint; the
+ * worker hears of it by the next call or answer. */
+void fc_worker_commands_request_stop(const fc_settings *settings, fc_placement *placement);
+
+#endif
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -4,51 +4,83 @@
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/job_records.h"
 #include "bookkeeping/shard_ownership.h"
-#include "controller/controller.h"
+#include "controller/heartbeats.h"
+#include "controller/machine_probes.h"
 #include "controller/machine_reachability.h"
+#include "controller/worker_leases.h"
 #include "scheduler/free_capacity.h"
 #include "transport/routine.h"
 #include "world.h"
 
 typedef struct bench {
   fc_settings settings;
-  fc_controller c;
-  uint64_t connection; /* that reports come on */
+  fc_cluster *cluster;
+  fc_metrics *metrics;
+  fc_wakeups *wakeups;
+  fc_leadership *leadership;
+  fc_peers *peers;
+  fc_task_completion *completion;
+  fc_reconciler *reconciler;
+  fc_worker_commands *commands;
+  fc_worker_calls *calls;
+  fc_machine_probes *probes;
+  fc_machine_registration *registration;
+  fc_worker_leases *leases;
+  fc_heartbeats *heartbeats;
+  uint64_t connection; /* that heartbeats come on */
 } bench;
 
+/* No key-value store: nothing is written, as no routine runs. */
+static void build_modules(bench *b) {
+  b->completion = fc_task_completion_new(b->cluster, NULL, NULL, b->metrics);
+  b->reconciler = fc_reconciler_new(b->cluster, b->completion, b->wakeups, b->metrics);
+  b->commands = fc_worker_commands_new(b->cluster, b->completion);
+  b->calls = fc_worker_calls_new(b->cluster, b->leadership, b->commands, b->reconciler, b->metrics);
+  b->probes = fc_machine_probes_new(b->cluster, b->leadership, b->calls);
+  b->registration = fc_machine_registration_new(b->cluster, b->leadership, NULL, NULL, b->wakeups);
+  b->leases = fc_worker_leases_new(b->cluster, b->leadership, b->peers, b->wakeups);
+  b->heartbeats = fc_heartbeats_new(b->cluster, b->leadership, b->peers, b->registration, b->reconciler, b->commands,
+                                    b->calls, b->metrics);
+}
+
 /* A controller with authority, in term 5, as paddock-0 beside paddock-1. */
 static bench *bench_new(void) {
   bench *b = g_new0(bench, 1);
   b->settings = world_settings();
   b->settings.peer_count = 1;
   b->settings.peers[0].name = "paddock-1";
-  fc_controller *controller = &b->c;
-  controller->settings = &b->settings;
-  controller->cluster = world_table(&b->settings);
-  controller->metrics = fc_metrics_new();
-  controller->wakeups = fc_wakeups_new();
-  controller->leadership = fc_leadership_new(controller->cluster);
-  controller->peers = fc_peers_new(controller->cluster, controller->leadership);
-  controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  b->cluster = world_table(&b->settings);
+  b->metrics = fc_metrics_new();
+  b->wakeups = fc_wakeups_new();
+  b->leadership = fc_leadership_new(b->cluster);
+  b->peers = fc_peers_new(b->cluster, b->leadership);
+  build_modules(b);
   fc_term term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
-  fc_cluster_apply_term(controller->cluster, &term, 9, false, 0);
-  fc_leadership_term_applied(controller->leadership, 0, false);
-  fc_leadership_set_incarnation(controller->leadership, 1);
-  controller->cluster->sync.loaded = true;
+  fc_cluster_apply_term(b->cluster, &term, 9, false, 0);
+  fc_leadership_term_applied(b->leadership, 0, false);
+  fc_leadership_set_incarnation(b->leadership, 1);
+  b->cluster->sync.loaded = true;
   double now = fc_now();
-  fc_peers_at(controller->peers, 0)->heard_at = now;
-  fc_leadership_lease_renewed(controller->leadership, now);
-  fc_leadership_read_fresh(controller->leadership, now);
+  fc_peers_at(b->peers, 0)->heard_at = now;
+  fc_leadership_lease_renewed(b->leadership, now);
+  fc_leadership_read_fresh(b->leadership, now);
   return b;
 }
 
 static void bench_free(bench *b) {
-  g_hash_table_destroy(b->c.recording);
-  fc_peers_free(b->c.peers);
-  fc_leadership_free(b->c.leadership);
-  fc_wakeups_free(b->c.wakeups);
-  fc_metrics_free(b->c.metrics);
-  fc_cluster_free(b->c.cluster);
+  fc_heartbeats_free(b->heartbeats);
+  fc_worker_leases_free(b->leases);
+  fc_machine_registration_free(b->registration);
+  fc_machine_probes_free(b->probes);
+  fc_worker_calls_free(b->calls);
+  fc_worker_commands_free(b->commands);
+  fc_reconciler_free(b->reconciler);
+  fc_task_completion_free(b->completion);
+  fc_peers_free(b->peers);
+  fc_leadership_free(b->leadership);
+  fc_wakeups_free(b->wakeups);
+  fc_metrics_free(b->metrics);
+  fc_cluster_free(b->cluster);
   g_free(b);
 }
 
@@ -59,8 +91,7 @@
       session, seq, token, runs);
   int status = 0;
   g_string_truncate(out, 0);
-  const fc_http_request req = {.body = text, .body_len = strlen(text), .connection = b->connection};
-  fc_workers_report(&b->c, &req, &status, out);
+  fc_heartbeats_answer(b->heartbeats, text, strlen(text), b->connection, &status, out);
   g_free(text);
   return status;
 }
@@ -90,11 +121,11 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = false;
-    if (!rows[i].lease) fc_leadership_lease_lost(b->c.leadership);
-    if (!rows[i].owner_heard) fc_peers_at(b->c.peers, 0)->heard_at = -1e9;
+    if (!rows[i].lease) fc_leadership_lease_lost(b->leadership);
+    if (!rows[i].owner_heard) fc_peers_at(b->peers, 0)->heard_at = -1e9;
     GString *out = g_string_new(NULL);
     check_row(rows[i].name, report(b, 1, 1, rows[i].token, "", out) == rows[i].status);
     check_row(rows[i].name, says(out, rows[i].text));
@@ -108,7 +139,7 @@
 static void a_worker_that_comes_back_from_its_owner_is_kept(void **state) {
   (void)state;
   bench *b = bench_new();
-  world_machine(b->c.cluster, "vm-1", "a", false)->owner = 1;
+  world_machine(b->cluster, "vm-1", "a", false)->owner = 1;
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 5, "", out), 421);
   assert_int_equal(report(b, 1, 2, 5, "", out), 200);
@@ -120,7 +151,7 @@
 static void fenced_before_commanded(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.cluster;
+  fc_cluster *cluster = b->cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   machine->agent.reported = false;
@@ -157,7 +188,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.cluster;
+    fc_cluster *cluster = b->cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
@@ -175,7 +206,7 @@
 static void starts(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.cluster;
+  fc_cluster *cluster = b->cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
@@ -216,12 +247,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = rows[i].seen_token;
-    world_job(b->c.cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    world_job(b->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     /* It has been seen and has ended without its work: to be cleared, or not yet. */
-    fc_placement *placement = fc_cluster_add_placement(b->c.cluster, machine, "job-000001", 0, 1, 0);
+    fc_placement *placement = fc_cluster_add_placement(b->cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
     placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
     placement->start.direct_token = rows[i].sent_token;
@@ -255,12 +286,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     machine->agent.epoch = 1;
     machine->agent.sequence = 3;
     machine->agent.fencing_token = 5;
-    world_job(b->c.cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *placement = fc_cluster_add_placement(b->c.cluster, machine, "job-000001", 0, 1, 0);
+    world_job(b->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(b->cluster, machine, "job-000001", 0, 1, 0);
     double now = fc_now();
     placement->start.sent = true;
     placement->start.heartbeat_sequence = rows[i].sent_seq;
@@ -269,7 +300,7 @@
     placement->start.direct_token = 5;
     placement->stop.requested = rows[i].stopping;
     fc_heartbeat heartbeat = {.machine = "vm-1", .epoch = 1, .sequence = 4, .fencing_token = 5, .spot_notice_s = -1};
-    fc_workers_called(&b->c, machine, &heartbeat, now - rows[i].asked_s);
+    fc_worker_calls_apply_answer(b->calls, machine, &heartbeat, now - rows[i].asked_s);
     check_row(rows[i].name, machine->placements->len == (rows[i].left ? 1 : 0));
     if (rows[i].left) check_row(rows[i].name, placement->start.sent == rows[i].sent);
     bench_free(b);
@@ -302,7 +333,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.cluster;
+    fc_cluster *cluster = b->cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     fc_job *job = NULL;
     if (rows[i].cancelled != TOLD_UNKNOWN) job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
@@ -315,7 +346,7 @@
     }
     if (!rows[i].owner) {
       machine->owner = 1;
-      fc_peers_at(b->c.peers, 0)->heard_at = -1e9;
+      fc_peers_at(b->peers, 0)->heard_at = -1e9;
     }
     if (rows[i].cancelled == READ) job->phase = FC_PHASE_CANCELLED;
     if (rows[i].cancelled >= TOLD) fc_cluster_apply_cancellation(cluster, "job-000001", 99, fc_now(), fc_now());
@@ -340,12 +371,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.cluster;
+    fc_cluster *cluster = b->cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
     /* Somebody is at the writing already: the report itself must not wait. */
-    g_hash_table_insert(b->c.recording, g_strdup("job-000001"), g_new0(fc_cond, 1));
+    fc_task_completion_record(b->completion, "job-000001");
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
     placement->start.direct = rows[i].stray ? FC_DIRECT_START_UNACKNOWLEDGED : FC_DIRECT_START_NONE;
@@ -376,7 +407,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.cluster;
+    fc_cluster *cluster = b->cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
@@ -397,10 +428,10 @@
 static void late_copy_after_the_machine_moved(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.cluster;
+  fc_cluster *cluster = b->cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->owner = 1;
-  fc_peers_at(b->c.peers, 0)->heard_at = -1e9; /* we keep it for its owner */
+  fc_peers_at(b->peers, 0)->heard_at = -1e9; /* we keep it for its owner */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 20, 5, "", out), 200);
   double answered = machine->lease.answered_at;
@@ -437,7 +468,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.cluster;
+    fc_cluster *cluster = b->cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     machine->lease.answered_at = fc_now() - rows[i].since_answer;
     machine->lease.connection = rows[i].before;
@@ -449,8 +480,8 @@
     double now = machine->agent.heard_at;
     check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].in_doubt);
     check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
-    /* In doubt it is asked directly, and an answer clears it (fc_workers_doubt). */
-    check_row(rows[i].name, fc_workers_doubt(&b->c, machine) == !rows[i].usable);
+    /* In doubt it is asked directly, and an answer clears it (fc_machine_probes_check). */
+    check_row(rows[i].name, fc_machine_probes_check(b->probes, machine) == !rows[i].usable);
     g_string_free(out, TRUE);
     bench_free(b);
   }
@@ -461,7 +492,7 @@
 static void machine_started_anew(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.cluster;
+  fc_cluster *cluster = b->cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   machine->agent.restarted = true;
@@ -503,25 +534,25 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_cluster *cluster = b->c.cluster;
+    fc_cluster *cluster = b->cluster;
     fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
     world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0)->start.sent = true;
     double now = fc_now();
-    fc_peers_at(b->c.peers, 0)->acknowledged.renewals_known_until = now + 100;
+    fc_peers_at(b->peers, 0)->acknowledged.renewals_known_until = now + 100;
     machine->owned_since = now - 100;
-    fc_leadership_term_applied(b->c.leadership, now - 100, false);
+    fc_leadership_term_applied(b->leadership, now - 100, false);
     machine->lease.answered_at = now - rows[i].answered;
     machine->agent.epoch_began_at = now - rows[i].session;
     machine->agent.reported = true;
     machine->agent.epoch = 1;
     machine->agent.sequence = 9;
-    b->c.cluster->sync.read_at = now - rows[i].read;
+    b->cluster->sync.read_at = now - rows[i].read;
     if (rows[i].alone) cluster->membership.term.count = 1;
     fc_frame_lease_renewal k = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].kept * 1000), .epoch = 1};
     k.sequence = rows[i].kept_seq;
-    if (k.sequence) fc_reachability_note_renewal(b->c.cluster, &k, now);
-    fc_workers_expire(&b->c);
+    if (k.sequence) fc_reachability_note_renewal(b->cluster, &k, now);
+    fc_worker_leases_expire(b->leases);
     check_row(rows[i].name, (machine->placements->len == 0) == rows[i].over);
     bench_free(b);
   }
@@ -549,7 +580,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = true;
     machine->agent.epoch = 2;
@@ -558,7 +589,7 @@
     machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
     fc_frame_lease_renewal k = {.machine = "vm-1", .epoch = rows[i].session, .sequence = rows[i].seq};
     k.age_ms = (uint32_t)(rows[i].answered_s * 1000);
-    fc_reachability_note_renewal(b->c.cluster, &k, now);
+    fc_reachability_note_renewal(b->cluster, &k, now);
     check_row(rows[i].name, machine->probe.wanted == rows[i].asks);
     bench_free(b);
   }
@@ -568,7 +599,7 @@
 static void settled_is_news(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_cluster *cluster = b->c.cluster;
+  fc_cluster *cluster = b->cluster;
   fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
@@ -600,12 +631,12 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     if (!rows[i].settled) machine->reconciled_term = 0;
     machine->probe.wanted = rows[i].probe;
     b->settings.fd_limit = rows[i].limit;
-    b->c.worker_calls = rows[i].under_way;
-    check_row(rows[i].name, fc_workers_may_push(&b->c, machine) == rows[i].may);
+    for (unsigned n = 0; n < rows[i].under_way; n++) fc_worker_calls_begin(b->calls);
+    check_row(rows[i].name, fc_worker_calls_available(b->calls, machine) == rows[i].may);
     bench_free(b);
   }
 }
@@ -640,18 +671,17 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     double now = fc_now();
-    fc_leadership_term_applied(b->c.leadership, now - rows[i].ended, true);
+    fc_leadership_term_applied(b->leadership, now - rows[i].ended, true);
     machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
     machine->probe.answered = rows[i].answered;
     fc_frame_probe a = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
-    if (rows[i].theirs >= 0) fc_reachability_note_probe(b->c.cluster, 0, &a, now - rows[i].view, now);
+    if (rows[i].theirs >= 0) fc_reachability_note_probe(b->cluster, 0, &a, now - rows[i].view, now);
     a.age_ms = (uint32_t)(rows[i].again * 1000);
     a.answered = false;
-    if (rows[i].again > 0) fc_reachability_note_probe(b->c.cluster, 0, &a, now, now);
-    check_row(rows[i].name,
-              fc_reachability_probed_in_vain(b->c.cluster, b->c.leadership, machine) == rows[i].unreachable);
+    if (rows[i].again > 0) fc_reachability_note_probe(b->cluster, 0, &a, now, now);
+    check_row(rows[i].name, fc_reachability_probed_in_vain(b->cluster, b->leadership, machine) == rows[i].unreachable);
     bench_free(b);
   }
 }
@@ -681,21 +711,21 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     bench *b = bench_new();
-    fc_machine *machine = world_machine(b->c.cluster, "vm-1", "a", false);
+    fc_machine *machine = world_machine(b->cluster, "vm-1", "a", false);
     double now = fc_now();
     b->settings.fd_limit = 800;
-    b->c.worker_calls = rows[i].under_way;
-    fc_leadership_term_applied(b->c.leadership, now - rows[i].ended, true);
-    fc_leadership_term_applied(b->c.leadership, now - rows[i].term, false);
+    for (unsigned n = 0; n < rows[i].under_way; n++) fc_worker_calls_begin(b->calls);
+    fc_leadership_term_applied(b->leadership, now - rows[i].ended, true);
+    fc_leadership_term_applied(b->leadership, now - rows[i].term, false);
     machine->owner = rows[i].owner;
     machine->announced = rows[i].announced;
     machine->reachability.owner_suspects = rows[i].mute;
     machine->probe.sent_at = now - rows[i].asked;
     machine->reconciled_term = rows[i].settled ? 5 : 0;
     g_strlcpy(machine->record.endpoint, "10.1.0.2:9000", sizeof machine->record.endpoint);
-    fc_workers_ask(&b->c, machine);
+    fc_machine_probes_assist_owner(b->probes, machine);
     check_row(rows[i].name, machine->probe.in_flight == rows[i].asks);
-    check_row(rows[i].name, b->c.worker_calls == rows[i].under_way + rows[i].asks);
+    check_row(rows[i].name, fc_worker_calls_in_flight(b->calls) == rows[i].under_way + rows[i].asks);
     bench_free(b);
   }
 }
@@ -704,7 +734,7 @@
 static void contradicting_report(void **state) {
   (void)state;
   bench *b = bench_new();
-  fc_machine *machine = world_machine(b->c.cluster, "vm-1", "b", false); /* it will say zone a */
+  fc_machine *machine = world_machine(b->cluster, "vm-1", "b", false); /* it will say zone a */
   GString *out = g_string_new(NULL);
   assert_int_equal(report(b, 1, 1, 5, "", out), 503);
   assert_int_equal(machine->agent.sequence, 0);
