--- /dev/null
+++ b/tests/test_heartbeats.c
@@ -0,0 +1,194 @@
+/* Heartbeats: who answers them, in which order they count, and what they show of the connection; no
+ * network. */
+#include "worker_bench.h"
+
+#include "scheduler/free_capacity.h"
+
+static void answer_depends_on_owner_and_lease(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    int owner;
+    bool lease, owner_heard;
+    unsigned fencing_token;
+    int status;
+    const char *text;
+  } rows[] = {
+      {"ours", 0, true, true, 5, 200, "\"captaincy\":5"},
+      {"ours, but we may not act", 0, false, true, 5, 503, ""},
+      {"a fencing token above our term", 0, true, true, 6, 503, ""},
+      {"theirs, and they are there", 1, true, true, 5, 421, "\"coach\":\"paddock-1\""},
+      {"theirs, and we don't hear of them: lease renewed here", 1, true, false, 5, 200, "\"calls\":[]"},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    machine->owner = rows[i].owner;
+    machine->agent.reported = false;
+    if (!rows[i].lease) fc_leadership_lease_lost(bench->leadership);
+    if (!rows[i].owner_heard) fc_peers_at(bench->peers, 0)->heard_at = -1e9;
+    GString *out = g_string_new(NULL);
+    check_row(rows[i].name, send_heartbeat(bench, 1, 1, rows[i].fencing_token, "", out) == rows[i].status);
+    check_row(rows[i].name, says(out, rows[i].text));
+    /* Who renews the lease of a peer's machine remembers it: the owner must be informed. */
+    check_row(rows[i].name, (machine->lease.answered_at > 0) == (rows[i].status == 200));
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+static void worker_back_from_its_owner_is_answered(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  world_machine(bench->cluster, "vm-1", "a", false)->owner = 1;
+  GString *out = g_string_new(NULL);
+  assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 421);
+  assert_int_equal(send_heartbeat(bench, 1, 2, 5, "", out), 200);
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+/* A copy of a heartbeat may come at any later time, also to a member that has just become the
+ * owner: it changes nothing, and no command counts as sent with its answer. */
+static void late_copies(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned epoch, sequence, fencing_token;
+    int status;
+  } rows[] = {
+      {"of this epoch", 2, 9, 5, 200},
+      {"of this epoch, before this term", 2, 9, 4, 200},
+      {"newer by count, but from before the fencing token was shown", 2, 99, 4, 200},
+      {"of an earlier epoch", 1, 99, 5, 503},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_cluster *cluster = bench->cluster;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    GString *out = g_string_new(NULL);
+    assert_int_equal(send_heartbeat(bench, 2, 10, 5, RUNNING(0), out), 200);
+    fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 1, 2, 0);
+    double answered = machine->lease.answered_at = machine->agent.heard_at = machine->agent.heard_at - 3;
+    check_row(rows[i].name, send_heartbeat(bench, rows[i].epoch, rows[i].sequence, rows[i].fencing_token, RUNNING(3),
+                                           out) == rows[i].status);
+    check_row(rows[i].name, !says(out, "start") && !placement->start.sent);
+    check_row(rows[i].name, machine->placements->len == 2 && machine->agent.sequence == 10);
+    check_row(rows[i].name, machine->lease.answered_at == answered); /* the lease is not extended */
+    check_row(rows[i].name, machine->probe.wanted);                  /* the machine itself is probed */
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+/* What a peer knows of a machine stays when it becomes the owner: a copy does not deceive it. */
+static void late_copy_after_a_change_of_owner(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  fc_cluster *cluster = bench->cluster;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  machine->owner = 1;
+  fc_peers_at(bench->peers, 0)->heard_at = -1e9; /* we renew its lease for its owner */
+  GString *out = g_string_new(NULL);
+  assert_int_equal(send_heartbeat(bench, 1, 20, 5, "", out), 200);
+  double answered = machine->lease.answered_at;
+  assert_int_equal(send_heartbeat(bench, 1, 19, 5, "", out), 503); /* nobody waits for this answer */
+  assert_true(machine->lease.answered_at == answered);
+  fc_cluster_assign_machine(cluster, machine, 1);
+  assert_int_equal(machine->owner, 0);
+  (void)send_heartbeat(bench, 1, 18, 5, RUNNING(0), out);
+  assert_int_equal(machine->placements->len, 0);
+  assert_true(!fc_machine_reconciled(cluster, machine));
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+/* Heartbeats that arrive show that a worker can send. Whether it receives our answers is shown by
+ * how soon it is back. */
+static void unidirectional_connections(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    double since_answer, unidirectional_s; /* before the heartbeat; < 0: its connection was not in question */
+    uint64_t before, now;                  /* the connections of our last answer and of the heartbeat */
+    double heartbeat_s;
+    bool unidirectional, usable;
+  } rows[] = {
+      {"back in time", 2, -1, 1, 2, 2, false, true},
+      {"back in time after one that was late", 2, 9, 1, 2, 2, false, true},
+      {"after its timeout", 5, -1, 1, 2, 2, true, true}, /* one answer may be lost */
+      {"after its timeout once more", 5, 6, 1, 2, 2, true, false},
+      {"heartbeats are far apart, on another connection", 6, -1, 1, 2, 6, true, true},
+      {"heartbeats are far apart, on the same connection", 6, 9, 7, 7, 6, false, true},
+      {"on the same connection after very long", 13, -1, 7, 7, 6, true, true},
+      {"on a connection that is not known", 6, -1, 0, 0, 6, true, true},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_cluster *cluster = bench->cluster;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    machine->lease.answered_at = fc_now() - rows[i].since_answer;
+    machine->lease.connection = rows[i].before;
+    bench->connection = rows[i].now;
+    bench->settings.heartbeat_s = rows[i].heartbeat_s;
+    if (rows[i].unidirectional_s >= 0) machine->reachability.unidirectional_since = fc_now() - rows[i].unidirectional_s;
+    GString *out = g_string_new(NULL);
+    assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 200);
+    double now = machine->agent.heard_at;
+    check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].unidirectional);
+    check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
+    /* One that may not hear us is probed, and is usable again once it answers. */
+    check_row(rows[i].name, fc_machine_probes_check(bench->probes, machine) == !rows[i].usable);
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+/* Restarted in the same epoch: a copy from its earlier incarnation counts higher than all that it
+ * sends itself, and must not hide what runs there. */
+static void restarted_worker(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  fc_cluster *cluster = bench->cluster;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  machine->agent.restarted = true;
+  machine->agent.epoch = 1;
+  machine->agent.sequence = 3;
+  machine->agent.fencing_token = 5;
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+  placement->start.sent = placement->status.reported = true;
+  GString *out = g_string_new(NULL);
+  assert_int_equal(send_heartbeat(bench, 1, 90, 5, "", out), 200);
+  assert_int_equal(machine->placements->len, 1);
+  assert_int_equal(machine->agent.sequence, 3);
+  assert_true(machine->probe.wanted);
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+/* A heartbeat that does not match the machine's record is refused at once, nothing is applied. */
+static void heartbeat_contradicts_the_record(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  fc_machine *machine = world_machine(bench->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
+  GString *out = g_string_new(NULL);
+  assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 503);
+  assert_int_equal(machine->agent.sequence, 0);
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(answer_depends_on_owner_and_lease),
+      cmocka_unit_test(worker_back_from_its_owner_is_answered),
+      cmocka_unit_test(late_copies),
+      cmocka_unit_test(late_copy_after_a_change_of_owner),
+      cmocka_unit_test(unidirectional_connections),
+      cmocka_unit_test(restarted_worker),
+      cmocka_unit_test(heartbeat_contradicts_the_record),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_machine_probes.c
@@ -0,0 +1,170 @@
+/* When machines are called directly, and what probes show; no network. */
+#include "worker_bench.h"
+
+#include "controller/machine_reachability.h"
+
+/* Direct calls leave sockets for other uses, and fences leave some for commands. */
+static void calls_leave_sockets_free(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned limit, under_way;
+    bool reconciled, probe, available;
+  } rows[] = {
+      {"the last for a command", 800, 99, true, false, true},
+      {"none left", 800, 100, true, false, false},
+      {"one over", 800, 101, true, false, false},
+      {"the last for a fence", 800, 49, false, false, true},
+      {"no more for fences", 800, 50, false, false, false},
+      {"nor for probes", 800, 50, true, true, false},
+      {"few sockets in all", 8, 1, true, false, true},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    if (!rows[i].reconciled) machine->reconciled_term = 0;
+    machine->probe.wanted = rows[i].probe;
+    bench->settings.fd_limit = rows[i].limit;
+    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(bench->calls);
+    check_row(rows[i].name, fc_worker_calls_available(bench->calls, machine) == rows[i].available);
+    worker_bench_free(bench);
+  }
+}
+
+/* A heartbeat that a peer answered, older than what has come to us, may be of a worker that was
+ * restarted: it is probed, unless it has been since. */
+static void probe_after_a_renewal_by_a_peer(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned epoch, sequence; /* of that heartbeat; ours came with (2, 9) */
+    double answered_s;        /* ago, by the peer */
+    double asked_s;           /* ago; 0: never */
+    int owner;
+    bool probes;
+  } rows[] = {
+      {"newer than ours", 2, 10, 5, 0, 0, false},
+      {"older, never probed", 2, 8, 5, 0, 0, true},
+      {"of an earlier epoch", 1, 50, 5, 0, 0, true},
+      {"older, probed before it was answered", 2, 8, 5, 6, 0, true},
+      {"older, probed since", 2, 8, 5, 4, 0, false},
+      {"older, probed since, but within what clocks may be off", 2, 8, 20, 19.97, 0, true},
+      {"older, the machine is another member's", 2, 8, 5, 0, 1, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    machine->owner = rows[i].owner;
+    machine->agent.reported = true;
+    machine->agent.epoch = 2;
+    machine->agent.sequence = 9;
+    double now = fc_now();
+    machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
+    fc_frame_lease_renewal renewal = {.machine = "vm-1", .epoch = rows[i].epoch, .sequence = rows[i].sequence};
+    renewal.age_ms = (uint32_t)(rows[i].answered_s * 1000);
+    fc_reachability_note_renewal(bench->cluster, &renewal, now);
+    check_row(rows[i].name, machine->probe.wanted == rows[i].probes);
+    worker_bench_free(bench);
+  }
+}
+
+/* A member's incarnation has ended: the machine counts as unreachable once we and every other
+ * member have probed it since, not long ago, and nobody was answered. */
+static void probed_by_all_in_vain(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    double ended, ours; /* ago; 0: never */
+    bool answered;
+    double theirs; /* the age of their probe as the acknowledgement of our view has it, -1: none */
+    bool reached;
+    double view; /* ago: when we sent that view */
+    bool unreachable;
+    double again; /* ago: they probed once more, in vain; 0: no */
+  } rows[] = {
+      {"both in vain", 5, 2, false, 1.5, false, 0.5, true, 0},
+      {"they have not probed", 5, 2, false, -1, false, 0.5, false, 0},
+      {"they have reached it", 5, 2, false, 1.5, true, 0.5, false, 0},
+      {"they have reached it, and not a moment later", 5, 2, false, 1.5, true, 0.5, false, 0.5},
+      {"they reached it before the end", 5, 2, false, 6, true, 0.5, true, 1},
+      {"they reached it before the end, and nobody since", 5, 2, false, 6, true, 0.5, false, 0},
+      {"they probed before the end", 5, 2, false, 5.5, false, 0.1, false, 0},
+      {"or may have: the view was sent long before", 5, 2, false, 4.5, false, 1, false, 0},
+      {"we have not probed", 5, 0, false, 1.5, false, 0.5, false, 0},
+      {"we probed before the end", 5, 6, false, 1.5, false, 0.5, false, 0},
+      {"we were answered", 5, 2, true, 1.5, false, 0.5, false, 0},
+      {"probed long ago", 60, 30, false, 29, false, 0.5, false, 0},
+      {"theirs is long ago", 60, 2, false, 29, false, 0.5, false, 0},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    double now = fc_now();
+    fc_leadership_term_applied(bench->leadership, now - rows[i].ended, true);
+    machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
+    machine->probe.answered = rows[i].answered;
+    fc_frame_probe probe = {
+        .machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
+    if (rows[i].theirs >= 0) fc_reachability_note_probe(bench->cluster, 0, &probe, now - rows[i].view, now);
+    probe.age_ms = (uint32_t)(rows[i].again * 1000);
+    probe.answered = false;
+    if (rows[i].again > 0) fc_reachability_note_probe(bench->cluster, 0, &probe, now, now);
+    check_row(rows[i].name,
+              fc_reachability_probed_in_vain(bench->cluster, bench->leadership, machine) == rows[i].unreachable);
+    worker_bench_free(bench);
+  }
+}
+
+/* Which machines of other members are probed. */
+static void probes_that_assist_an_owner(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    int owner;
+    double ended; /* ago */
+    bool reconciled, owner_suspects, announced;
+    double term, asked; /* ago */
+    unsigned under_way;
+    bool probes;
+  } rows[] = {
+      {"its owner is out of touch with it", 1, 5, true, true, true, 5, 10, 0, true},
+      {"in touch with it", 1, 5, true, false, true, 5, 10, 0, false},
+      {"its owner should have reconciled it", 1, 5, false, false, true, 5, 10, 0, true},
+      {"and has not had the time", 1, 2, false, false, true, 2, 10, 0, false},
+      {"without an owner", -1, 5, false, false, true, 5, 10, 0, false},
+      {"probed already", 1, 5, true, true, true, 5, 1, 0, false},
+      {"never announced", 1, 5, true, true, false, 5, 10, 0, false},
+      {"no incarnation has ended for long", 1, 100, true, true, true, 5, 10, 0, false},
+      {"the last socket for it", 1, 5, true, true, true, 5, 10, 24, true},
+      {"no socket left for it", 1, 5, true, true, true, 5, 10, 25, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    double now = fc_now();
+    bench->settings.fd_limit = 800;
+    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(bench->calls);
+    fc_leadership_term_applied(bench->leadership, now - rows[i].ended, true);
+    fc_leadership_term_applied(bench->leadership, now - rows[i].term, false);
+    machine->owner = rows[i].owner;
+    machine->announced = rows[i].announced;
+    machine->reachability.owner_suspects = rows[i].owner_suspects;
+    machine->probe.sent_at = now - rows[i].asked;
+    machine->reconciled_term = rows[i].reconciled ? 5 : 0;
+    g_strlcpy(machine->record.endpoint, "10.1.0.2:9000", sizeof machine->record.endpoint);
+    fc_machine_probes_assist_owner(bench->probes, machine);
+    check_row(rows[i].name, machine->probe.in_flight == rows[i].probes);
+    check_row(rows[i].name, fc_worker_calls_in_flight(bench->calls) == rows[i].under_way + rows[i].probes);
+    worker_bench_free(bench);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(calls_leave_sockets_free),
+      cmocka_unit_test(probe_after_a_renewal_by_a_peer),
+      cmocka_unit_test(probed_by_all_in_vain),
+      cmocka_unit_test(probes_that_assist_an_owner),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_reconciler.c
@@ -0,0 +1,165 @@
+/* Reconciliation: what a task list proves, before and after the machine is fenced; no network. */
+#include "worker_bench.h"
+
+/* No command before the worker has shown that it refuses older ones. */
+static void fenced_before_commanded(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  fc_cluster *cluster = bench->cluster;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  machine->reconciled_term = 0;
+  machine->agent.reported = false;
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_cluster_add_placement(cluster, machine, "job-000001", 3, 9, 0)->start.sent =
+      true; /* what an earlier incarnation may have sent */
+  GString *out = g_string_new(NULL);
+  assert_int_equal(send_heartbeat(bench, 1, 1, 4, RUNNING(0), out), 200);
+  assert_true(says(out, "\"calls\":[]"));
+  assert_int_equal(machine->reconciled_term, 0);
+  assert_int_equal(send_heartbeat(bench, 1, 2, 5, RUNNING(0), out), 200);
+  assert_int_equal(machine->reconciled_term, 5);
+  /* The list is now all there is: what was only thought to be there is gone. */
+  assert_int_equal(machine->placements->len, 1);
+  assert_int_equal(((fc_placement *)machine->placements->pdata[0])->index, 0);
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+static void heartbeats_in_order(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned epoch, sequence;
+    const char *tasks;
+    int status;
+    unsigned left; /* placements afterwards; before: one running, listed with (2, 10) */
+  } rows[] = {
+      {"newer, still there", 2, 11, RUNNING(0), 200, 1},
+      {"newer, gone", 2, 11, "", 200, 0},
+      {"older of this epoch is not applied", 2, 9, "", 200, 1},
+      {"older epoch", 1, 99, "", 503, 1},
+      {"new epoch", 3, 1, "", 200, 0},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_cluster *cluster = bench->cluster;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    GString *out = g_string_new(NULL);
+    machine->agent.reported = false;
+    assert_int_equal(send_heartbeat(bench, 2, 10, 5, RUNNING(0), out), 200);
+    check_row(rows[i].name,
+              send_heartbeat(bench, rows[i].epoch, rows[i].sequence, 5, rows[i].tasks, out) == rows[i].status);
+    check_row(rows[i].name, machine->placements->len == rows[i].left);
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+/* A direct start without an answer may arrive until the worker has shown a fencing token above the
+ * one that it carried, or is in a later epoch. */
+static void unacknowledged_direct_starts(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned sent_token;             /* that the start carried */
+    unsigned seen_token;             /* that the worker had shown before */
+    unsigned epoch, sequence, token; /* of its next heartbeat; the last was (1, 1) */
+    bool may_arrive;
+  } rows[] = {
+      {"the same token again", 5, 5, 1, 2, 5, true},
+      {"the token that it carried, shown for the first time", 5, 4, 1, 2, 5, true},
+      {"a higher token", 4, 4, 1, 2, 5, false},
+      {"a token higher than one shown since", 3, 4, 1, 2, 5, false},
+      {"a later epoch", 5, 5, 2, 1, 5, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    machine->agent.epoch = machine->agent.sequence = 1;
+    machine->agent.fencing_token = rows[i].seen_token;
+    world_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    /* It was listed and has ended without its work: to be forgotten, or not yet. */
+    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
+    placement->start.sent = placement->status.reported = true;
+    placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
+    placement->start.direct_token = rows[i].sent_token;
+    GString *out = g_string_new(NULL);
+    send_heartbeat(bench, rows[i].epoch, rows[i].sequence, rows[i].token, EXITED(0, "stopped"), out);
+    check_row(rows[i].name, (placement->start.direct == FC_DIRECT_START_UNACKNOWLEDGED) == rows[i].may_arrive);
+    check_row(rows[i].name, says(out, "clear") == !rows[i].may_arrive);
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+/* A start that was sent and never listed, on a machine whose direct answers alone count: the answer
+ * to a probe decides that was sent once no copy of the start can be carried out. */
+static void starts_decided_by_direct_answers(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned sent_sequence; /* of the heartbeat whose answer carried the start; 0: none did */
+    double sent_s, asked_s; /* ago: that answer, the probe */
+    bool unacknowledged, stopping;
+    bool left, sent; /* afterwards */
+  } rows[] = {
+      {"only direct copies, all decided, not wanted any more", 0, 0, 1, false, true, false, false},
+      {"only direct copies, all decided, wanted", 0, 0, 1, false, false, true, false},
+      {"a direct copy may arrive", 0, 0, 1, true, true, true, true},
+      {"asked while the worker may take the answer", 20, 5, 1.5, false, true, true, true},
+      {"asked once it would drop it", 20, 9, 1.5, false, true, false, false},
+      {"asked once it would drop it, wanted", 20, 9, 1.5, false, false, true, false},
+      {"asked once it would drop it, a direct copy may arrive", 20, 9, 1.5, true, true, true, true},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    machine->agent.epoch = 1;
+    machine->agent.sequence = 3;
+    machine->agent.fencing_token = 5;
+    world_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
+    double now = fc_now();
+    placement->start.sent = true;
+    placement->start.heartbeat_sequence = rows[i].sent_sequence;
+    placement->start.sent_at = now - rows[i].sent_s;
+    placement->start.direct = rows[i].unacknowledged ? FC_DIRECT_START_UNACKNOWLEDGED : FC_DIRECT_START_NONE;
+    placement->start.direct_token = 5;
+    placement->stop.requested = rows[i].stopping;
+    fc_heartbeat heartbeat = {.machine = "vm-1", .epoch = 1, .sequence = 4, .fencing_token = 5, .spot_notice_s = -1};
+    fc_worker_calls_apply_answer(bench->calls, machine, &heartbeat, now - rows[i].asked_s);
+    check_row(rows[i].name, machine->placements->len == (rows[i].left ? 1 : 0));
+    if (rows[i].left) check_row(rows[i].name, placement->start.sent == rows[i].sent);
+    worker_bench_free(bench);
+  }
+}
+
+/* What was placed before the machine is reconciled is in no view that a peer has acknowledged. */
+static void reconciled_machine_is_in_no_earlier_view(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  fc_cluster *cluster = bench->cluster;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  machine->reconciled_term = 0;
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+  placement->start.sent = true;
+  cluster->view_number = 7; /* views that showed the machine as not reconciled */
+  GString *out = g_string_new(NULL);
+  assert_int_equal(send_heartbeat(bench, 1, 1, 5, RUNNING(0), out), 200);
+  assert_int_equal(machine->reconciled_term, 5);
+  assert_int_equal(placement->first_view, 8);
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(fenced_before_commanded),
+      cmocka_unit_test(heartbeats_in_order),
+      cmocka_unit_test(unacknowledged_direct_starts),
+      cmocka_unit_test(starts_decided_by_direct_answers),
+      cmocka_unit_test(reconciled_machine_is_in_no_earlier_view),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_worker_commands.c
@@ -0,0 +1,123 @@
+/* Which commands a worker is sent with the answer to a heartbeat; no network. */
+#include "worker_bench.h"
+
+/* A start is repeated until it is listed; a task missing from a heartbeat proves nothing while the
+ * start may still arrive. */
+static void start_is_repeated_until_listed(void **state) {
+  (void)state;
+  worker_bench *bench = worker_bench_new();
+  fc_cluster *cluster = bench->cluster;
+  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+  GString *out = g_string_new(NULL);
+  send_heartbeat(bench, 1, 1, 5, "", out);
+  assert_true(says(out, "start"));
+  send_heartbeat(bench, 1, 2, 5, "", out); /* not carried out: sent again */
+  assert_true(says(out, "start"));
+  assert_int_equal(machine->placements->len, 1);
+  placement->stop.requested = true; /* not wanted any more: the next heartbeat decides */
+  placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
+  placement->start.direct_token = 5;
+  send_heartbeat(bench, 1, 3, 5, "", out);
+  assert_int_equal(machine->placements->len, 1); /* a direct copy may still arrive */
+  placement->start.direct = FC_DIRECT_START_NONE;
+  send_heartbeat(bench, 1, 4, 5, "", out);
+  assert_int_equal(machine->placements->len, 0);
+  g_string_free(out, TRUE);
+  worker_bench_free(bench);
+}
+
+/* Whether a start is still wanted is decided when it is sent: its job may have been cancelled since
+ * the scheduling round, by a record that was read or by what a peer has sent; a member that renews
+ * the lease of a peer's machine stops its tasks for the same reasons. */
+static void starts_of_cancelled_jobs(void **state) {
+  (void)state;
+  enum { NOT, READ, BY_PEER, BY_PEER_UNKNOWN };
+  static const struct {
+    const char *name;
+    int cancelled;
+    bool owner, running;
+    const char *says, *says_not;
+    double stopping; /* with so much time for a checkpoint */
+  } rows[] = {
+      {"not cancelled", NOT, true, false, "\"call\":\"start\"", "halt", 0},
+      {"cancelled, as it was read", READ, true, false, "\"calls\":[]", "start", 0},
+      {"cancelled, as a peer has sent", BY_PEER, true, false, "\"calls\":[]", "start", 0},
+      {"writing a checkpoint", NOT, true, true, "\"leewayS\":9", "\"leewayS\":0", 9},
+      {"writing a checkpoint, then cancelled", BY_PEER, true, true, "\"leewayS\":0", "\"leewayS\":9", 9},
+      {"running for another member", NOT, false, true, "\"calls\":[]", "halt", 0},
+      {"running for another, cancelled as a peer has sent", BY_PEER, false, true, "\"call\":\"halt\"", "start", 0},
+      {"running for another, a job never read", BY_PEER_UNKNOWN, false, true, "\"call\":\"halt\"", "start", 0},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_cluster *cluster = bench->cluster;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_job *job = NULL;
+    if (rows[i].cancelled != BY_PEER_UNKNOWN)
+      job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
+    fc_placement *placement =
+        rows[i].owner ? fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, fc_now()) : NULL;
+    if (placement && rows[i].running) placement->start.sent = placement->status.reported = true;
+    if (placement && rows[i].stopping > 0) {
+      placement->stop.requested = true;
+      placement->stop.grace_s = rows[i].stopping;
+    }
+    if (!rows[i].owner) {
+      machine->owner = 1;
+      fc_peers_at(bench->peers, 0)->heard_at = -1e9;
+    }
+    if (rows[i].cancelled == READ) job->phase = FC_PHASE_CANCELLED;
+    if (rows[i].cancelled >= BY_PEER) fc_cluster_apply_cancellation(cluster, "job-000001", 99, fc_now(), fc_now());
+    GString *out = g_string_new(NULL);
+    check_row(rows[i].name, send_heartbeat(bench, 1, 1, 5, rows[i].running ? RUNNING(0) : "", out) == 200);
+    check_row(rows[i].name, says(out, rows[i].says) && !says(out, rows[i].says_not));
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+/* A worker is to forget an exited task only when its end is recorded, and never while a copy of its
+ * start may arrive: that would run it again. */
+static void exited_tasks_are_forgotten(void **state) {
+  (void)state;
+  static const struct {
+    const char *name, *tasks;
+    bool done_recorded, unacknowledged, forgotten;
+  } rows[] = {
+      {"failed", EXITED(0, "error"), false, false, true},
+      {"done and recorded", EXITED(0, "done"), true, false, true},
+      {"done, not recorded", EXITED(0, "done"), false, false, false},
+      {"a copy of its start under way", EXITED(0, "error"), false, true, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    worker_bench *bench = worker_bench_new();
+    fc_cluster *cluster = bench->cluster;
+    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
+    /* It is being recorded already: the answer to the heartbeat must not wait for that. */
+    fc_task_completion_record(bench->completion, "job-000001");
+    fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
+    placement->start.sent = placement->status.reported = true;
+    placement->start.direct = rows[i].unacknowledged ? FC_DIRECT_START_UNACKNOWLEDGED : FC_DIRECT_START_NONE;
+    placement->start.direct_token = 5;
+    GString *out = g_string_new(NULL);
+    machine->agent.fencing_token = 5;
+    machine->agent.epoch = 1;
+    check_row(rows[i].name, send_heartbeat(bench, 1, 1, 5, rows[i].tasks, out) == 200);
+    check_row(rows[i].name, says(out, "clear") == rows[i].forgotten);
+    g_string_free(out, TRUE);
+    worker_bench_free(bench);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(start_is_repeated_until_listed),
+      cmocka_unit_test(starts_of_cancelled_jobs),
+      cmocka_unit_test(exited_tasks_are_forgotten),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
