--- a/src/controller/client_server.c
+++ b/src/controller/client_server.c
@@ -60,7 +60,8 @@
   switch (route) {
     case FC_ROUTE_HEARTBEAT:
       fc_metrics_enter_duty(metrics, FC_DUTY_HEARTBEATS);
-      fc_workers_report(server->deps.controller, request, &response->status, response->body);
+      fc_heartbeats_answer(server->deps.heartbeats, request->body, request->body_len, request->connection,
+                           &response->status, response->body);
       break;
     case FC_ROUTE_SUBMIT:
       serve_submission(server, request, response);
--- a/src/controller/client_server.h
+++ b/src/controller/client_server.h
@@ -4,7 +4,7 @@
 #define FC_CONTROLLER_CLIENT_SERVER_H
 
 #include "controller/admission.h"
-#include "controller/controller.h"
+#include "controller/heartbeats.h"
 #include "controller/job_queries.h"
 #include "controller/readiness.h"
 
@@ -16,7 +16,7 @@
   fc_admission *admission;
   fc_job_queries *queries;
   fc_readiness *readiness;
-  fc_controller *controller;
+  fc_heartbeats *heartbeats;
   fc_metrics *metrics;
 } fc_client_server_deps;
 
