--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -1,37 +1,58 @@
-/* Cancelled jobs whose tasks are not proved gone: the machine goes back to the cloud in
- * time. A halt may not get through, and a start that was held up in a cut is carried out
- * when the cut ends, however late, as long as token and session are the same: a task of a
- * job cancelled 43 s before began (scene commands_held_up). */
+#include "controller/cancellation_deadline.h"
+
 #include "bookkeeping/cluster_machines.h"
-#include "controller/controller.h"
+#include "transport/routine.h"
+
+/* The time kept for the return, the longer of both: calls may fail, and the cloud's rate is
+ * limited. */
+#define RESERVE_LEASES 0.5
+#define RESERVE_HEARTBEATS 3
+
+/* In heartbeat intervals. */
+#define CHECK_INTERVAL_HEARTBEATS 0.5
+#define CLOUD_TIMEOUT_HEARTBEATS 1
 
-/* Kept for returning the machine: calls that fail, and the cloud's rate. */
-static double reserve(const fc_settings *settings) {
-  return MAX(settings->lease_s * 0.5, settings->heartbeat_s * 3);
+struct fc_cancellation_deadline {
+  const fc_cluster *cluster;
+  fc_cloud_access *cloud;
+  const fc_leadership *leadership;
+  fc_machine_returns *returns;
+  fc_metrics *metrics;
+};
+
+fc_cancellation_deadline *fc_cancellation_deadline_new(const fc_cluster *cluster, fc_cloud_access *cloud,
+                                                       const fc_leadership *leadership, fc_machine_returns *returns,
+                                                       fc_metrics *metrics) {
+  fc_cancellation_deadline *deadline = g_new(fc_cancellation_deadline, 1);
+  *deadline = (fc_cancellation_deadline){
+      .cluster = cluster, .cloud = cloud, .leadership = leadership, .returns = returns, .metrics = metrics};
+  return deadline;
 }
 
-static bool may_be_there(const fc_placement *placement) {
-  if (placement->start.direct != FC_DIRECT_START_NONE) return true; /* or may yet begin */
+/* May the task run there, or begin yet? */
+static bool may_run(const fc_placement *placement) {
+  if (placement->start.direct != FC_DIRECT_START_NONE) return true;
   return placement->start.sent && placement->status.state != FC_TASK_EXITED;
 }
 
-/* Has the machine to go back for a cancelled task that is not proved gone? */
+static double reserve_s(const fc_settings *settings) {
+  return MAX(settings->lease_s * RESERVE_LEASES, settings->heartbeat_s * RESERVE_HEARTBEATS);
+}
+
+/* Has the machine to be returned for a cancelled task that is not proved gone? */
 static bool overdue(const fc_cluster *cluster, const fc_machine *machine, double now) {
   const fc_settings *settings = cluster->settings;
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
-    if (may_be_there(placement) &&
-        now > fc_cluster_cancelled_since(cluster, placement->job_id) + settings->cancel_s - reserve(settings))
+    if (may_run(placement) &&
+        now > fc_cluster_cancelled_since(cluster, placement->job_id) + settings->cancel_s - reserve_s(settings))
       return true;
   }
   return false;
 }
 
-/* What else runs there is lost, and the suspicion that it is our own network that is cut
- * does not count: the rule comes first. The record goes later, with the next returns: the
- * state service may be out of reach. */
-static void give_back_overdue(fc_controller *controller) {
-  fc_cluster *cluster = controller->cluster;
+/* Marks the machines to be returned. Returns their ids. */
+static GPtrArray *begin_returns(const fc_cluster *cluster) {
   double now = fc_now();
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
@@ -39,18 +60,32 @@
     if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version || machine->record_write_pending ||
         !overdue(cluster, machine, now))
       continue;
-    fc_machine_begin_return(machine, "overdue", ids);
+    fc_machine_returns_begin(machine, FC_RETURN_OVERDUE, ids);
   }
-  if (ids->len > 0 && fc_cloud_turn(controller) && fc_leadership_held(controller->leadership) &&
-      fc_cloud_release(controller->cloud, (const char *const *)ids->pdata, ids->len,
-                       fc_now() + controller->settings->heartbeat_s) == FC_CLOUD_OK)
-    fc_machines_gone(controller, ids);
+  return ids;
+}
+
+/* What else runs on the machine is lost, and the suspicion that our own connection is cut does not
+ * count: the deadline comes first. The record is removed with the next returns, as the key-value
+ * store may be out of reach. */
+static void return_overdue(const fc_cancellation_deadline *deadline) {
+  GPtrArray *ids = begin_returns(deadline->cluster);
+  double timeout_s = deadline->cluster->settings->heartbeat_s * CLOUD_TIMEOUT_HEARTBEATS;
+  if (ids->len > 0 && fc_cloud_access_acquire_as_leader(deadline->cloud) &&
+      fc_cloud_release(fc_cloud_access_client(deadline->cloud), (const char *const *)ids->pdata, ids->len,
+                       fc_now() + timeout_s) == FC_CLOUD_OK)
+    fc_machine_returns_confirmed(deadline->returns, ids);
   g_ptr_array_free(ids, TRUE);
 }
 
-void fc_overdue_main(void *arg) {
-  fc_controller *controller = arg;
-  fc_metrics_enter_duty(controller->metrics, FC_DUTY_RENTAL);
-  while (fc_routine_sleep(controller->settings->heartbeat_s * 0.5) != FC_WAKE_CANCELLED)
-    if (fc_leadership_held(controller->leadership)) give_back_overdue(controller);
+static void run(void *arg) {
+  fc_cancellation_deadline *deadline = arg;
+  fc_metrics_enter_duty(deadline->metrics, FC_DUTY_RENTAL);
+  double interval_s = deadline->cluster->settings->heartbeat_s * CHECK_INTERVAL_HEARTBEATS;
+  while (fc_routine_sleep(interval_s) != FC_WAKE_CANCELLED)
+    if (fc_leadership_held(deadline->leadership)) return_overdue(deadline);
+}
+
+bool fc_cancellation_deadline_start(fc_cancellation_deadline *deadline) {
+  return fc_routine_spawn(run, deadline) != NULL;
 }
--- /dev/null
+++ b/src/controller/cloud_access.h
@@ -0,0 +1,27 @@
+/* Access to the cloud: the client, and this member's share of the cloud's request rate. Every
+ * request has to be acquired first. */
+#ifndef FC_CONTROLLER_CLOUD_ACCESS_H
+#define FC_CONTROLLER_CLOUD_ACCESS_H
+
+#include <stdbool.h>
+
+#include "bookkeeping/cluster.h"
+#include "controller/leadership.h"
+#include "protocol/cloud_api.h"
+
+typedef struct fc_cloud_access fc_cloud_access;
+
+/* The arguments have to outlive it. The caller frees it with fc_cloud_access_free(). */
+fc_cloud_access *fc_cloud_access_new(const fc_cluster *cluster, const fc_leadership *leadership);
+void fc_cloud_access_free(fc_cloud_access *access);
+
+/* Owned by `access`, valid as long as it is. */
+fc_cloud *fc_cloud_access_client(const fc_cloud_access *access);
+
+/* Waits until one request may be sent. May suspend the calling routine. False: cancelled. */
+bool fc_cloud_access_acquire(fc_cloud_access *access);
+/* The same for a request that only the leader of our shard may send. False: cancelled, or the
+ * leadership is not held at the end of the wait. */
+bool fc_cloud_access_acquire_as_leader(fc_cloud_access *access);
+
+#endif
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -12,12 +12,12 @@
 #include "bookkeeping/record_writes.h"
 #include "bookkeeping/token_bucket.h"
 #include "controller/cancellations.h"
+#include "controller/cloud_access.h"
 #include "controller/kv_watch.h"
 #include "controller/leadership.h"
 #include "controller/metrics.h"
 #include "controller/peers.h"
 #include "controller/wakeups.h"
-#include "protocol/cloud_api.h"
 #include "protocol/json.h"
 #include "protocol/peer_frame.h"
 #include "protocol/settings.h"
@@ -30,7 +30,7 @@
   const fc_settings *settings;
   fc_cluster *cluster;
   fc_kv *kv;
-  fc_cloud *cloud;
+  fc_cloud_access *cloud;
   fc_group_commit *commit;
   fc_metrics *metrics;
   fc_wakeups *wakeups;
@@ -39,7 +39,6 @@
   fc_cancellations *cancellations;
   fc_kv_watch *watch;
 
-  fc_token_bucket cloud_budget;
   fc_token_bucket lookup_budget; /* for questions about jobs that are not in memory */
   GHashTable *archived;          /* id -> fc_archived_job: awaited ones that were found lately */
 
@@ -51,10 +50,8 @@
   unsigned giving[FC_MEMBERS_MAX]; /* machines whose records, being written, give them to these */
   unsigned worker_calls;           /* direct calls to workers under way */
   uint64_t attempt_counter;
-  uint64_t rental_counter;
   double started_at;
   double looked_at;      /* when places beyond free room were last looked for */
-  double types_at;       /* when the machine types were last read */
   GHashTable *recording; /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
 };
 
@@ -71,19 +68,9 @@
 
 /* Duties. */
 void fc_round_main(void *controller);
-void fc_rent_main(void *controller);
 void fc_archive_main(void *controller);
-void fc_overdue_main(void *controller);
 bool fc_front_start(fc_controller *controller);
 
-/* rent.c */
-/* Waits for our share of the cloud's rate; false: cancelled. */
-bool fc_cloud_turn(fc_controller *controller);
-/* Takes nothing new from here on, and is among those to be given back. */
-void fc_machine_begin_return(fc_machine *machine, const char *why, GPtrArray *ids);
-/* The cloud has confirmed that these machines are gone: nothing is on them any more. */
-void fc_machines_gone(fc_controller *controller, const GPtrArray *ids);
-
 /* workers.c */
 void fc_workers_report(fc_controller *controller, const fc_http_request *req, int *status, GString *out);
 /* Sends what the machine is owed (starts, stops, clears) or, when it is not
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -1,9 +1,12 @@
 /* Assembles one controller from its settings. */
+#include "controller/cancellation_deadline.h"
 #include "controller/controller.h"
 #include "controller/dependency_resolver.h"
 #include "controller/description_store.h"
 #include "controller/duties.h"
+#include "controller/machine_returns.h"
 #include "controller/membership.h"
+#include "controller/scaling.h"
 #include "controller/view_receiver.h"
 #include "controller/view_sender.h"
 
@@ -14,10 +17,34 @@
   fc_group_commit_run(controller->commit);
 }
 
+static fc_scaling *scaling_new(const fc_controller *controller, fc_machine_returns *returns) {
+  return fc_scaling_new(&(fc_scaling_deps){.cluster = controller->cluster,
+                                           .cloud = controller->cloud,
+                                           .commit = controller->commit,
+                                           .watch = controller->watch,
+                                           .leadership = controller->leadership,
+                                           .peers = controller->peers,
+                                           .returns = returns,
+                                           .metrics = controller->metrics});
+}
+
+/* Starts the routines of the duties; false: out of memory. */
+static bool start_duties(fc_controller *controller) {
+  fc_machine_returns *returns =
+      fc_machine_returns_new(controller->cluster, controller->commit, controller->watch, controller->wakeups);
+  fc_scaling *scaling = scaling_new(controller, returns);
+  fc_cancellation_deadline *deadline = fc_cancellation_deadline_new(
+      controller->cluster, controller->cloud, controller->leadership, returns, controller->metrics);
+  return fc_routine_spawn(fc_round_main, controller) && fc_routine_spawn(fc_quota_main, controller) &&
+         fc_scaling_start(scaling) && fc_routine_spawn(fc_archive_main, controller) &&
+         fc_cancellation_deadline_start(deadline) && fc_routine_spawn(fc_pipelines_main, controller) &&
+         fc_routine_spawn(fc_descriptions_main, controller);
+}
+
 fc_controller *fc_controller_start(const fc_settings *settings, const char **why) {
   fc_controller *controller = g_new0(fc_controller, 1);
   controller->settings = settings;
-  controller->started_at = controller->types_at = fc_now();
+  controller->started_at = fc_now();
   controller->cluster = fc_cluster_new(settings);
   controller->cluster->clock_offset_s = fc_time_of_day() - fc_now();
   controller->metrics = fc_metrics_new();
@@ -30,7 +57,7 @@
                                                      controller->cancellations, controller->wakeups);
   controller->watch = fc_kv_watch_new(controller->cluster, controller->kv, applier, controller->leadership,
                                       controller->wakeups, controller->metrics);
-  controller->cloud = fc_cloud_new(&settings->cloud_at);
+  controller->cloud = fc_cloud_access_new(controller->cluster, controller->leadership);
   controller->archived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   controller->recording = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   double nodes = (double)(settings->peer_count + 1);
@@ -43,8 +70,6 @@
       .response_timeout_s = settings->heartbeat_s * 0.75,
   };
   controller->commit = fc_group_commit_new(controller->kv, &limits);
-  fc_token_bucket_init(&controller->cloud_budget, settings->cloud_rps / nodes, MAX(1.0, settings->cloud_rps / nodes),
-                       fc_now());
   fc_token_bucket_init(&controller->lookup_budget, settings->state_rps / nodes * 0.1,
                        MAX(1.0, settings->state_rps / nodes * 0.1), fc_now());
   if (!fc_front_start(controller)) {
@@ -75,13 +100,9 @@
     *why = "out of memory";
     return NULL;
   }
-  fc_routine_fn duties[] = {fc_round_main,   fc_quota_main,     fc_rent_main,        fc_archive_main,
-                            fc_overdue_main, fc_pipelines_main, fc_descriptions_main};
-  for (size_t i = 0; i < G_N_ELEMENTS(duties); i++) {
-    if (!fc_routine_spawn(duties[i], controller)) {
-      *why = "out of memory";
-      return NULL;
-    }
+  if (!start_duties(controller)) {
+    *why = "out of memory";
+    return NULL;
   }
   return controller;
 }
