--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -17,6 +17,7 @@
 #include "controller/leadership.h"
 #include "controller/metrics.h"
 #include "controller/peers.h"
+#include "controller/quota_shares.h"
 #include "controller/wakeups.h"
 #include "protocol/json.h"
 #include "protocol/peer_frame.h"
@@ -38,15 +39,11 @@
   fc_peers *peers;
   fc_cancellations *cancellations;
   fc_kv_watch *watch;
+  fc_quota_shares *quota_shares;
 
   fc_token_bucket lookup_budget; /* for questions about jobs that are not in memory */
   GHashTable *archived;          /* id -> fc_archived_job: awaited ones that were found lately */
 
-  /* While a write of ours is undecided, the lower of it and the record counts. */
-  double share_cap_cpus[FC_TEAMS_MAX], share_cap_gpus[FC_TEAMS_MAX];
-  uint64_t share_cap_version; /* that write is conditional on it */
-  bool share_capped;
-
   unsigned giving[FC_MEMBERS_MAX]; /* machines whose records, being written, give them to these */
   unsigned worker_calls;           /* direct calls to workers under way */
   uint64_t attempt_counter;
--- /dev/null
+++ b/src/controller/quota_plan.c
@@ -0,0 +1,141 @@
+#include "controller/quota_plan.h"
+
+#include <math.h>
+
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/quota_usage.h"
+
+#define MIN_CHANGE 1e-6 /* shares that differ by less are equal but for rounding */
+
+/* ---- the first shares of a term ---- */
+
+/* The shares of the term before stay valid where its members are the same: every machine is still
+ * owned by the same name, and what runs on a name's machines, known or not, is within its share.
+ * Nobody has to be waited for: a new division takes a task list from every machine, and a partition
+ * between zones blocked all teams with limits for as long as it lasted. */
+bool fc_quota_plan_carry_over(const fc_cluster *cluster, fc_quota_record *quota) {
+  const fc_term *term = &cluster->membership.term;
+  const fc_quota_record *before = &cluster->quota.record;
+  if (!cluster->quota.version || before->member_count != term->count) return false;
+  for (size_t member = 0; member < term->count; member++)
+    if (fc_quota_record_find(before, term->members[member].name) < 0) return false;
+  *quota = *before;
+  quota->term = term->number;
+  quota->carried = true;
+  return true;
+}
+
+/* Divides one limit of one team; false: more may be in use than it allows. */
+static bool divide_limit(double limit, size_t team, const fc_quota_demand (*demand)[FC_TEAMS_MAX], size_t members,
+                         double (*shares)[FC_TEAMS_MAX]) {
+  fc_quota_demand team_demand[FC_MEMBERS_MAX] = {{0}};
+  double team_shares[FC_MEMBERS_MAX] = {0};
+  for (size_t member = 0; member < members; member++) team_demand[member] = demand[member][team];
+  if (!fc_quota_divide(limit, team_demand, members, team_shares) && limit > 0) return false;
+  for (size_t member = 0; member < members; member++) shares[member][team] = team_shares[member];
+  return true;
+}
+
+/* The task lists that the tally is taken from can only have become shorter since: nobody starts
+ * anything of these teams before this record is written. */
+bool fc_quota_plan_divide(const fc_cluster *cluster, const fc_quota_tally *tally, fc_quota_record *quota) {
+  const fc_settings *settings = cluster->settings;
+  const fc_term *term = &cluster->membership.term;
+  quota->term = term->number;
+  quota->member_count = term->count;
+  for (size_t member = 0; member < term->count; member++)
+    g_strlcpy(quota->members[member], term->members[member].name, sizeof quota->members[member]);
+  for (size_t team = 0; team < settings->team_count; team++) {
+    const fc_team_settings *team_settings = &settings->teams[team];
+    if (!fc_team_limited(team_settings)) continue;
+    if (!divide_limit(team_settings->cpus_max, team, tally->cpus, term->count, quota->cpus)) return false;
+    if (!divide_limit(team_settings->gpus_max, team, tally->gpus, term->count, quota->gpus)) return false;
+  }
+  return true;
+}
+
+/* ---- changes of our own shares ---- */
+
+/* One limit of one team, and what our share of it depends on. */
+typedef struct limit_state {
+  double limit; /* 0: none */
+  fc_quota_others others;
+  const fc_quota_demand *known; /* ours, by what is known to run */
+  double max_used;              /* what may run on our shard's machines at most */
+  bool bounded;                 /* max_used has a better bound than whole machines */
+} limit_state;
+
+/* The share that we should have. It is lowered only below what may be in use at most: lowered by
+ * what was known, it freed room for others that a silent machine still used (fault test, seed 642).
+ * Where the use that is feared has no better bound than whole machines, the share is raised only by
+ * what is known. */
+static double target_share(const limit_state *state, double share) {
+  fc_quota_demand feared = *state->known;
+  feared.used = state->max_used;
+  double target = fc_quota_adjust(state->limit, &state->others, share, &feared);
+  if (target <= share || state->bounded) return target;
+  return MAX(share, fc_quota_adjust(state->limit, &state->others, share, state->known));
+}
+
+/* Returns whether the share changed. */
+static bool adjust_share(const limit_state *state, double *share) {
+  if (state->limit <= 0) return false;
+  double target = target_share(state, *share);
+  if (fabs(target - *share) <= MIN_CHANGE) return false;
+  *share = target;
+  return true;
+}
+
+/* A member with machines that are not reconciled may be using all of its share. */
+static void add_other(fc_quota_others *others, double share, const fc_quota_demand *demand, bool unreconciled) {
+  double used = unreconciled ? MAX(demand->used, share) : demand->used;
+  others->assigned += share;
+  others->lacking += MAX(0, used + demand->wanted - share);
+  others->count++;
+}
+
+/* Marks the members that own a machine which is not reconciled, as far as we know. */
+static void find_unreconciled(const fc_cluster *cluster, bool unreconciled[FC_MEMBERS_MAX]) {
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
+    if (machine->owner >= 0 && machine->announced && !fc_machine_reconciled(cluster, machine))
+      unreconciled[machine->owner] = true;
+  }
+}
+
+/* Sums up what the other members have and lack of both limits of one team. `own`: our index in the
+ * record. */
+static void sum_others(const fc_cluster *cluster, const fc_quota_tally *tally, const fc_quota_record *quota, int own,
+                       size_t team, const bool *unreconciled, fc_quota_others *cpus, fc_quota_others *gpus) {
+  for (size_t i = 0; i < quota->member_count; i++) {
+    int member = fc_term_find(&cluster->membership.term, quota->members[i]);
+    if ((int)i == own || member < 0) continue;
+    add_other(cpus, quota->cpus[i][team], &tally->cpus[member][team], unreconciled[member]);
+    add_other(gpus, quota->gpus[i][team], &tally->gpus[member][team], unreconciled[member]);
+  }
+}
+
+bool fc_quota_plan_adjust(const fc_cluster *cluster, const fc_quota_tally *tally, fc_quota_record *quota) {
+  const fc_settings *settings = cluster->settings;
+  int own = fc_quota_record_find(quota, settings->name);
+  if (own < 0) return false;
+  bool changed = false, unreconciled[FC_MEMBERS_MAX] = {false};
+  find_unreconciled(cluster, unreconciled);
+  double max_cpus[FC_TEAMS_MAX], max_gpus[FC_TEAMS_MAX];
+  fc_cluster_max_usage(cluster, max_cpus, max_gpus);
+  for (size_t team = 0; team < settings->team_count; team++) {
+    bool bounded = isfinite(cluster->quota.carried_gpus[team]);
+    limit_state cpus = {.limit = settings->teams[team].cpus_max,
+                        .known = &tally->cpus[cluster->membership.self][team],
+                        .max_used = max_cpus[team],
+                        .bounded = bounded};
+    limit_state gpus = {.limit = settings->teams[team].gpus_max,
+                        .known = &tally->gpus[cluster->membership.self][team],
+                        .max_used = max_gpus[team],
+                        .bounded = bounded};
+    sum_others(cluster, tally, quota, own, team, unreconciled, &cpus.others, &gpus.others);
+    changed |= adjust_share(&cpus, &quota->cpus[own][team]);
+    changed |= adjust_share(&gpus, &quota->gpus[own][team]);
+  }
+  return changed;
+}
--- /dev/null
+++ b/src/controller/quota_shares.h
@@ -0,0 +1,30 @@
+/* Quota shares: the duty that keeps each member's share of the teams' limits recorded in the
+ * key-value store, and what our shard may start by its share. Nothing of a team with a limit is
+ * started in a term before that term's shares are recorded. */
+#ifndef FC_CONTROLLER_QUOTA_SHARES_H
+#define FC_CONTROLLER_QUOTA_SHARES_H
+
+#include <stdbool.h>
+
+#include "bookkeeping/cluster.h"
+#include "bookkeeping/group_commit.h"
+#include "controller/kv_watch.h"
+#include "controller/leadership.h"
+#include "controller/metrics.h"
+#include "controller/peers.h"
+#include "controller/wakeups.h"
+#include "scheduler/team_quota.h"
+
+typedef struct fc_quota_shares fc_quota_shares;
+
+/* The arguments have to outlive it, and it lives as long as its routine. */
+fc_quota_shares *fc_quota_shares_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
+                                     const fc_leadership *leadership, fc_peers *peers, fc_wakeups *wakeups,
+                                     fc_metrics *metrics);
+/* Starts its routine; false: out of memory. */
+bool fc_quota_shares_start(fc_quota_shares *shares);
+
+/* Sets *allowance to what our shard may start now for each team. */
+void fc_quota_allowance(const fc_quota_shares *shares, fc_allowance *allowance);
+
+#endif
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -100,7 +100,7 @@
   fc_cluster *cluster = controller->cluster;
   double now = fc_now();
   fc_allowance allow;
-  fc_quota_allowance(controller, &allow);
+  fc_quota_allowance(controller->quota_shares, &allow);
   GArray *plan = fc_place_round(cluster, &allow, now);
   fc_image_search *search = fc_image_search_new(cluster, now);
   const fc_job *gang = NULL;
@@ -125,7 +125,7 @@
 
 static void preempt(fc_controller *controller, GPtrArray *push) {
   fc_allowance allow;
-  fc_quota_allowance(controller, &allow);
+  fc_quota_allowance(controller->quota_shares, &allow);
   GPtrArray *stops = fc_preempt_round(controller->cluster, &allow, fc_now());
   fc_preempt_for_limit(controller->cluster, stops, fc_now());
   send_stops(controller, stops, push);
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -32,10 +32,13 @@
 static bool start_duties(fc_controller *controller) {
   fc_machine_returns *returns =
       fc_machine_returns_new(controller->cluster, controller->commit, controller->watch, controller->wakeups);
+  controller->quota_shares =
+      fc_quota_shares_new(controller->cluster, controller->commit, controller->watch, controller->leadership,
+                          controller->peers, controller->wakeups, controller->metrics);
   fc_scaling *scaling = scaling_new(controller, returns);
   fc_cancellation_deadline *deadline = fc_cancellation_deadline_new(
       controller->cluster, controller->cloud, controller->leadership, returns, controller->metrics);
-  return fc_routine_spawn(fc_round_main, controller) && fc_routine_spawn(fc_quota_main, controller) &&
+  return fc_routine_spawn(fc_round_main, controller) && fc_quota_shares_start(controller->quota_shares) &&
          fc_scaling_start(scaling) && fc_routine_spawn(fc_archive_main, controller) &&
          fc_cancellation_deadline_start(deadline) && fc_routine_spawn(fc_pipelines_main, controller) &&
          fc_routine_spawn(fc_descriptions_main, controller);
