--- /dev/null
+++ b/src/controller/scheduling_loop.h
@@ -0,0 +1,38 @@
+/* The scheduling loop: in regular rounds, and at once when a job or free resources arrive, it
+ * places, preempts and stops tasks of our shard, and has their machines called. */
+#ifndef FC_CONTROLLER_SCHEDULING_LOOP_H
+#define FC_CONTROLLER_SCHEDULING_LOOP_H
+
+#include <stdbool.h>
+
+#include "controller/machine_probes.h"
+#include "controller/quota_shares.h"
+#include "controller/shard_balancer.h"
+#include "controller/status_log.h"
+#include "controller/task_stops.h"
+#include "controller/wakeups.h"
+#include "controller/worker_leases.h"
+
+typedef struct fc_scheduling_loop fc_scheduling_loop;
+
+/* What it works with; everything has to outlive it. */
+typedef struct fc_scheduling_loop_deps {
+  fc_cluster *cluster;
+  const fc_leadership *leadership;
+  fc_worker_leases *leases;
+  fc_machine_probes *probes;
+  fc_worker_calls *calls;
+  fc_task_stops *stops;
+  fc_quota_shares *quota;
+  fc_shard_balancer *balancer;
+  fc_wakeups *wakeups;
+  fc_metrics *metrics;
+  fc_status_sources status;
+} fc_scheduling_loop_deps;
+
+/* Lives as long as its routine. */
+fc_scheduling_loop *fc_scheduling_loop_new(const fc_scheduling_loop_deps *deps);
+/* Starts its routine; false: out of memory. */
+bool fc_scheduling_loop_start(fc_scheduling_loop *loop);
+
+#endif
--- /dev/null
+++ b/src/controller/shard_balancer.h
@@ -0,0 +1,19 @@
+/* Balances the shards: hands slices over to where resources are free, and transfers machines to
+ * gangs that no shard can hold. */
+#ifndef FC_CONTROLLER_SHARD_BALANCER_H
+#define FC_CONTROLLER_SHARD_BALANCER_H
+
+#include "controller/handover_execution.h"
+#include "controller/peers.h"
+#include "controller/transfer_execution.h"
+
+typedef struct fc_shard_balancer fc_shard_balancer;
+
+/* The arguments have to outlive it. */
+fc_shard_balancer *fc_shard_balancer_new(const fc_cluster *cluster, fc_peers *peers, fc_handover_execution *handovers,
+                                         fc_transfer_execution *transfers);
+
+/* Begins what this scheduling round has shown to be better elsewhere. Returns at once. */
+void fc_shard_balancer_run(fc_shard_balancer *balancer);
+
+#endif
--- /dev/null
+++ b/src/controller/task_stops.c
@@ -0,0 +1,97 @@
+#include "controller/task_stops.h"
+
+#include "bookkeeping/cluster_machines.h"
+#include "controller/worker_commands.h"
+
+/* A heartbeat is late after so many intervals. */
+#define LATE_HEARTBEATS 1.25
+
+struct fc_task_stops {
+  fc_cluster *cluster;
+  fc_worker_calls *calls;
+};
+
+fc_task_stops *fc_task_stops_new(fc_cluster *cluster, fc_worker_calls *calls) {
+  fc_task_stops *stops = g_new(fc_task_stops, 1);
+  *stops = (fc_task_stops){.cluster = cluster, .calls = calls};
+  return stops;
+}
+
+/* A task of a gang that lost another before it started: the gang can't become complete. */
+static bool is_orphaned(const fc_placement *placement) {
+  const fc_job *job = placement->job;
+  return job && job->spec.kind == FC_JOB_GANG && placement->status.state == FC_TASK_WAITING &&
+         job->placements->len < job->spec.tasks - job->completion.count;
+}
+
+bool fc_task_stops_unwanted(fc_task_stops *stops, fc_machine *machine) {
+  bool any = false;
+  for (guint i = 0; i < machine->placements->len; i++) {
+    fc_placement *placement = machine->placements->pdata[i];
+    bool stopping_at_once = placement->stop.requested && placement->stop.grace_s <= 0;
+    if (placement->status.state == FC_TASK_EXITED || stopping_at_once) continue;
+    if (!is_orphaned(placement) && !fc_worker_commands_unwanted(stops->cluster, placement)) continue;
+    placement->stop.requested = true;
+    placement->stop.grace_s = 0;
+    any = true;
+  }
+  return any;
+}
+
+/* Can all tasks of the gang be told at once? */
+static bool reaches_whole_gang(const fc_cluster *cluster, const fc_job *job) {
+  for (guint i = 0; i < job->placements->len; i++) {
+    const fc_machine *machine = ((const fc_placement *)job->placements->pdata[i])->machine;
+    if (!fc_machine_owned_by_self(cluster, machine) || !fc_machine_reconciled(cluster, machine) ||
+        machine->command_in_flight)
+      return false;
+  }
+  return true;
+}
+
+/* The orderly stop of a gang: all tasks are told at once, by direct calls; one told alone would
+ * lose the others' work. Where some are on another member's machines (after a change of term) it is
+ * left to run to its end. */
+static void stop_gang(fc_task_stops *stops, const fc_job *job) {
+  if (!reaches_whole_gang(stops->cluster, job)) return;
+  for (guint i = 0; i < job->placements->len; i++) {
+    fc_placement *placement = job->placements->pdata[i];
+    if (!fc_placement_active(placement) || placement->stop.requested) continue;
+    fc_worker_commands_request_stop(stops->cluster->settings, placement);
+    fc_worker_calls_send(stops->calls, placement->machine);
+  }
+  g_debug("stop gang job=%s", job->spec.id);
+}
+
+/* A task that never saves a checkpoint may still end in time; moving it only loses its work. */
+static bool is_worth_moving(const fc_placement *placement) {
+  const fc_job_spec *spec = &placement->job->spec;
+  return spec->checkpoint_s > 0 || spec->kind == FC_JOB_SERVICE || placement->status.state != FC_TASK_RUNNING;
+}
+
+bool fc_task_stops_drain(fc_task_stops *stops, fc_machine *machine) {
+  bool any = false;
+  if (!machine->drain.spot_notice_until && !machine->health.faulty) return false;
+  for (guint i = 0; i < machine->placements->len; i++) {
+    fc_placement *placement = machine->placements->pdata[i];
+    if (placement->status.state == FC_TASK_EXITED || placement->stop.requested || !placement->job) continue;
+    if (!is_worth_moving(placement)) continue;
+    if (placement->job->spec.kind == FC_JOB_GANG) {
+      stop_gang(stops, placement->job);
+      continue;
+    }
+    fc_worker_commands_request_stop(stops->cluster->settings, placement);
+    any = true;
+  }
+  return any;
+}
+
+bool fc_task_stops_call_due(const fc_task_stops *stops, const fc_machine *machine, double now) {
+  bool late = now > machine->agent.heard_at + stops->cluster->settings->heartbeat_s * LATE_HEARTBEATS;
+  for (guint i = 0; i < machine->placements->len; i++) {
+    const fc_placement *placement = machine->placements->pdata[i];
+    if (!placement->status.reported && !placement->start.sent && !placement->stop.requested) return true;
+    if (late && placement->stop.requested && placement->start.sent && fc_placement_active(placement)) return true;
+  }
+  return false;
+}
--- a/src/main.c
+++ b/src/main.c
@@ -46,9 +46,10 @@
     fprintf(stderr, "fieldcleat: no event loop\n");
     return 1;
   }
-  const char *why = NULL;
-  if (!fc_controller_start(settings, &why)) {
-    fprintf(stderr, "fieldcleat: %s\n", why);
+  fc_controller *controller;
+  fc_controller_error error = fc_controller_start(settings, &controller);
+  if (error != FC_CONTROLLER_OK) {
+    fprintf(stderr, "fieldcleat: %s\n", fc_controller_strerror(error));
     return 1;
   }
   g_message("start name=%s zone=%s version=" VERSION, settings->name, settings->zone);
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -84,9 +84,9 @@
 /* ---- controllers and faults ---- */
 
 static void node_start(void *arg) {
-  const char *why = NULL;
-  fc_controller *controller = fc_controller_start(arg, &why);
-  if (!controller) world_broke("start", why);
+  fc_controller *controller;
+  fc_controller_error error = fc_controller_start(arg, &controller);
+  if (error != FC_CONTROLLER_OK) world_broke("start", fc_controller_strerror(error));
   g_controllers[(fc_settings *)arg - g_settings] = controller;
 }
 
