--- a/src/bookkeeping/cluster.c
+++ b/src/bookkeeping/cluster.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-/* Arrivals are remembered for about two boots of a machine: with a longer memory room is kept
+/* Arrivals are remembered for about two boots of a machine: with a longer memory room is reserved
  * for a burst that is long over. */
 #define ARRIVAL_MEMORY_LEASES 8
 
--- a/src/bookkeeping/cluster.h
+++ b/src/bookkeeping/cluster.h
@@ -21,7 +21,7 @@
  * has not been read yet. */
 typedef struct fc_unread_cancellation {
   uint64_t revision;
-  double since; /* no user was told before this, steady time */
+  double since; /* no user had it confirmed before this, steady time */
 } fc_unread_cancellation;
 
 /* A member's own key: there as long as its lease. */
@@ -119,7 +119,7 @@
 
 /* Is the job cancelled, by what has been read or learned from peers? */
 bool fc_cluster_is_cancelled(const fc_cluster *cluster, const char *id);
-/* No user was told that the job is cancelled before this steady time; INFINITY: it is not, as
+/* No user had the cancellation confirmed before this steady time; INFINITY: it is not, as
  * far as we know. */
 double fc_cluster_cancelled_since(const fc_cluster *cluster, const char *id);
 
--- a/src/bookkeeping/cluster_machines.h
+++ b/src/bookkeeping/cluster_machines.h
@@ -36,7 +36,7 @@
 /* A machine that we have owned for a while, that was up as its recorded address says, and that
  * has never contacted us: it dates from before our incarnation, and is dead or out of reach. A
  * live one has by then failed to answer several probes, and has had the time to come to another
- * member, which would have told us. Until it is gone, what may be on it is started nowhere. */
+ * member, which would have informed us. Until it is gone, what may be on it is started nowhere. */
 bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now);
 /* Possibly lost: on the way to being unreachable, or never heard. Suspects are counted before
  * any machine is returned, or the first would be gone before it showed that most of them became
--- a/src/bookkeeping/dependencies.h
+++ b/src/bookkeeping/dependencies.h
@@ -1,6 +1,6 @@
 /* Job dependencies (a DAG): which jobs are ready, which are cancelled with one that they depend
  * on, and what priority and deadline a job inherits from its dependents. All of it follows from
- * the records in the cluster state, and is kept up to date as those change, at a cost in
+ * the records in the cluster state, and is updated as those change, at a cost in
  * proportion to what changed. */
 #ifndef FC_BOOKKEEPING_DEPENDENCIES_H
 #define FC_BOOKKEEPING_DEPENDENCIES_H
--- a/src/bookkeeping/job_records.h
+++ b/src/bookkeeping/job_records.h
@@ -11,8 +11,8 @@
                              bool fresh, double now);
 /* Applies a committed cancellation whose record has not been read: learned from a peer, or just
  * written by us. The job has ended from here on, whatever older records are still read; its own
- * version stays, so that no write of ours builds on what we have not read. `since`: no user was
- * told of it before that steady time. */
+ * version stays, so that no write of ours builds on what we have not read. `since`: no user had
+ * it confirmed before that steady time. */
 void fc_cluster_apply_cancellation(fc_cluster *cluster, const char *id, uint64_t revision, double since, double now);
 /* Everything up to the revision has been read: cancellations up to there are in the records. */
 void fc_cluster_caught_up(fc_cluster *cluster, uint64_t revision);
--- a/src/bookkeeping/job_state.h
+++ b/src/bookkeeping/job_state.h
@@ -54,7 +54,7 @@
 /* When the job came and went, in steady time. */
 typedef struct fc_job_lifecycle {
   double submitted_at;    /* as near as we know it */
-  double cancelled_since; /* no user was told that it is cancelled before this; 0: it is not */
+  double cancelled_since; /* no user had it confirmed before this; 0: not cancelled */
   double ended_at;        /* when we first saw that it is done or cancelled; 0: it is not */
 } fc_job_lifecycle;
 
@@ -82,7 +82,7 @@
 /* A job as this controller knows it. */
 struct fc_job {
   fc_job_spec spec;
-  fc_job_phase phase; /* also by what others' records say, or a peer has told us */
+  fc_job_phase phase; /* also by what others' records say, or a peer has said */
   fc_job_stored record;
   fc_job_completion completion;
   fc_job_slices_state slices;
@@ -106,7 +106,7 @@
 int fc_job_slice_owner(const fc_job *job, unsigned slice);
 /* Does any slice belong to this member? */
 bool fc_job_owned_by(const fc_job *job, int member);
-/* What its user is told; *running: its tasks that run. */
+/* What its user is answered; *running: its tasks that run. */
 fc_job_status fc_job_status_of(const fc_job *job, uint32_t *running);
 /* May a task run on such a machine at all? */
 bool fc_job_spec_allows(const fc_job_spec *spec, const char *type, const char *zone, bool spot);
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -27,7 +27,7 @@
 typedef struct fc_machine_lease {
   double answered_at;     /* when we last answered a heartbeat with 200 */
   uint64_t connection;    /* the number of the connection that we did it on */
-  double peer_renewed_at; /* when another member last did, as far as it told us */
+  double peer_renewed_at; /* when another member last did, as far as it has said */
   double redirected_at;   /* when we last sent the worker to its owner */
 } fc_machine_lease;
 
@@ -46,7 +46,7 @@
   bool in_flight;                            /* another member's machine: our question is under way */
   double sent_at;                            /* when we sent the last one whose end we know, also as its owner */
   bool answered;                             /* it ended with an answer */
-  double confirmed_at;                       /* when we sent the last one whose answer told what it holds */
+  double confirmed_at;                       /* when we sent the last one whose answer listed its tasks */
   double peer_answered_at;                   /* when another member last asked, and was answered */
   double peer_unanswered_at[FC_MEMBERS_MAX]; /* by peer: when it last asked in vain */
 } fc_machine_probe;
@@ -71,7 +71,7 @@
   bool faulty;          /* so many that it is drained and returned */
 } fc_machine_health;
 
-/* Kept free for one gang for a while. */
+/* Reserved for one gang for a while. */
 typedef struct fc_machine_reservation {
   char gang[32];
   double until; /* steady time */
@@ -128,7 +128,7 @@
 static inline void fc_machine_cordon(fc_machine *machine) {
   if (machine->drain.state == FC_DRAIN_NONE) machine->drain.state = FC_DRAIN_CORDONED;
 }
-/* The machine has a new owner: forgets what the one before told of it. */
+/* The machine has a new owner: forgets what the one before said of it. */
 void fc_machine_forget_owner(fc_machine *machine, double now);
 
 /* NULL: that attempt is not on the machine. */
--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -3,7 +3,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "transport/routine.h"
 
-/* The time kept for the return, the longer of both: calls may fail, and the cloud's rate is
+/* The time reserved for the return, the longer of both: calls may fail, and the cloud's rate is
  * limited. */
 #define RESERVE_LEASES 0.5
 #define RESERVE_HEARTBEATS 3
@@ -40,7 +40,7 @@
 }
 
 /* Has the machine to be returned for a cancelled task that is not proved gone? */
-static bool overdue(const fc_cluster *cluster, const fc_machine *machine, double now) {
+static bool deadline_near(const fc_cluster *cluster, const fc_machine *machine, double now) {
   const fc_settings *settings = cluster->settings;
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
@@ -58,7 +58,7 @@
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (fc_machine *machine; ids->len < FC_RELEASE_MAX && (machine = fc_machine_iter_next(&machine_iter));) {
     if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version || machine->record_write_pending ||
-        !overdue(cluster, machine, now))
+        !deadline_near(cluster, machine, now))
       continue;
     fc_machine_returns_begin(machine, FC_RETURN_OVERDUE, ids);
   }
--- a/src/controller/cancellations.h
+++ b/src/controller/cancellations.h
@@ -18,7 +18,7 @@
 
 /* A cancellation is committed: we wrote it, have read it, or learned of it from a peer. From here
  * on nothing of the job is started, its tasks are stopped, and the peers are informed. `since`: no
- * user was told of it before that steady time. */
+ * user had it confirmed before that steady time. */
 void fc_cancellations_learned(fc_cancellations *cancellations, const char *job, uint64_t revision, double since);
 /* When we last learned of one, or started, in steady time. */
 double fc_cancellations_learned_at(const fc_cancellations *cancellations);
--- a/src/controller/frame_reader.h
+++ b/src/controller/frame_reader.h
@@ -1,5 +1,5 @@
 /* Reads the frames of a peer link from a connection. Head and body of most frames come in one
- * system call: what has been read beyond the frame that was asked for is kept. */
+ * system call: what has been read beyond the frame that was asked for stays buffered. */
 #ifndef FC_CONTROLLER_FRAME_READER_H
 #define FC_CONTROLLER_FRAME_READER_H
 
--- a/src/controller/job_lookup.h
+++ b/src/controller/job_lookup.h
@@ -21,7 +21,7 @@
 /* The job, if everything has been read once; NULL: it is not known. */
 const fc_job *fc_job_lookup_known(const fc_job_lookup *lookup, const char *id);
 /* Waits until what the cluster state says of the job is current, and known in full: whether it is
- * cancelled with another. Where that is hopeless, nobody is kept waiting; false. May suspend the
+ * cancelled with another. Where that is hopeless, it fails at once; false. May suspend the
  * calling routine. */
 bool fc_job_lookup_prove_current(fc_job_lookup *lookup, const char *id, double deadline);
 
--- a/src/controller/kv_watch.c
+++ b/src/controller/kv_watch.c
@@ -205,7 +205,7 @@
   return fc_routine_spawn(run_long_reads, watch) && fc_routine_spawn(run_short_reads, watch);
 }
 
-/* ---- waiting ---- */
+/* ---- waits for a read ---- */
 
 /* What a routine waits for: a read that was sent at that time or later, and that revision. */
 typedef struct awaited_sync {
--- a/src/controller/machine_reachability.c
+++ b/src/controller/machine_reachability.c
@@ -24,8 +24,8 @@
   bool outdated =
       renewal->epoch < agent->epoch || (renewal->epoch == agent->epoch && renewal->sequence < agent->sequence);
   machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, renewed_at);
-  /* Peers repeat what they answered for two leases. What a machine has told us directly since then
-   * settles it: probed again at every acknowledgement, machines that had come back from another
+  /* Peers repeat what they answered for two leases. What a machine has answered directly since
+   * then decides: probed again at every acknowledgement, machines that had come back from another
    * member cost more than all heartbeats. */
   double latest = renewed_at + age_s(renewal->age_ms) * 2 * FC_CLOCK_DRIFT;
   if (outdated && machine->owner == cluster->membership.self && latest >= machine->probe.confirmed_at)
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -1,5 +1,5 @@
-/* What is known of the other controllers of the settings: what each has told us, and how far it
- * has acknowledged our views. Kept up to date by the peer links; holds no connection itself. */
+/* What is known of the other controllers of the settings: what each has reported, and how far it
+ * has acknowledged our views. Updated by the peer links; holds no connection itself. */
 #ifndef FC_CONTROLLER_PEERS_H
 #define FC_CONTROLLER_PEERS_H
 
@@ -20,7 +20,7 @@
 
 /* What a peer, by its incarnation in the present term, has acknowledged; 0: nothing yet. */
 typedef struct fc_peer_acknowledged {
-  double renewals_known_until; /* it has told us of every worker lease it renewed before this steady time */
+  double renewals_known_until; /* we know of every worker lease that it renewed before this steady time */
   uint64_t view;               /* the newest view of ours that it has applied */
   uint64_t revision;           /* what its cluster state held then */
   uint64_t sequence;           /* that view's number on the link; 0: the next has to be complete */
@@ -30,10 +30,10 @@
 typedef struct fc_peer {
   const fc_peer_settings *settings;
   double grant_given_until; /* we commit no term without it before this */
-  double kv_read_at;        /* when it last read the key-value store, as far as it told us */
+  double kv_read_at;        /* when it last read the key-value store, as far as we know */
   double heard_at;          /* when its last acknowledgement came */
-  uint64_t revision;        /* what it has read, as far as it told us */
-  unsigned backlog;         /* writes that were pending there when it last told us */
+  uint64_t revision;        /* what it has read, as far as we know */
+  unsigned backlog;         /* writes that were pending there when it last reported */
   double backlog_at;
   fc_received_view received;
   fc_peer_acknowledged acknowledged;
@@ -56,7 +56,7 @@
 
 /* Does the member act, and know what is new? True for ourselves. */
 bool fc_peers_member_fit(fc_peers *peers, int member);
-/* Has every other member told us of all worker leases that it renewed before then? */
+/* Has every other member reported all worker leases that it renewed before then? */
 bool fc_peers_all_covered(fc_peers *peers, double until);
 /* The revision that every controller is known to have read, ourselves included. */
 uint64_t fc_peers_common_revision(const fc_peers *peers);
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -162,7 +162,7 @@
   machine = fc_cluster_ensure_machine(cluster, id, fc_now());
   if (machine->record_version >= change->version) return;
   bool announced = record.endpoint[0] != '\0';
-  /* An address learned from the worker itself is kept. */
+  /* An address learned from the worker itself stays. */
   if (!announced) g_strlcpy(record.endpoint, machine->record.endpoint, sizeof record.endpoint);
   machine->record = record;
   machine->record_version = change->version;
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -125,7 +125,7 @@
   bool reconciled = fc_machine_reconciled(loop->deps.cluster, machine);
   bool call = !reconciled || fc_machine_probes_check(loop->deps.probes, machine);
   /* Before it is reconciled a machine is sent nothing but the question what it holds. A task that
-   * was marked to be stopped by then was never told so, where the machine sent no heartbeats. */
+   * was marked to be stopped by then never got the stop, where the machine sent no heartbeats. */
   if (reconciled) call |= fc_task_stops_unwanted(loop->deps.stops, machine);
   call |= fc_task_stops_drain(loop->deps.stops, machine);
   return call;
--- a/src/controller/task_stops.c
+++ b/src/controller/task_stops.c
@@ -38,7 +38,7 @@
   return any;
 }
 
-/* Can all tasks of the gang be told at once? */
+/* Can all tasks of the gang get the stop at once? */
 static bool reaches_whole_gang(const fc_cluster *cluster, const fc_job *job) {
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_machine *machine = ((const fc_placement *)job->placements->pdata[i])->machine;
@@ -49,7 +49,7 @@
   return true;
 }
 
-/* The orderly stop of a gang: all tasks are told at once, by direct calls; one told alone would
+/* The orderly stop of a gang: all tasks get the stop at once, by direct calls; one stopped alone would
  * lose the others' work. Where some are on another member's machines (after a change of term) it is
  * left to run to its end. */
 static void stop_gang(fc_task_stops *stops, const fc_job *job) {
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -15,7 +15,7 @@
 /* Ages on the wire are not above this. */
 #define AGE_MAX_S 1e6
 
-/* Peers are told for so long of the leases that we renewed and the machines that we probed. */
+/* Acknowledgements name for so long the leases that we renewed and the machines that we probed. */
 #define KNOWN_LEASES 2
 
 /* A few old connections of each peer may be left beside its present one. */
@@ -51,7 +51,7 @@
 }
 
 /* The rates of the key-value store are one for all members: each takes its share by how many writes
- * are pending where, as far as they have told each other. Should the shares add up to too much for
+ * are pending where, as far as they have reported to each other. Should the shares add up to too much for
  * a moment, the store refuses and the write is sent again. */
 static void share_write_rate(fc_view_receiver *receiver, const fc_view *view) {
   fc_peers *peers = receiver->deps.peers;
@@ -63,7 +63,7 @@
       peer->backlog = view->backlog;
       peer->backlog_at = now;
     }
-    /* One that has not told us lately may be cut off from us alone. */
+    /* One that has not reported lately may be cut off from us alone. */
     all += 1 + (now < peer->backlog_at + heartbeat_s ? peer->backlog : 0);
   }
   fc_group_commit_set_share(receiver->deps.commit, ours / all, 1.0 / (double)(fc_peers_count(peers) + 1));
--- a/src/controller/view_sender.c
+++ b/src/controller/view_sender.c
@@ -71,7 +71,7 @@
   }
   peer->revision = ack->revision;
   fc_cancellations_trim(sender->cancellations, fc_peers_common_revision(sender->peers));
-  /* A peer that has told us all it knows has, for us, learned of no cancellation since our own last
+  /* A peer that has reported all it knows has, for us, learned of no cancellation since our own last
    * read: we know them too, and stop what is cancelled. */
   double quiet_since = ack->cancellations_complete ? -INFINITY : now - ack->no_cancellation_ms / MS_PER_S;
   fc_leadership_no_cancellation(sender->leadership, to->peer, sent->sent_at, quiet_since);
--- a/src/main.c
+++ b/src/main.c
@@ -58,7 +58,7 @@
 }
 
 int main(int argc, char **argv) {
-  static gchar *config, *operator_file; /* kept: they live as long as the process */
+  static gchar *config, *operator_file; /* used as long as the process runs */
   gboolean check = FALSE, version = FALSE;
   GOptionEntry entries[] = {
       {"config", 'c', 0, G_OPTION_ARG_FILENAME, &config, "The platform's settings (JSON)", "FILE.json"},
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -174,7 +174,7 @@
       best_zone = zone;
     }
   }
-  /* The room is kept for the gang: tasks of lower priority would take one machine after the other,
+  /* The room is reserved for the gang: tasks of lower priority would take one machine after the other,
    * and the gang would never start. */
   if (most > 0) (void)gang_tasks_fitting(round, gang, best_zone, true);
 }
--- a/src/scheduler/capacity_model.c
+++ b/src/scheduler/capacity_model.c
@@ -100,13 +100,13 @@
 }
 
 void fc_capacity_model_close_full(fc_capacity_model *model) {
-  guint kept = 0;
+  guint retained = 0;
   for (guint i = 0; i < model->open->len; i++) {
     guint index = g_array_index(model->open, guint, i);
     if (fc_resources_fit(&g_array_index(model->machines, fc_model_machine, index).room, &model->least))
-      g_array_index(model->open, guint, kept++) = index;
+      g_array_index(model->open, guint, retained++) = index;
   }
-  g_array_set_size(model->open, kept);
+  g_array_set_size(model->open, retained);
 }
 
 fc_model_machine *fc_capacity_model_open_at(const fc_capacity_model *model, guint position) {
--- a/src/scheduler/free_capacity.c
+++ b/src/scheduler/free_capacity.c
@@ -56,10 +56,10 @@
 }
 
 void fc_free_capacity_keep_fitting(GArray *capacity, const fc_job_spec *least) {
-  guint kept = 0;
+  guint retained = 0;
   for (guint i = 0; i < capacity->len; i++) {
     const fc_free_capacity entry = g_array_index(capacity, fc_free_capacity, i);
-    if (fc_resources_fit(&entry.room, least)) g_array_index(capacity, fc_free_capacity, kept++) = entry;
+    if (fc_resources_fit(&entry.room, least)) g_array_index(capacity, fc_free_capacity, retained++) = entry;
   }
-  g_array_set_size(capacity, kept);
+  g_array_set_size(capacity, retained);
 }
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -25,10 +25,10 @@
 /* Jobs with a pending task in any shard. */
 static GPtrArray *pending_jobs(const fc_cluster *cluster) {
   GPtrArray *jobs = fc_cluster_open_jobs(cluster);
-  guint kept = 0;
+  guint retained = 0;
   for (guint i = 0; i < jobs->len; i++)
-    if (fc_job_has_pending_tasks(jobs->pdata[i], -1)) jobs->pdata[kept++] = jobs->pdata[i];
-  g_ptr_array_set_size(jobs, (gint)kept);
+    if (fc_job_has_pending_tasks(jobs->pdata[i], -1)) jobs->pdata[retained++] = jobs->pdata[i];
+  g_ptr_array_set_size(jobs, (gint)retained);
   return jobs;
 }
 
@@ -87,7 +87,7 @@
 } slice_knowledge;
 
 /* Does `peer` know of every task of the slice that may be on a machine? After a change of term some
- * tasks of a job may be on machines of other members; while that kept the slice from being handed
+ * tasks of a job may be on machines of other members; while that prevented the slice from being handed
  * over, a replica that was lost or never started stayed pending beside free room for as long as the
  * other ran (scene ten_in_two_minutes). What is on a machine of the peer we know from its own views. What
  * was started before the term on a third member's machine it sees before that machine is reconciled
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -9,7 +9,7 @@
 #include "scheduler/rental_choice.h"
 #include "scheduler/zone_spread.h"
 
-/* Room for production jobs is kept for so many times the usual deviation of arrivals. */
+/* Room for production jobs is reserved for so many times the usual deviation of arrivals. */
 #define PROD_DEVIATION_FACTOR 2
 
 /* One job while it is packed. Its tasks are alike: what one of them found too full, the next need not
@@ -42,7 +42,7 @@
 }
 
 /* Packs one task into existing room. An idle on-demand machine is no room for work that may run on
- * a spot instance, unless `on_demand`: the work may start there, but the machine is not kept for it. */
+ * a spot instance, unless `on_demand`: the work may start there, but the machine is not retained for it. */
 static bool pack_existing(fc_capacity_model *model, job_packing *packing, bool on_demand) {
   const fc_job *job = packing->job;
   guint *position = on_demand ? &packing->on_demand_position : &packing->position;
@@ -177,7 +177,7 @@
                               .memory_gb = job_class->memory_gb,
                               .spot = job_class->spot}};
   job_packing packing = {.job = &expected};
-  /* No on-demand machines are kept for work that may use spot instances. */
+  /* No on-demand machines are retained for work that may use spot instances. */
   for (unsigned i = 0; i < tasks; i++)
     if (!pack_existing(model, &packing, false) && !rent_spot(model, &packing) &&
         (job_class->spot || !rent_any(model, &packing)))
--- a/src/scheduler/scale_in.h
+++ b/src/scheduler/scale_in.h
@@ -7,7 +7,7 @@
 #include "bookkeeping/cluster.h"
 
 /* A set of the machines (fc_machine pointers, the cluster's) that neither the queue nor the room
- * kept for arrivals needs. The caller destroys it. */
+ * reserved for arrivals needs. The caller destroys it. */
 GHashTable *fc_scale_in_surplus(const fc_cluster *cluster, double now);
 /* Has the machine been idle for so long that renting another later is cheaper than keeping it? */
 bool fc_machine_idle_too_long(const fc_cluster *cluster, const fc_machine *machine, double now);
--- a/src/scheduler/zone_spread.h
+++ b/src/scheduler/zone_spread.h
@@ -8,7 +8,7 @@
 /* Where a zone may be asked for: any. */
 #define FC_ANY_ZONE (FC_ZONES_MAX + 1u)
 
-/* How many of a job's tasks may be running in each zone. Counted once, then kept up to date by the
+/* How many of a job's tasks may be running in each zone. Counted once, then updated by the
  * caller as it plans more of them. */
 typedef struct fc_zone_spread {
   unsigned in[FC_ZONES_MAX + 1]; /* by zone; the last: in none of the zones of the settings */
