--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -43,10 +43,6 @@
   return admission;
 }
 
-void fc_admission_free(fc_admission *admission) {
-  g_free(admission);
-}
-
 /* ---- refusals ---- */
 
 /* What was accepted once is never refused: refuses the submission only if the job is not known. */
--- a/src/controller/admission.h
+++ b/src/controller/admission.h
@@ -8,10 +8,9 @@
 
 typedef struct fc_admission fc_admission;
 
-/* The arguments have to outlive it. The caller frees it with fc_admission_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_admission *fc_admission_new(fc_cluster *cluster, fc_group_commit *commit, fc_peers *peers, fc_job_lookup *lookup,
                                fc_dependency_resolver *resolver, fc_description_store *descriptions);
-void fc_admission_free(fc_admission *admission);
 
 /* Serves one submission. May suspend the calling routine. */
 void fc_admission_submit(fc_admission *admission, const fc_http_request *request, fc_http_response *response);
--- a/src/controller/archive_lookup.c
+++ b/src/controller/archive_lookup.c
@@ -29,12 +29,6 @@
   return lookup;
 }
 
-void fc_archive_lookup_free(fc_archive_lookup *lookup) {
-  if (!lookup) return;
-  g_hash_table_destroy(lookup->remembered);
-  g_free(lookup);
-}
-
 /* Users of jobs that have ended ask as often as others: with the fixed part of the rate alone,
  * ninety such jobs were answered too rarely (fault test with pipelines, seed 15). */
 static bool take_request(fc_archive_lookup *lookup) {
--- a/src/controller/archive_lookup.h
+++ b/src/controller/archive_lookup.h
@@ -16,9 +16,8 @@
 
 typedef struct fc_archive_lookup fc_archive_lookup;
 
-/* The arguments have to outlive it. The caller frees it with fc_archive_lookup_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_archive_lookup *fc_archive_lookup_new(const fc_cluster *cluster, fc_kv *kv, fc_group_commit *commit);
-void fc_archive_lookup_free(fc_archive_lookup *lookup);
 
 /* Looks for a job that the cluster state, just proved current, does not hold. May suspend the
  * calling routine, until the deadline (steady time) at the most. */
--- a/src/controller/capacity_refusals.c
+++ b/src/controller/capacity_refusals.c
@@ -15,11 +15,6 @@
   return refusals;
 }
 
-void fc_capacity_refusals_free(fc_capacity_refusals *refusals) {
-  g_hash_table_destroy(refusals->until);
-  g_free(refusals);
-}
-
 static char *kind_key(const char *type, const char *zone, bool spot) {
   return g_strdup_printf("%s %s %d", type, zone, spot);
 }
--- a/src/controller/capacity_refusals.h
+++ b/src/controller/capacity_refusals.h
@@ -9,9 +9,8 @@
 
 typedef struct fc_capacity_refusals fc_capacity_refusals;
 
-/* The cluster state has to outlive it. The caller frees it with fc_capacity_refusals_free(). */
+/* The cluster state has to outlive it; it lives as long as the process. */
 fc_capacity_refusals *fc_capacity_refusals_new(const fc_cluster *cluster);
-void fc_capacity_refusals_free(fc_capacity_refusals *refusals);
 
 /* The kind has been refused; it counts so until that steady time. `type`: by name. */
 void fc_capacity_refusals_note(fc_capacity_refusals *refusals, const char *type, const char *zone, bool spot,
--- a/src/controller/cloud_access.c
+++ b/src/controller/cloud_access.c
@@ -28,11 +28,6 @@
   return access;
 }
 
-void fc_cloud_access_free(fc_cloud_access *access) {
-  fc_cloud_free(access->client);
-  g_free(access);
-}
-
 fc_cloud *fc_cloud_access_client(const fc_cloud_access *access) {
   return access->client;
 }
--- a/src/controller/cloud_access.h
+++ b/src/controller/cloud_access.h
@@ -11,9 +11,8 @@
 
 typedef struct fc_cloud_access fc_cloud_access;
 
-/* The arguments have to outlive it. The caller frees it with fc_cloud_access_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_cloud_access *fc_cloud_access_new(const fc_cluster *cluster, const fc_leadership *leadership);
-void fc_cloud_access_free(fc_cloud_access *access);
 
 /* Owned by `access`, valid as long as it is. */
 fc_cloud *fc_cloud_access_client(const fc_cloud_access *access);
--- a/src/controller/description_store.c
+++ b/src/controller/description_store.c
@@ -17,10 +17,6 @@
   return store;
 }
 
-void fc_description_store_free(fc_description_store *store) {
-  g_free(store);
-}
-
 /* The next transaction with parts that are not there; NULL: all are. */
 static fc_write *next_parts(const fc_description_store *store, const char *job, const GPtrArray *texts,
                             const fc_description_ref *ref) {
--- a/src/controller/description_store.h
+++ b/src/controller/description_store.h
@@ -8,9 +8,8 @@
 
 typedef struct fc_description_store fc_description_store;
 
-/* The arguments have to outlive it. The caller frees it with fc_description_store_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_description_store *fc_description_store_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit);
-void fc_description_store_free(fc_description_store *store);
 
 /* Writes the parts of the description that are not there yet. *ref names it, and *first_version is
  * the version of its first part, on which the record has to be conditional; 0: it is not there. What
--- a/src/controller/job_lookup.c
+++ b/src/controller/job_lookup.c
@@ -18,10 +18,6 @@
   return lookup;
 }
 
-void fc_job_lookup_free(fc_job_lookup *lookup) {
-  g_free(lookup);
-}
-
 bool fc_job_has_ended(const fc_job *job) {
   return job->phase != FC_PHASE_ACCEPTED;
 }
--- a/src/controller/job_lookup.h
+++ b/src/controller/job_lookup.h
@@ -10,10 +10,9 @@
 
 typedef struct fc_job_lookup fc_job_lookup;
 
-/* The arguments have to outlive it. The caller frees it with fc_job_lookup_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_job_lookup *fc_job_lookup_new(const fc_cluster *cluster, fc_kv_watch *watch, fc_dependency_resolver *resolver,
                                  fc_archive_lookup *archive);
-void fc_job_lookup_free(fc_job_lookup *lookup);
 
 /* Is the job done or cancelled, as far as is known? That is final. */
 bool fc_job_has_ended(const fc_job *job);
--- a/src/controller/job_queries.c
+++ b/src/controller/job_queries.c
@@ -21,10 +21,6 @@
   return queries;
 }
 
-void fc_job_queries_free(fc_job_queries *queries) {
-  g_free(queries);
-}
-
 void fc_job_queries_poll(fc_job_queries *queries, const char *id, fc_http_response *response) {
   const fc_job *job = fc_job_lookup_known(queries->lookup, id);
   if (job && fc_job_has_ended(job)) {
--- a/src/controller/job_queries.h
+++ b/src/controller/job_queries.h
@@ -6,10 +6,9 @@
 
 typedef struct fc_job_queries fc_job_queries;
 
-/* The arguments have to outlive it. The caller frees it with fc_job_queries_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_job_queries *fc_job_queries_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                    fc_cancellations *cancellations, fc_job_lookup *lookup);
-void fc_job_queries_free(fc_job_queries *queries);
 
 /* Each serves one request; `id` as it stands in the path. May suspend the calling routine. */
 void fc_job_queries_poll(fc_job_queries *queries, const char *id, fc_http_response *response);
--- a/src/controller/machine_disposal.h
+++ b/src/controller/machine_disposal.h
@@ -11,7 +11,7 @@
 
 typedef struct fc_machine_disposal fc_machine_disposal;
 
-/* The arguments have to outlive it. The caller frees it with g_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_machine_disposal *fc_machine_disposal_new(fc_cluster *cluster, fc_cloud_access *cloud,
                                              const fc_leadership *leadership, fc_peers *peers,
                                              fc_machine_returns *returns);
--- a/src/controller/machine_returns.h
+++ b/src/controller/machine_returns.h
@@ -22,7 +22,7 @@
 
 typedef struct fc_machine_returns fc_machine_returns;
 
-/* The arguments have to outlive it. The caller frees it with g_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_machine_returns *fc_machine_returns_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                            fc_wakeups *wakeups);
 
--- a/src/controller/machine_type_catalog.h
+++ b/src/controller/machine_type_catalog.h
@@ -9,7 +9,7 @@
 
 typedef struct fc_machine_type_catalog fc_machine_type_catalog;
 
-/* The arguments have to outlive it. The caller frees it with g_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_machine_type_catalog *fc_machine_type_catalog_new(fc_cluster *cluster, fc_cloud_access *cloud);
 /* Asks the cloud when no type is known yet or the prices are old. May suspend the calling
  * routine. */
--- a/src/controller/metrics_page.h
+++ b/src/controller/metrics_page.h
@@ -4,19 +4,9 @@
 
 #include <glib.h>
 
-#include "bookkeeping/group_commit.h"
-#include "controller/leadership.h"
-#include "controller/metrics.h"
-
-/* Where the figures come from; nothing is owned. */
-typedef struct fc_metrics_sources {
-  const fc_cluster *cluster;
-  const fc_leadership *leadership;
-  const fc_group_commit *commit;
-  const fc_metrics *metrics;
-} fc_metrics_sources;
+#include "controller/report_sources.h"
 
 /* Appends all figures, one a line: "name value". */
-void fc_metrics_page_append(const fc_metrics_sources *sources, GString *out);
+void fc_metrics_page_append(const fc_report_sources *sources, GString *out);
 
 #endif
--- a/src/controller/orphan_machines.h
+++ b/src/controller/orphan_machines.h
@@ -9,7 +9,7 @@
 
 typedef struct fc_orphan_machines fc_orphan_machines;
 
-/* The arguments have to outlive it. The caller frees it with g_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_orphan_machines *fc_orphan_machines_new(const fc_cluster *cluster, fc_cloud_access *cloud,
                                            const fc_leadership *leadership);
 /* Reads the cloud's list of machines and returns the orphaned ones, when that was last done long
--- a/src/controller/readiness.c
+++ b/src/controller/readiness.c
@@ -18,10 +18,6 @@
   return readiness;
 }
 
-void fc_readiness_free(fc_readiness *readiness) {
-  g_free(readiness);
-}
-
 bool fc_readiness_is_ready(const fc_readiness *readiness) {
   const fc_cluster *cluster = readiness->cluster;
   double heartbeat_s = cluster->settings->heartbeat_s, recent_s = heartbeat_s * RECENT_HEARTBEATS;
--- a/src/controller/readiness.h
+++ b/src/controller/readiness.h
@@ -10,9 +10,8 @@
 
 typedef struct fc_readiness fc_readiness;
 
-/* The arguments have to outlive it. The caller frees it with fc_readiness_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_readiness *fc_readiness_new(const fc_cluster *cluster, const fc_leadership *leadership, fc_peers *peers);
-void fc_readiness_free(fc_readiness *readiness);
 
 /* While no controller reaches the key-value store, being taken out of the load balancer would only
  * add its pauses to the outage: we stay, and refuse at once what we can't do. When a peer still
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -24,10 +24,6 @@
   return applier;
 }
 
-void fc_record_applier_free(fc_record_applier *applier) {
-  g_free(applier);
-}
-
 /* ---- the term ---- */
 
 /* Is an incarnation of another member of the present term no longer in the next? */
--- a/src/controller/record_applier.h
+++ b/src/controller/record_applier.h
@@ -15,10 +15,9 @@
 
 typedef struct fc_record_applier fc_record_applier;
 
-/* The arguments have to outlive it. The caller frees it with fc_record_applier_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_record_applier *fc_record_applier_new(fc_cluster *cluster, fc_leadership *leadership, fc_peers *peers,
                                          fc_cancellations *cancellations, fc_wakeups *wakeups);
-void fc_record_applier_free(fc_record_applier *applier);
 
 /* Applies one key's value, or its removal, if it is newer than what is known. `ordered`: it was
  * read as a change, in the order of revisions; false: while everything was read. A record that
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -49,11 +49,6 @@
   return execution;
 }
 
-void fc_rental_execution_free(fc_rental_execution *execution) {
-  fc_capacity_refusals_free(execution->refusals);
-  g_free(execution);
-}
-
 bool fc_rental_execution_idle(const fc_rental_execution *execution) {
   return g_hash_table_size(execution->cluster->rentals) == 0;
 }
--- a/src/controller/rental_execution.h
+++ b/src/controller/rental_execution.h
@@ -14,10 +14,9 @@
 
 typedef struct fc_rental_execution fc_rental_execution;
 
-/* The arguments have to outlive it. The caller frees it with fc_rental_execution_free(). */
+/* The arguments have to outlive it; it lives as long as the process. */
 fc_rental_execution *fc_rental_execution_new(fc_cluster *cluster, fc_cloud_access *cloud, fc_group_commit *commit,
                                              fc_kv_watch *watch, fc_leadership *leadership);
-void fc_rental_execution_free(fc_rental_execution *execution);
 
 /* Records the intents to rent what the queue and expected arrivals need. May suspend the calling
  * routine. */
--- /dev/null
+++ b/src/controller/report_sources.h
@@ -0,0 +1,17 @@
+/* Where the figures for operators come from: the metrics page and the status lines of the log. */
+#ifndef FC_CONTROLLER_REPORT_SOURCES_H
+#define FC_CONTROLLER_REPORT_SOURCES_H
+
+#include "bookkeeping/group_commit.h"
+#include "controller/leadership.h"
+#include "controller/metrics.h"
+
+/* Nothing is owned. */
+typedef struct fc_report_sources {
+  const fc_cluster *cluster;
+  const fc_leadership *leadership;
+  const fc_group_commit *commit;
+  const fc_metrics *metrics;
+} fc_report_sources;
+
+#endif
