--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -244,8 +244,8 @@
 }
 
 fc_controller_error fc_controller_start(const fc_settings *settings, fc_controller **out) {
-  *out = NULL;
   fc_controller *controller = g_new0(fc_controller, 1);
+  *out = controller;
   controller->settings = settings;
   build_state(controller);
   build_services(controller);
@@ -254,7 +254,6 @@
   if (!fc_view_receiver_start(build_view_receiver(controller))) return FC_CONTROLLER_PEER_LISTEN;
   if (!start_coordination(controller) || !start_scheduling(controller) || !start_maintenance(controller))
     return FC_CONTROLLER_NO_MEMORY;
-  *out = controller;
   return FC_CONTROLLER_OK;
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -21,7 +21,8 @@
 const char *fc_controller_strerror(fc_controller_error error);
 
 /* Starts listening and all routines; the event loop has to be initialised. The settings have to
- * outlive the controller, which lives as long as the process. On an error *out is NULL. */
+ * outlive the controller, which lives as long as the process. After an error some of its routines
+ * may run already, and the process has to end. */
 fc_controller_error fc_controller_start(const fc_settings *settings, fc_controller **out);
 
 /* For tests: what it has counted since its start, and what it knows. */
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -256,11 +256,8 @@
 static void gather_candidates(placing_round *round, fc_job_spec *least) {
   const fc_cluster *cluster = round->cluster;
   *least = fc_least_resources_none();
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_placeable(cluster, job, round->now)) continue;
     /* A task of a slice that is not resolved may be running where we have not heard of it. */
     unsigned slices =
--- a/src/scheduler/capacity_model.c
+++ b/src/scheduler/capacity_model.c
@@ -19,11 +19,8 @@
 
 static void add_existing_machines(fc_capacity_model *model, double now) {
   const fc_cluster *cluster = model->cluster;
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->machines);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (!machine->record_version || machine->type < 0 || machine->owner < 0 || fc_machine_cordoned(machine) ||
         machine->drain.owner_cordoned || machine->drain.spot_notice_until || startup_overdue(cluster, machine, now))
       continue;
--- a/src/scheduler/free_capacity.c
+++ b/src/scheduler/free_capacity.c
@@ -33,11 +33,8 @@
 
 GArray *fc_free_capacity_gather(const fc_cluster *cluster, fc_machine_filter_fn filter, double now) {
   GArray *capacity = g_array_new(FALSE, TRUE, sizeof(fc_free_capacity));
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->machines);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (!filter(cluster, machine, now)) continue;
     fc_free_capacity entry = {.machine = machine, .room = fc_machine_free_resources(cluster, machine)};
     g_array_append_val(capacity, entry);
--- a/src/scheduler/gang_precedence.c
+++ b/src/scheduler/gang_precedence.c
@@ -18,11 +18,8 @@
 /* What of the team's usage can't be preempted for a gang of the priority. */
 static fc_resources unpreemptible_usage(const fc_cluster *cluster, int team, fc_priority priority) {
   fc_resources usage = {0, 0, 0};
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team != team || (job->spec.kind == FC_JOB_ARRAY && job->queue.priority < priority)) continue;
     unsigned tasks = active_placements(job);
     usage.cpus += job->spec.cpus * tasks;
@@ -34,11 +31,8 @@
 /* The pending gangs of teams that have a limit, in the same order on every member. */
 static GPtrArray *pending_gangs_under_limit(const fc_cluster *cluster) {
   GPtrArray *gangs = g_ptr_array_new();
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team < 0 || !gang_pending(job)) continue;
     const fc_team_settings *team_settings = &cluster->settings->teams[job->team];
     if (team_settings->cpus_max > 0 || team_settings->gpus_max > 0) g_ptr_array_add(gangs, (gpointer)job);
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -29,11 +29,8 @@
 
 GPtrArray *fc_cluster_open_jobs(const fc_cluster *cluster) {
   GPtrArray *open_jobs = g_ptr_array_new();
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (fc_job_runnable(job) && job->team >= 0 && job->completion.count < job->spec.tasks)
       g_ptr_array_add(open_jobs, job);
   }
--- a/src/scheduler/limit_preemption.c
+++ b/src/scheduler/limit_preemption.c
@@ -19,11 +19,8 @@
  * what the team uses to *cpus and *gpus. */
 static GPtrArray *preemptible_tasks(const fc_cluster *cluster, const fc_job *gang, double *cpus, double *gpus) {
   GPtrArray *preemptible = g_ptr_array_new();
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team != gang->team) continue;
     bool may_preempt = job->spec.kind == FC_JOB_ARRAY && job->queue.priority < gang->queue.priority;
     for (guint i = 0; i < job->placements->len; i++) {
--- a/src/scheduler/machine_transfer.c
+++ b/src/scheduler/machine_transfer.c
@@ -140,11 +140,8 @@
 /* Gangs that are still pending after the time for a handover, in the same order on every member. */
 static GPtrArray *pending_gangs(const fc_cluster *cluster, double now) {
   GPtrArray *gangs = g_ptr_array_new();
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    fc_job *job = value;
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->spec.kind != FC_JOB_GANG || !fc_job_runnable(job) || job->team < 0) continue;
     if (job->placements->len > 0 || job->completion.count == job->spec.tasks) continue;
     if (now >= job->queue.entered_at + cluster->settings->op.handover_wait_s) g_ptr_array_add(gangs, job);
--- a/src/scheduler/slice_assignment.c
+++ b/src/scheduler/slice_assignment.c
@@ -5,11 +5,8 @@
 
 /* Does the member's shard have a machine that could run a task of the job when empty? */
 static bool has_suitable_machine(const fc_cluster *cluster, int member, const fc_job_spec *spec) {
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->machines);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const fc_machine *machine = value;
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (machine->owner != member || !machine->record_version || machine->type < 0 || fc_machine_cordoned(machine) ||
         machine->drain.owner_cordoned)
       continue;
