--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -38,8 +38,9 @@
   fc_metrics *metrics;
   share_caps caps;
   double adjusted_at;
-  fc_quota_record next; /* the record that is being planned */
-  fc_quota_tally tally; /* what it is planned by */
+  /* Large, and allocated only where a team has a limit. */
+  fc_quota_record *next; /* the record that is being planned */
+  fc_quota_tally *tally; /* what it is planned by */
 };
 
 /* ---- caps ---- */
@@ -111,28 +112,28 @@
    * full instead. What is reconciled by then can only have become less since; members that have
    * not acknowledged the term are waited for. */
   bool reconciled = fc_cluster_update_reconciled(cluster);
-  if (fc_quota_plan_carry_over(cluster, &shares->next)) return true;
+  if (fc_quota_plan_carry_over(cluster, shares->next)) return true;
   if (!reconciled && (now < term_since + settings->heartbeat_s * RECONCILIATION_HEARTBEATS ||
                       !fc_peers_all_covered(shares->peers, term_since)))
     return false;
-  fc_quota_tally_take(cluster, !reconciled, &shares->tally);
-  return fc_quota_plan_divide(cluster, &shares->tally, &shares->next) || reconciled;
+  fc_quota_tally_take(cluster, !reconciled, shares->tally);
+  return fc_quota_plan_divide(cluster, shares->tally, shares->next) || reconciled;
 }
 
 /* Plans a change of our share; false: nothing is to be written. */
 static bool plan_change(fc_quota_shares *shares) {
-  shares->next = shares->cluster->quota.record;
-  fc_quota_tally_take(shares->cluster, false, &shares->tally);
+  *shares->next = shares->cluster->quota.record;
+  fc_quota_tally_take(shares->cluster, false, shares->tally);
   /* Where nothing is to change, the record is written as it is while there are caps, or a write of
    * unknown outcome would leave them in force for good (fault test, seed 510: a gang was pending
    * forever beside its share). */
-  return fc_quota_plan_adjust(shares->cluster, &shares->tally, &shares->next) || shares->caps.active;
+  return fc_quota_plan_adjust(shares->cluster, shares->tally, shares->next) || shares->caps.active;
 }
 
 /* Plans the next record, if it is time for one; false: nothing is to be written. */
 static bool plan_next(fc_quota_shares *shares) {
   double now = fc_now();
-  memset(&shares->next, 0, sizeof shares->next);
+  memset(shares->next, 0, sizeof *shares->next);
   if (!recorded_in_term(shares->cluster)) return plan_first(shares, now);
   if (now < shares->adjusted_at + shares->cluster->settings->op.round_s * ADJUST_INTERVAL_ROUNDS) return false;
   shares->adjusted_at = now;
@@ -143,12 +144,12 @@
 
 static void write_next(fc_quota_shares *shares) {
   const fc_cluster *cluster = shares->cluster;
-  lower_caps(&shares->caps, &shares->next, fc_quota_record_find(&shares->next, cluster->settings->name));
+  lower_caps(&shares->caps, shares->next, fc_quota_record_find(shares->next, cluster->settings->name));
   shares->caps.version = cluster->quota.version;
   fc_write *write = fc_write_new();
   fc_write_compare(write, FC_KEY_QUOTA, cluster->quota.version);
   fc_write_compare(write, FC_KEY_TERM, cluster->membership.term_version);
-  fc_write_put(write, FC_KEY_QUOTA, fc_quota_record_encode(&shares->next, cluster->settings));
+  fc_write_put(write, FC_KEY_QUOTA, fc_quota_record_encode(shares->next, cluster->settings));
   uint64_t revision = 0;
   fc_kv_result result =
       fc_group_commit_write(shares->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + WRITE_TIMEOUT_S, &revision);
@@ -168,6 +169,8 @@
   const fc_cluster *cluster = shares->cluster;
   fc_metrics_enter_duty(shares->metrics, FC_DUTY_MEMBERSHIP);
   if (!any_team_limited(cluster->settings)) return;
+  shares->next = g_new0(fc_quota_record, 1);
+  shares->tally = g_new0(fc_quota_tally, 1);
   while (!fc_routine_cancelled()) {
     (void)fc_routine_sleep(cluster->settings->op.round_s * CHECK_INTERVAL_ROUNDS);
     /* A write of unknown outcome can be applied until the record has moved past the version that it
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -146,8 +146,10 @@
   return out;
 }
 
-static bool send_ack(fc_view_receiver *receiver, fc_conn *conn, const fc_view *view, fc_view_result result) {
+/* Clears the view, whose memory is not needed while the acknowledgement is sent. */
+static bool send_ack(fc_view_receiver *receiver, fc_conn *conn, fc_view *view, fc_view_result result) {
   GByteArray *out = encode_ack(receiver, view, result);
+  fc_view_clear(view);
   bool sent = fc_conn_write(conn, out->data, out->len, fc_now() + receiver->deps.cluster->settings->heartbeat_s);
   g_byte_array_free(out, TRUE);
   return sent;
@@ -157,7 +159,7 @@
 
 /* Applies one piece of a view, and acknowledges the view with its last. False: the connection is
  * to be closed. */
-static bool serve_view(fc_view_receiver *receiver, fc_conn *conn, const fc_view *view) {
+static bool serve_view(fc_view_receiver *receiver, fc_conn *conn, fc_view *view) {
   fc_view_result result = fc_peer_views_apply(receiver->deps.views, view);
   learn_cancellations(receiver, view);
   if (result == FC_VIEW_BROKEN) {
