--- a/tests/world.h
+++ b/tests/fixture.h
@@ -1,15 +1,18 @@
-/* A small table to schedule in: types, machines and jobs in a line each. */
-#ifndef FC_TESTS_WORLD_H
-#define FC_TESTS_WORLD_H
+/* A small cluster state to test on: machine types, machines, jobs and placements in a line each. */
+#ifndef FC_TESTS_FIXTURE_H
+#define FC_TESTS_FIXTURE_H
 
 #include "check.h"
 
+#include <math.h>
+
 #include "bookkeeping/cluster.h"
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/job_records.h"
 #include "bookkeeping/shard_ownership.h"
+#include "scheduler/team_quota.h"
 
-static inline fc_settings world_settings(void) {
+static inline fc_settings fixture_settings(void) {
   fc_settings settings = {.name = "paddock-0", .zone = "a", .zone_count = 2, .team_count = 2};
   fc_operator_defaults(&settings.op);
   settings.zones[0] = "a";
@@ -26,7 +29,7 @@
   return settings;
 }
 
-static inline fc_cluster *world_table(const fc_settings *settings) {
+static inline fc_cluster *fixture_cluster(const fc_settings *settings) {
   fc_cluster *cluster = fc_cluster_new(settings);
   fc_machine_type *machine_type = g_new0(fc_machine_type, 1);
   *machine_type = (fc_machine_type){.name = g_strdup("g4"),
@@ -45,7 +48,7 @@
   return cluster;
 }
 
-static inline fc_machine *world_machine(fc_cluster *cluster, const char *id, const char *zone, bool spot) {
+static inline fc_machine *fixture_machine(fc_cluster *cluster, const char *id, const char *zone, bool spot) {
   fc_machine *machine = fc_cluster_ensure_machine(cluster, id, 0);
   g_strlcpy(machine->record.type, "g4", sizeof machine->record.type);
   g_strlcpy(machine->record.zone, zone, sizeof machine->record.zone);
@@ -60,22 +63,29 @@
   return machine;
 }
 
-/* After a test has put a term of its own in place. */
-static inline void world_deal(fc_cluster *cluster) {
-  GHashTableIter it;
+/* Owners of all slices anew, after a test has put a term of its own in place. */
+static inline void fixture_assign_slices(fc_cluster *cluster) {
+  GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init(&it, cluster->jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) fc_cluster_assign_slices(cluster, value);
+  g_hash_table_iter_init(&iter, cluster->jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) fc_cluster_assign_slices(cluster, value);
+}
+
+/* Term 1 of two members, of which this one is the first. */
+static inline void fixture_two_members(fc_cluster *cluster) {
+  fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
+  cluster->membership.term = term;
+  fixture_assign_slices(cluster);
 }
 
-/* extra: more fields, each ending in a comma, that take the place of defaults */
-static inline fc_job *world_job(fc_cluster *cluster, const char *id, const char *kind, const char *rank,
-                                const char *team, unsigned tasks, double gpus, const char *extra) {
+/* `extra`: more fields of the submission, separated by commas; those of the defaults go. */
+static inline fc_job *fixture_job(fc_cluster *cluster, const char *id, const char *kind, const char *priority,
+                                  const char *team, unsigned tasks, double gpus, const char *extra) {
   char *text = g_strdup_printf(
       "{%s\"id\":\"%s\",\"squad\":\"c\",\"club\":\"%s\",\"play\":\"%s\",\"rank\":\"%s\",\"runs\":%u,\"cpus\":%f,"
       "\"gpus\":%f,\"memGb\":10,\"kit\":\"img\",\"pullGb\":1,\"builds\":null,\"ground\":null%s%s,\"loaners\":true,"
       "\"expectS\":10,\"markS\":0,\"stowS\":0,\"whistleS\":null}",
-      "", id, team, kind, rank, tasks, gpus, gpus, strstr(extra, "samePlace") ? "" : ",\"samePlace\":false",
+      "", id, team, kind, priority, tasks, gpus, gpus, strstr(extra, "samePlace") ? "" : ",\"samePlace\":false",
       strstr(extra, "scatter") ? "" : ",\"scatter\":false");
   GString *full = g_string_new(text);
   if (*extra) {
@@ -92,4 +102,18 @@
   return job;
 }
 
+/* A running task, started at second 10. */
+static inline fc_placement *fixture_run_task(fc_cluster *cluster, fc_machine *machine, const fc_job *job,
+                                             uint32_t index, uint64_t attempt) {
+  fc_placement *placement = fc_cluster_add_placement(cluster, machine, job->spec.id, index, attempt, 10);
+  placement->status.state = FC_TASK_RUNNING;
+  return placement;
+}
+
+static inline fc_allowance fixture_unlimited_allowance(void) {
+  fc_allowance allowance;
+  for (int i = 0; i < FC_TEAMS_MAX; i++) allowance.cpus[i] = allowance.gpus[i] = INFINITY;
+  return allowance;
+}
+
 #endif
--- /dev/null
+++ b/tests/test_gang_precedence.c
@@ -0,0 +1,67 @@
+/* Precedence of one gang at a time under its team's limit, and preemption for it. */
+#include "fixture.h"
+
+#include "scheduler/gang_precedence.h"
+#include "scheduler/limit_preemption.h"
+
+/* Two gangs of a team with a limit of 16 GPUs, and other jobs of it and of another team. */
+static void one_gang_of_a_team_precedes(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned services, arrays; /* the team's tasks that run */
+    const char *preceding;
+  } rows[] = {
+      {"the first by name", 0, 0, "job-000001"},
+      {"arrays of lower priority can be preempted", 0, 12, "job-000001"},
+      {"beside services only the smaller one fits", 6, 0, "job-000002"},
+      {"none fits", 14, 0, ""},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    fc_settings settings = fixture_settings();
+    fc_cluster *cluster = fixture_cluster(&settings);
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fc_job *big = fixture_job(cluster, "job-000001", "gang", "high", "blue", 3, 4, "");
+    fc_job *small = fixture_job(cluster, "job-000002", "gang", "high", "blue", 2, 4, "");
+    fc_job *service = fixture_job(cluster, "job-000003", "service", "prod", "blue", 20, 1, "");
+    fc_job *array = fixture_job(cluster, "job-000004", "sweep", "standard", "blue", 20, 1, "");
+    fc_job *other = fixture_job(cluster, "job-000005", "sweep", "standard", "red", 2, 1, "");
+    fc_job *equal = fixture_job(cluster, "job-000006", "sweep", "high", "blue", 2, 1, "");
+    fc_job *higher = fixture_job(cluster, "job-000007", "sweep", "prod", "blue", 2, 1, "");
+    for (unsigned k = 0; k < rows[i].services; k++)
+      fc_cluster_add_placement(cluster, machine, service->spec.id, k, 1, 0);
+    for (unsigned k = 0; k < rows[i].arrays; k++) fc_cluster_add_placement(cluster, machine, array->spec.id, k, 1, 0);
+    const fc_job *by_team[FC_TEAMS_MAX];
+    fc_gang_precedence(cluster, by_team);
+    const fc_job *preceding = by_team[1];
+    check_row(rows[i].name, strcmp(preceding ? preceding->spec.id : "", rows[i].preceding) == 0);
+    assert_null(by_team[0]); /* a team without a limit */
+    if (!preceding) {
+      fc_cluster_free(cluster);
+      continue;
+    }
+    /* The team's other gang and arrays leave the limit to it; services, jobs of higher priority and
+     * other teams' jobs do not. */
+    check_row(rows[i].name, fc_gang_precedes(cluster, preceding, preceding == big ? small : big, 10));
+    check_row(rows[i].name,
+              fc_gang_precedes(cluster, preceding, array, 10) && fc_gang_precedes(cluster, preceding, equal, 10));
+    check_row(rows[i].name, !fc_gang_precedes(cluster, preceding, higher, 10));
+    check_row(rows[i].name,
+              !fc_gang_precedes(cluster, preceding, service, 10) && !fc_gang_precedes(cluster, preceding, other, 10));
+    /* As many tasks of the array are preempted as it needs, once it has been pending for a while. */
+    GPtrArray *stops = g_ptr_array_new();
+    fc_preempt_for_limit(cluster, stops, 1);
+    check_row(rows[i].name, stops->len == 0);
+    fc_preempt_for_limit(cluster, stops, 30);
+    check_row(rows[i].name, stops->len == (rows[i].arrays ? 8 : 0)); /* 12 + 12 - 16 */
+    g_ptr_array_free(stops, TRUE);
+    fc_cluster_free(cluster);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(one_gang_of_a_team_precedes),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_handover_planning.c
@@ -0,0 +1,198 @@
+/* Handovers of slices to shards with room: to whom, and when not yet. */
+#include "fixture.h"
+
+#include "bookkeeping/reconciliation_progress.h"
+#include "scheduler/handover_planning.h"
+
+/* A slice is handed over to a shard with room only once its owner has acknowledged all tasks of
+ * the slice that may be on a machine; it would start them a second time. */
+static void handover_after_acknowledged_starts(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    bool running, acknowledged, room_here, resolved;
+    unsigned expect;
+    bool unavailable;
+    enum { NOT_THERE, THERE, THERE_UNRECONCILED } on_peer; /* a task on the peer's machine */
+    bool unreconciled;                                     /* our machine, in this term */
+  } rows[] = {
+      {"nothing runs yet", false, false, false, true, 1, false, NOT_THERE, false},
+      {"room here", false, false, true, true, 0, false, NOT_THERE, false},
+      {"a task runs, its start not acknowledged", true, false, false, true, 0, false, NOT_THERE, false},
+      {"a task runs, its start acknowledged", true, true, false, true, 1, false, NOT_THERE, false},
+      {"tasks may be running unseen", false, false, false, false, 0, false, NOT_THERE, false},
+      {"a task runs on the peer's machine", false, false, false, true, 1, false, THERE, false},
+      {"a task runs on the peer's unreconciled machine", false, false, false, true, 0, false, THERE_UNRECONCILED,
+       false},
+      {"one here and one there, acknowledged", true, true, false, true, 1, false, THERE, false},
+      {"one here and one there, not acknowledged", true, false, false, true, 0, false, THERE, false},
+      {"the peer is unavailable", false, false, false, true, 0, true, NOT_THERE, false},
+      {"a task runs, its start acknowledged in an earlier term", true, true, false, true, 0, false, NOT_THERE, true},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    fc_settings settings = fixture_settings();
+    fc_cluster *cluster = fixture_cluster(&settings);
+    fixture_two_members(cluster);
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fc_machine *peer_machine = fixture_machine(cluster, "vm-2", "a", false);
+    machine->agent.heard_at = 90;
+    peer_machine->owner = 1;
+    fc_job *full = fixture_job(cluster, "job-000001", "service", "prod", "red", 1, 3, "");
+    fixture_run_task(cluster, machine, full, 0, 1);
+    fc_job *job = fixture_job(cluster, "job-000002", "sweep", "standard", "red", 3, 1, "");
+    job->record.handed_to[0] = g_strdup("paddock-0");
+    fc_cluster_assign_slices(cluster, job);
+    job->slices.resolved = rows[i].resolved ? 1 : 0;
+    if (!rows[i].room_here || rows[i].running) fixture_run_task(cluster, machine, job, 0, 2);
+    if (!rows[i].running && !rows[i].room_here) {
+      /* Our machine is full with tasks of the other job instead. */
+      fc_placement_remove(fc_machine_find_placement(machine, job->spec.id, 0, 2));
+      fixture_run_task(cluster, machine, full, 9, 3);
+      full->spec.gpus = 2;
+    }
+    if (rows[i].on_peer) fixture_run_task(cluster, peer_machine, job, 1, 4);
+    if (rows[i].on_peer == THERE_UNRECONCILED) peer_machine->reconciled_term = 0;
+    if (rows[i].unreconciled) machine->reconciled_term = 0;
+    fc_peer_progress progress = {.available = {true, !rows[i].unavailable}};
+    if (rows[i].acknowledged) {
+      progress.acked_view[1] = 100;
+      progress.acked_revision[1] = 100;
+    }
+    GArray *plan = fc_plan_handovers(cluster, &progress, 90);
+    check_row(rows[i].name, plan->len == rows[i].expect);
+    if (plan->len) {
+      const fc_handover *handover = &g_array_index(plan, fc_handover, 0);
+      check_row(rows[i].name, handover->to == 1 && handover->machine_owners == (rows[i].running ? 3 : 2));
+    }
+    g_array_free(plan, TRUE);
+    fc_cluster_free(cluster);
+  }
+}
+
+/* Our machine is full, one of the peer's is free, and jobs of a team with a limit are pending there. */
+static void room_not_claimed_by_jobs_at_their_limit(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    double used_gpus; /* of the limit of 16 */
+    unsigned expect;
+  } rows[] = {{"the peer's jobs can start, and go first", 4, 0},
+              {"at the limit", 16, 1},
+              {"below it, by less than a task", 15.5, 1}};
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    fc_settings settings = fixture_settings();
+    fc_cluster *cluster = fixture_cluster(&settings);
+    fixture_two_members(cluster);
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fc_machine *free_machine = fixture_machine(cluster, "vm-2", "a", false);
+    fc_machine *used_machine = fixture_machine(cluster, "vm-3", "a", false);
+    machine->agent.heard_at = 90;
+    free_machine->owner = used_machine->owner = 1;
+    fc_job *full = fixture_job(cluster, "job-000001", "service", "prod", "red", 1, 4, "");
+    fixture_run_task(cluster, machine, full, 0, 1);
+    fc_job *limited = fixture_job(cluster, "job-000002", "service", "prod", "blue", 1, 4, "");
+    fixture_run_task(cluster, used_machine, limited, 0, 1);
+    limited->spec.gpus = rows[i].used_gpus;
+    fc_job *theirs = fixture_job(cluster, "job-000003", "sweep", "high", "blue", 8, 1, "");
+    theirs->record.handed_to[0] = g_strdup("paddock-1");
+    fc_job *ours = fixture_job(cluster, "job-000004", "sweep", "standard", "red", 2, 1, "");
+    ours->record.handed_to[0] = g_strdup("paddock-0");
+    fixture_assign_slices(cluster);
+    ours->slices.resolved = 1;
+    fc_peer_progress progress = {.available = {true, true}};
+    GArray *plan = fc_plan_handovers(cluster, &progress, 90);
+    check_row(rows[i].name, plan->len == rows[i].expect);
+    if (plan->len) check_row(rows[i].name, g_array_index(plan, fc_handover, 0).job == ours);
+    g_array_free(plan, TRUE);
+    fc_cluster_free(cluster);
+  }
+}
+
+typedef struct running_task_row {
+  const char *name;
+  int owner;           /* of the machine on which the first task runs: a member */
+  uint64_t started_in; /* term */
+  bool reconciled;
+  unsigned expect;
+  bool unseen, gang;
+} running_task_row;
+
+static const running_task_row k_running_tasks[] = {
+    {"on the receiver's machine", 1, 4, true, 1, false, false},
+    {"started there in this term", 1, 5, true, 1, false, false},
+    {"on the receiver's machine, not reconciled", 1, 4, false, 0, false, false},
+    {"on a third member's machine", 2, 4, true, 1, true, false},
+    {"started there in this term, perhaps unknown to the receiver", 2, 5, true, 0, false, false},
+    {"on a third member's machine, not reconciled", 2, 4, false, 0, false, false},
+    {"a gang is never split", 1, 4, true, 0, false, true},
+};
+
+/* The receiver reads the record that the handover wrote: before and after everything is reconciled. */
+static void check_resolution_at_receiver(fc_cluster *cluster, fc_job *job, const running_task_row *row) {
+  fc_machine *receivers = fc_cluster_find_machine(cluster, "vm-2"), *thirds = fc_cluster_find_machine(cluster, "vm-3");
+  cluster->membership.self = 1;
+  cluster->membership.term_version = 1;
+  thirds->reconciled_term = 4;
+  job->slices.resolved = 0;
+  fc_job_record record = {.spec = job->spec,
+                          .origin = {.moved = 1, .unseen = row->unseen},
+                          .phase = FC_PHASE_ACCEPTED,
+                          .done = (char *)"",
+                          .slices = 1};
+  record.handed[0] = (char *)"paddock-1";
+  (void)fc_cluster_apply_job(cluster, "job-000002", &record, 30, true, 91);
+  check_row(row->name, (job->slices.resolved & 1) == !row->unseen);
+  receivers->reconciled_term = thirds->reconciled_term = 5;
+  check_row(row->name, fc_cluster_update_reconciled(cluster) && (job->slices.resolved & 1));
+}
+
+/* After a change of term a task of the slice may be on a machine of another member. The slice goes
+ * to a member that knows of that task, or will once everything is reconciled; only then is the
+ * slice resolved there. */
+static void handover_with_a_running_task(void **state) {
+  (void)state;
+  for (size_t i = 0; i < G_N_ELEMENTS(k_running_tasks); i++) {
+    fc_settings settings = fixture_settings();
+    fc_cluster *cluster = fixture_cluster(&settings);
+    cluster->membership.term = (fc_term){
+        .number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}, {"paddock-2", 1}}, .count = 3};
+    fc_machine *own = fixture_machine(cluster, "vm-1", "a", false);
+    fc_machine *receivers = fixture_machine(cluster, "vm-2", "a", false);
+    fc_machine *thirds = fixture_machine(cluster, "vm-3", "a", false);
+    own->agent.heard_at = 90;
+    receivers->owner = 1;
+    thirds->owner = 2;
+    fc_job *full = fixture_job(cluster, "job-000001", "service", "prod", "red", 2, 4, "");
+    fixture_run_task(cluster, own, full, 0, 1);
+    fc_job *job =
+        fixture_job(cluster, "job-000002", k_running_tasks[i].gang ? "gang" : "service", "standard", "red", 2, 1, "");
+    job->record.handed_to[0] = g_strdup("paddock-0");
+    fc_cluster_assign_slices(cluster, job);
+    job->slices.resolved = 1;
+    fc_machine *machine = k_running_tasks[i].owner == 1 ? receivers : thirds;
+    fixture_run_task(cluster, machine, job, 0, fc_attempt(k_running_tasks[i].started_in, 1));
+    if (k_running_tasks[i].owner == 2) thirds->drain.owner_cordoned = true; /* room at the receiver alone */
+    if (!k_running_tasks[i].reconciled) machine->reconciled_term = 4;
+    fc_machine *spare = fixture_machine(cluster, "vm-4", "a", false); /* room at the receiver in any case */
+    spare->owner = 1;
+    fc_peer_progress progress = {.available = {true, true, true}};
+    GArray *plan = fc_plan_handovers(cluster, &progress, 90);
+    check_row(k_running_tasks[i].name, plan->len == k_running_tasks[i].expect);
+    if (plan->len) {
+      check_row(k_running_tasks[i].name, g_array_index(plan, fc_handover, 0).to == 1);
+      check_row(k_running_tasks[i].name, g_array_index(plan, fc_handover, 0).unseen == k_running_tasks[i].unseen);
+    }
+    g_array_free(plan, TRUE);
+    check_resolution_at_receiver(cluster, job, &k_running_tasks[i]);
+    fc_cluster_free(cluster);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(handover_after_acknowledged_starts),
+      cmocka_unit_test(room_not_claimed_by_jobs_at_their_limit),
+      cmocka_unit_test(handover_with_a_running_task),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/test_heartbeats.c
+++ b/tests/test_heartbeats.c
@@ -22,7 +22,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = false;
     if (!rows[i].lease) fc_leadership_lease_lost(bench->leadership);
@@ -40,7 +40,7 @@
 static void worker_back_from_its_owner_is_answered(void **state) {
   (void)state;
   worker_bench *bench = worker_bench_new();
-  world_machine(bench->cluster, "vm-1", "a", false)->owner = 1;
+  fixture_machine(bench->cluster, "vm-1", "a", false)->owner = 1;
   GString *out = g_string_new(NULL);
   assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 421);
   assert_int_equal(send_heartbeat(bench, 1, 2, 5, "", out), 200);
@@ -65,8 +65,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
     fc_cluster *cluster = bench->cluster;
-    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
-    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
     assert_int_equal(send_heartbeat(bench, 2, 10, 5, RUNNING(0), out), 200);
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 1, 2, 0);
@@ -87,7 +87,7 @@
   (void)state;
   worker_bench *bench = worker_bench_new();
   fc_cluster *cluster = bench->cluster;
-  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->owner = 1;
   fc_peers_at(bench->peers, 0)->heard_at = -1e9; /* we renew its lease for its owner */
   GString *out = g_string_new(NULL);
@@ -127,7 +127,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
     fc_cluster *cluster = bench->cluster;
-    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     machine->lease.answered_at = fc_now() - rows[i].since_answer;
     machine->lease.connection = rows[i].before;
     bench->connection = rows[i].now;
@@ -151,8 +151,8 @@
   (void)state;
   worker_bench *bench = worker_bench_new();
   fc_cluster *cluster = bench->cluster;
-  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
-  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+  fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   machine->agent.restarted = true;
   machine->agent.epoch = 1;
   machine->agent.sequence = 3;
@@ -172,7 +172,7 @@
 static void heartbeat_contradicts_the_record(void **state) {
   (void)state;
   worker_bench *bench = worker_bench_new();
-  fc_machine *machine = world_machine(bench->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
+  fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
   GString *out = g_string_new(NULL);
   assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 503);
   assert_int_equal(machine->agent.sequence, 0);
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -21,7 +21,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     if (!rows[i].reconciled) machine->reconciled_term = 0;
     machine->probe.wanted = rows[i].probe;
     bench->settings.fd_limit = rows[i].limit;
@@ -53,7 +53,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = true;
     machine->agent.epoch = 2;
@@ -98,7 +98,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     double now = fc_now();
     fc_leadership_term_applied(bench->leadership, now - rows[i].ended, true);
     machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
@@ -140,7 +140,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     double now = fc_now();
     bench->settings.fd_limit = 800;
     for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(bench->calls);
--- /dev/null
+++ b/tests/test_machine_transfer.c
@@ -0,0 +1,56 @@
+/* Transfers of whole machines to the shard of a gang that no shard can hold. */
+#include "fixture.h"
+
+#include "scheduler/machine_transfer.h"
+
+/* Two members, of which this one is the first. Two machines: the first is ours, the second ours or
+ * the peer's; a gang of two whole machines that belongs to either. */
+static void transfers_to_a_pending_gang(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    bool gang_ours, second_ours;
+    const char *kind, *priority; /* of what runs on our machine; NULL: nothing */
+    unsigned transfers;
+    bool preempt;
+  } rows[] = {
+      {"ours is idle, the gang is the peer's", false, false, NULL, NULL, 1, false},
+      {"the idle machine is the peer's to transfer", true, false, NULL, NULL, 0, false},
+      {"both machines and the gang are ours", true, true, NULL, NULL, 0, false},
+      {"both machines are ours, the gang is not", false, true, NULL, NULL, 2, false},
+      {"an array of lower priority is preempted", false, false, "sweep", "standard", 1, true},
+      {"an array of the same priority is not", false, false, "sweep", "high", 0, false},
+      {"a service is not", false, false, "service", "prod", 0, false},
+      {"a gang is not", false, false, "gang", "standard", 0, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    fc_settings settings = fixture_settings();
+    fc_cluster *cluster = fixture_cluster(&settings);
+    fixture_two_members(cluster);
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fc_machine *second = fixture_machine(cluster, "vm-2", "a", false);
+    machine->agent.heard_at = second->agent.heard_at = 90;
+    if (!rows[i].second_ours) second->owner = 1;
+    if (rows[i].kind) {
+      fc_job *running = fixture_job(cluster, "job-000001", rows[i].kind, rows[i].priority, "red", 1, 1, "");
+      fixture_run_task(cluster, machine, running, 0, 1);
+    }
+    fc_job *gang = fixture_job(cluster, "job-000002", "gang", "high", "red", 2, 4, "\"samePlace\":true");
+    gang->record.handed_to[0] = g_strdup(rows[i].gang_ours ? "paddock-0" : "paddock-1");
+    fc_cluster_assign_slices(cluster, gang);
+    fc_peer_progress progress = {.available = {true, true}};
+    GArray *transfers = fc_plan_machine_transfers(cluster, &progress, 90);
+    check_row(rows[i].name, transfers->len == rows[i].transfers);
+    if (transfers->len)
+      check_row(rows[i].name, g_array_index(transfers, fc_machine_transfer, 0).preempt == rows[i].preempt);
+    g_array_free(transfers, TRUE);
+    fc_cluster_free(cluster);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(transfers_to_a_pending_gang),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -1,6 +1,6 @@
 /* Jobs that await others, over a table without a network: which are ready, which are
  * cancelled with another, what they inherit, and what keeping that costs. */
-#include "world.h"
+#include "fixture.h"
 
 #include <math.h>
 
@@ -292,8 +292,8 @@
 
 static scene *scene_new(void) {
   scene *s = g_new0(scene, 1);
-  s->settings = world_settings();
-  s->table = world_table(&s->settings);
+  s->settings = fixture_settings();
+  s->table = fixture_cluster(&s->settings);
   s->version = 10;
   return s;
 }
@@ -570,7 +570,7 @@
 static void not_placed_before(void **state) {
   (void)state;
   scene *s = scene_new();
-  world_machine(s->table, "vm-1", "a", false);
+  fixture_machine(s->table, "vm-1", "a", false);
   for (unsigned k = 0; k < DIAMOND; k++) put(s, &k_diamond[k], FC_PHASE_ACCEPTED);
   fc_allowance allow;
   for (size_t k = 0; k < FC_TEAMS_MAX; k++) allow.cpus[k] = allow.gpus[k] = INFINITY;
--- a/tests/test_reconciler.c
+++ b/tests/test_reconciler.c
@@ -6,10 +6,10 @@
   (void)state;
   worker_bench *bench = worker_bench_new();
   fc_cluster *cluster = bench->cluster;
-  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   machine->agent.reported = false;
-  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_cluster_add_placement(cluster, machine, "job-000001", 3, 9, 0)->start.sent =
       true; /* what an earlier incarnation may have sent */
   GString *out = g_string_new(NULL);
@@ -43,8 +43,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
     fc_cluster *cluster = bench->cluster;
-    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
-    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
     machine->agent.reported = false;
     assert_int_equal(send_heartbeat(bench, 2, 10, 5, RUNNING(0), out), 200);
@@ -75,10 +75,10 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = rows[i].seen_token;
-    world_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     /* It was listed and has ended without its work: to be forgotten, or not yet. */
     fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
@@ -114,11 +114,11 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
-    fc_machine *machine = world_machine(bench->cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
     machine->agent.epoch = 1;
     machine->agent.sequence = 3;
     machine->agent.fencing_token = 5;
-    world_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
     double now = fc_now();
     placement->start.sent = true;
@@ -140,7 +140,7 @@
   (void)state;
   worker_bench *bench = worker_bench_new();
   fc_cluster *cluster = bench->cluster;
-  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+  fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   placement->start.sent = true;
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -2,7 +2,7 @@
 #include "bookkeeping/cancellation_log.h"
 #include "bookkeeping/job_records.h"
 #include "bookkeeping/record_writes.h"
-#include "world.h"
+#include "fixture.h"
 
 typedef struct listed {
   fc_cancellation_log *list;
@@ -87,15 +87,15 @@
       {"read, then told late", {READ_OLD, READ_IT, CAUGHT_UP, TOLD}, 4, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings settings = world_settings();
-    fc_cluster *cluster = world_table(&settings);
+    fc_settings settings = fixture_settings();
+    fc_cluster *cluster = fixture_cluster(&settings);
     for (unsigned k = 0; k < rows[i].count; k++) {
       switch (rows[i].steps[k]) {
         case TOLD:
           fc_cluster_apply_cancellation(cluster, "job-000001", 9, 3, 4);
           break;
         case READ_OLD:
-          (void)world_job(cluster, "job-000001", "sweep", "standard", "red", 3, 1, ""); /* version 5 */
+          (void)fixture_job(cluster, "job-000001", "sweep", "standard", "red", 3, 1, ""); /* version 5 */
           break;
         case READ_IT: {
           const fc_job *job = fc_cluster_find_job(cluster, "job-000001");
@@ -132,10 +132,10 @@
       {"few of many", 100000, 5000, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings settings = world_settings();
+    fc_settings settings = fixture_settings();
     settings.kv_value_kb = 2;
-    fc_cluster *cluster = world_table(&settings);
-    const fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", rows[i].tasks, 1, "");
+    fc_cluster *cluster = fixture_cluster(&settings);
+    const fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", rows[i].tasks, 1, "");
     size_t bytes = (rows[i].tasks + 7) / 8;
     uint8_t *ended = g_malloc0(bytes), *done = g_malloc0(bytes);
     for (unsigned k = 0; k < rows[i].tasks; k += rows[i].every) ended[k / 8] |= (uint8_t)(1u << (k % 8));
--- a/tests/test_views.c
+++ b/tests/test_views.c
@@ -5,7 +5,7 @@
 #include "bookkeeping/shard_ownership.h"
 #include "controller/kv_watch.h"
 #include "controller/peer_view.h"
-#include "world.h"
+#include "fixture.h"
 
 static const fc_term k_term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
 
@@ -31,11 +31,11 @@
 
 static side *side_new(const char *name, const char *other, uint64_t boot) {
   side *s = g_new0(side, 1);
-  s->settings = world_settings();
+  s->settings = fixture_settings();
   s->settings.name = (char *)name;
   s->settings.peer_count = 1;
   s->settings.peers[0].name = (char *)other;
-  s->cluster = world_table(&s->settings);
+  s->cluster = fixture_cluster(&s->settings);
   s->metrics = fc_metrics_new();
   s->wakeups = fc_wakeups_new();
   s->leadership = fc_leadership_new(s->cluster);
@@ -71,8 +71,8 @@
     char id[32], job[32];
     g_snprintf(id, sizeof id, "vm-%06u", i);
     g_snprintf(job, sizeof job, "job-%06u", i);
-    fc_machine *machine = world_machine(a->cluster, id, i % 2 ? "a" : "b", false);
-    fc_machine *n = world_machine(b->cluster, id, i % 2 ? "a" : "b", false);
+    fc_machine *machine = fixture_machine(a->cluster, id, i % 2 ? "a" : "b", false);
+    fc_machine *n = fixture_machine(b->cluster, id, i % 2 ? "a" : "b", false);
     n->reconciled_term = 0;
     for (unsigned k = 0; k < tasks; k++)
       fc_cluster_add_placement(a->cluster, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
@@ -338,7 +338,7 @@
       {"a whole core, far behind", 1, 2, 5, 0.4, 0.4},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings settings = world_settings();
+    fc_settings settings = fixture_settings();
     settings.cpu = rows[i].cpu;
     settings.peer_count = rows[i].peers;
     double spacing = fc_peer_view_spacing_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
@@ -356,7 +356,7 @@
   } rows[] = {
       {"a whole core", 1, 1000}, {"a twelfth of one", 0.08, 400}, {"a fortieth", 0.024, 120}, {"less", 0.005, 100}};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    fc_settings settings = world_settings();
+    fc_settings settings = fixture_settings();
     settings.cpu = rows[i].cpu;
     check_row(rows[i].name, fc_kv_watch_page_rows(&settings) == rows[i].rows);
   }
--- a/tests/test_worker_commands.c
+++ b/tests/test_worker_commands.c
@@ -7,8 +7,8 @@
   (void)state;
   worker_bench *bench = worker_bench_new();
   fc_cluster *cluster = bench->cluster;
-  fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
-  world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+  fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   GString *out = g_string_new(NULL);
   send_heartbeat(bench, 1, 1, 5, "", out);
@@ -53,10 +53,10 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
     fc_cluster *cluster = bench->cluster;
-    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_job *job = NULL;
     if (rows[i].cancelled != BY_PEER_UNKNOWN)
-      job = world_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
+      job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
     fc_placement *placement =
         rows[i].owner ? fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, fc_now()) : NULL;
     if (placement && rows[i].running) placement->start.sent = placement->status.reported = true;
@@ -94,8 +94,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
     fc_cluster *cluster = bench->cluster;
-    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
-    fc_job *job = world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
     /* It is being recorded already: the answer to the heartbeat must not wait for that. */
     fc_task_completion_record(bench->completion, "job-000001");
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -28,8 +28,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
     fc_cluster *cluster = bench->cluster;
-    fc_machine *machine = world_machine(cluster, "vm-1", "a", false);
-    world_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
+    fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0)->start.sent = true;
     double now = fc_now();
     fc_peers_at(bench->peers, 0)->acknowledged.renewals_known_until = now + 100;
--- a/tests/worker_bench.h
+++ b/tests/worker_bench.h
@@ -7,8 +7,8 @@
 #include "controller/heartbeats.h"
 #include "controller/machine_probes.h"
 #include "controller/worker_leases.h"
+#include "fixture.h"
 #include "transport/routine.h"
-#include "world.h"
 
 typedef struct worker_bench {
   fc_settings settings;
@@ -45,10 +45,10 @@
 /* A controller with authority, in term 5, as paddock-0 beside paddock-1. */
 static inline worker_bench *worker_bench_new(void) {
   worker_bench *bench = g_new0(worker_bench, 1);
-  bench->settings = world_settings();
+  bench->settings = fixture_settings();
   bench->settings.peer_count = 1;
   bench->settings.peers[0].name = "paddock-1";
-  bench->cluster = world_table(&bench->settings);
+  bench->cluster = fixture_cluster(&bench->settings);
   bench->metrics = fc_metrics_new();
   bench->wakeups = fc_wakeups_new();
   bench->leadership = fc_leadership_new(bench->cluster);
