--- /dev/null
+++ b/tests/test_peer_view.c
@@ -0,0 +1,359 @@
+/* Views between controllers: whole, as changes, in parts, and how often. */
+#include "fixture.h"
+
+#include "bookkeeping/cluster_machines.h"
+#include "bookkeeping/shard_ownership.h"
+#include "controller/peer_view.h"
+
+static const fc_term k_term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
+
+typedef struct view_controller {
+  fc_settings settings;
+  fc_cluster *cluster;
+  fc_metrics *metrics;
+  fc_wakeups *wakeups;
+  fc_leadership *leadership;
+  fc_peers *peers;
+  fc_cancellations *cancellations;
+  fc_group_commit *commit;
+  fc_peer_views *views;
+} view_controller;
+
+static const fc_group_commit_limits k_limits = {.txn_ops = 8,
+                                                .value_bytes = 8192,
+                                                .writes_per_s = 10,
+                                                .min_writes_per_s = 10,
+                                                .requests_per_s = 10,
+                                                .response_timeout_s = 1};
+
+/* One of two controllers in term 5; its only peer is the other. */
+static view_controller *controller_new(const char *name, const char *other, uint64_t incarnation) {
+  view_controller *controller = g_new0(view_controller, 1);
+  controller->settings = fixture_settings();
+  controller->settings.name = (char *)name;
+  controller->settings.peer_count = 1;
+  controller->settings.peers[0].name = (char *)other;
+  controller->cluster = fixture_cluster(&controller->settings);
+  controller->metrics = fc_metrics_new();
+  controller->wakeups = fc_wakeups_new();
+  controller->leadership = fc_leadership_new(controller->cluster);
+  controller->peers = fc_peers_new(controller->cluster, controller->leadership);
+  controller->cancellations = fc_cancellations_new(controller->cluster, controller->wakeups);
+  controller->commit = fc_group_commit_new(NULL, &k_limits);
+  controller->views =
+      fc_peer_views_new(controller->cluster, controller->leadership, controller->peers, controller->cancellations,
+                        controller->commit, controller->wakeups, controller->metrics);
+  fc_cluster_apply_term(controller->cluster, &k_term, 9, false, 0);
+  fc_leadership_set_incarnation(controller->leadership, incarnation);
+  return controller;
+}
+
+static void controller_free(view_controller *controller) {
+  fc_peer_views_free(controller->views);
+  g_free(controller->commit);
+  fc_cancellations_free(controller->cancellations);
+  fc_peers_free(controller->peers);
+  fc_leadership_free(controller->leadership);
+  fc_wakeups_free(controller->wakeups);
+  fc_metrics_free(controller->metrics);
+  fc_cluster_free(controller->cluster);
+  g_free(controller);
+}
+
+static fc_peer *only_peer(view_controller *controller) {
+  return fc_peers_at(controller->peers, 0);
+}
+
+/* The same machines at both controllers, all owned by the sender, which alone knows the `tasks` on each. */
+static void fill(view_controller *sender, view_controller *receiver, unsigned machines, unsigned tasks) {
+  for (unsigned i = 0; i < machines; i++) {
+    char id[32], job[32];
+    g_snprintf(id, sizeof id, "vm-%06u", i);
+    g_snprintf(job, sizeof job, "job-%06u", i);
+    fc_machine *machine = fixture_machine(sender->cluster, id, i % 2 ? "a" : "b", false);
+    fc_machine *copy = fixture_machine(receiver->cluster, id, i % 2 ? "a" : "b", false);
+    copy->reconciled_term = 0;
+    for (unsigned k = 0; k < tasks; k++)
+      fc_cluster_add_placement(sender->cluster, machine, job, k, fc_attempt(5, i * tasks + k), 1)->status.state =
+          FC_TASK_RUNNING;
+  }
+}
+
+/* The controller learns of a cancellation that is new to it. */
+static void learn(view_controller *controller, const char *job, uint64_t revision) {
+  size_t before, after;
+  fc_frame_cancellation *list;
+  assert_true(fc_cancellations_since(controller->cancellations, 0, &list, &before));
+  g_free(list);
+  fc_cancellations_learned(controller->cancellations, job, revision, 0);
+  assert_true(fc_cancellations_since(controller->cancellations, 0, &list, &after));
+  g_free(list);
+  assert_int_equal(after, before + 1);
+}
+
+static GPtrArray *frames_of(view_controller *from, uint64_t sequence) {
+  GByteArray *out = g_byte_array_new();
+  fc_peer_views_encode(from->views, only_peer(from), sequence, out);
+  GPtrArray *frames = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
+  for (guint at = 0; at < out->len;) {
+    fc_frame_type type;
+    uint32_t len;
+    assert_true(fc_frame_head(out->data + at, &type, &len));
+    g_ptr_array_add(frames, g_bytes_new(out->data + at + FC_FRAME_HEAD, len));
+    at += FC_FRAME_HEAD + len;
+  }
+  g_byte_array_free(out, TRUE);
+  return frames;
+}
+
+static fc_view_result deliver(view_controller *to, const GPtrArray *frames, guint part) {
+  gsize len;
+  const uint8_t *bytes = g_bytes_get_data(frames->pdata[part], &len);
+  fc_view view;
+  assert_true(fc_view_decode(bytes, len, &view));
+  fc_view_result result = fc_peer_views_apply(to->views, &view);
+  fc_view_clear(&view);
+  return result;
+}
+
+/* The receiver acknowledged the view, having read the key-value store up to the revision. */
+static void acknowledge(view_controller *from, uint64_t sequence, uint64_t revision) {
+  only_peer(from)->acknowledged.sequence = sequence;
+  only_peer(from)->acknowledged.view = from->cluster->view_number;
+  only_peer(from)->acknowledged.revision = revision;
+}
+
+static unsigned placements_of(const view_controller *controller) {
+  unsigned count = 0;
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, controller->cluster->machines);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) count += ((fc_machine *)value)->placements->len;
+  return count;
+}
+
+/* The fleet of one controller, up to three times a deployment's: every machine arrives, in
+ * parts of bounded size, and the next view holds only what changed. */
+static void whole_fleet_is_replicated(void **state) {
+  (void)state;
+  static const unsigned sizes[] = {0, 1, 2150, 4300};
+  for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
+    view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
+    view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
+    fill(sender, receiver, sizes[i], 4);
+    GPtrArray *whole = frames_of(sender, 1);
+    size_t bytes = 0;
+    for (guint k = 0; k < whole->len; k++) {
+      bytes += g_bytes_get_size(whole->pdata[k]);
+      assert_true(g_bytes_get_size(whole->pdata[k]) < 2 * FC_PIECE_BYTES);
+      assert_int_equal(deliver(receiver, whole, k), FC_VIEW_APPLIED);
+    }
+    assert_true(whole->len >= bytes / (2 * FC_PIECE_BYTES));
+    assert_int_equal(placements_of(receiver), sizes[i] * 4);
+    assert_int_equal(only_peer(receiver)->received.sequence, 1);
+    g_ptr_array_free(whole, TRUE);
+    acknowledge(sender, 1, 100);
+    uint64_t sent = sender->metrics->counters.machines_sent;
+    assert_int_equal(sent, sizes[i]);
+    fc_machine *machine = fc_cluster_find_machine(sender->cluster, "vm-000000");
+    if (machine) ((fc_placement *)machine->placements->pdata[0])->status.state = FC_TASK_SAVING;
+    GPtrArray *changes = frames_of(sender, 2);
+    assert_int_equal(changes->len, 1);
+    assert_int_equal(sender->metrics->counters.machines_sent - sent, machine ? 1 : 0);
+    assert_int_equal(deliver(receiver, changes, 0), FC_VIEW_APPLIED);
+    if (machine) {
+      const fc_machine *copy = fc_cluster_find_machine(receiver->cluster, "vm-000000");
+      assert_int_equal(((fc_placement *)copy->placements->pdata[0])->status.state, FC_TASK_SAVING);
+    }
+    g_ptr_array_free(changes, TRUE);
+    controller_free(sender);
+    controller_free(receiver);
+  }
+}
+
+/* The three parts of view 2 after view 1 has been applied. */
+static void parts_lost_repeated_or_reordered(void **state) {
+  (void)state;
+  static const struct {
+    const char *name, *order;
+    fc_view_result last;
+    bool applied; /* view 2 as a whole */
+  } rows[] = {
+      {"in order", "012", FC_VIEW_APPLIED, true},
+      {"one is lost", "02", FC_VIEW_BROKEN, false},
+      {"the first is lost", "12", FC_VIEW_BROKEN, false},
+      {"one is repeated", "0112", FC_VIEW_BROKEN, false},
+      {"the first is repeated", "00", FC_VIEW_BROKEN, false},
+      {"two are reordered", "021", FC_VIEW_BROKEN, false},
+      {"the last is lost", "01", FC_VIEW_APPLIED, false},
+      {"all, then the first again", "0120", FC_VIEW_BROKEN, true},
+      {"a part of the view before", "x", FC_VIEW_BROKEN, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
+    view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
+    fill(sender, receiver, 1500, 4);
+    GPtrArray *first = frames_of(sender, 1), *second = frames_of(sender, 2);
+    assert_int_equal(second->len, 3);
+    for (guint k = 0; k < 3; k++) assert_int_equal(deliver(receiver, first, k), FC_VIEW_APPLIED);
+    fc_view_result result = FC_VIEW_IGNORED;
+    bool closed = false;
+    for (const char *part = rows[i].order; *part && !closed; part++) {
+      result = *part == 'x' ? deliver(receiver, first, 0) : deliver(receiver, second, (guint)(*part - '0'));
+      closed = result == FC_VIEW_BROKEN;
+    }
+    check_row(rows[i].name, result == rows[i].last);
+    check_row(rows[i].name, (only_peer(receiver)->received.sequence == 2) == rows[i].applied);
+    g_ptr_array_free(first, TRUE);
+    g_ptr_array_free(second, TRUE);
+    controller_free(sender);
+    controller_free(receiver);
+  }
+}
+
+/* Changes apply only to the view that they were computed against. */
+static void changes_apply_to_their_base_only(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    bool other_incarnation, other_term, base_lost, owner_unknown;
+    fc_view_result result;
+  } rows[] = {
+      {"on its base", false, false, false, false, FC_VIEW_APPLIED},
+      {"the sender has a new incarnation", true, false, false, false, FC_VIEW_IGNORED},
+      {"of an earlier term", false, true, false, false, FC_VIEW_IGNORED},
+      {"the receiver lacks the base", false, false, true, false, FC_VIEW_IGNORED},
+      {"the receiver did not know the machine's owner", false, false, false, true, FC_VIEW_APPLIED},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
+    view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
+    fill(sender, receiver, 10, 1);
+    GPtrArray *first = frames_of(sender, 1);
+    fc_machine *known = fc_cluster_find_machine(receiver->cluster, "vm-000003");
+    if (rows[i].owner_unknown) known->owner = 1;
+    if (!rows[i].base_lost) assert_int_equal(deliver(receiver, first, 0), FC_VIEW_APPLIED);
+    fc_machine *machine = fc_cluster_find_machine(sender->cluster, "vm-000003");
+    machine->record_version = 50;
+    acknowledge(sender, 1, rows[i].owner_unknown ? 49 : 50);
+    if (!rows[i].owner_unknown) fc_placement_remove(machine->placements->pdata[0]);
+    known->owner = 0;
+    GPtrArray *second = frames_of(sender, 2);
+    fc_term next = k_term;
+    if (rows[i].other_incarnation) next.members[0].incarnation = 7;
+    if (rows[i].other_term) next.number++;
+    if (rows[i].other_incarnation || rows[i].other_term) fc_cluster_apply_term(receiver->cluster, &next, 10, true, 2);
+    check_row(rows[i].name, deliver(receiver, second, 0) == rows[i].result);
+    if (rows[i].result == FC_VIEW_APPLIED) {
+      check_row(rows[i].name, known->placements->len == (rows[i].owner_unknown ? 1 : 0));
+      check_row(rows[i].name, placements_of(receiver) == (rows[i].owner_unknown ? 10 : 9));
+    }
+    g_ptr_array_free(first, TRUE);
+    g_ptr_array_free(second, TRUE);
+    controller_free(sender);
+    controller_free(receiver);
+  }
+}
+
+/* A machine with more tasks than a heartbeat may list is sent as not reconciled and without tasks;
+ * the rest of the view is sent all the same. */
+static void tasks_of_a_machine_at_the_bound(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    unsigned tasks;
+    bool sent;
+  } rows[] = {
+      {"one under", FC_FRAME_TASKS_MAX - 1, true},
+      {"at the bound", FC_FRAME_TASKS_MAX, true},
+      {"one over", FC_FRAME_TASKS_MAX + 1, false},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
+    view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
+    fill(sender, receiver, 2, 1);
+    fc_machine *machine = fc_cluster_find_machine(sender->cluster, "vm-000000");
+    for (unsigned k = 1; k < rows[i].tasks; k++)
+      fc_cluster_add_placement(sender->cluster, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
+          FC_TASK_RUNNING;
+    GPtrArray *frames = frames_of(sender, 1);
+    for (guint k = 0; k < frames->len; k++) check_row(rows[i].name, deliver(receiver, frames, k) == FC_VIEW_APPLIED);
+    check_row(rows[i].name, placements_of(receiver) == (rows[i].sent ? rows[i].tasks + 1 : 1));
+    check_row(rows[i].name,
+              (fc_cluster_find_machine(receiver->cluster, "vm-000000")->reconciled_term == 5) == rows[i].sent);
+    g_ptr_array_free(frames, TRUE);
+    controller_free(sender);
+    controller_free(receiver);
+  }
+}
+
+/* The first part of a view carries the cancellations that the peer has not read. */
+static void cancellations_not_read_by_the_peer(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    uint64_t read;
+    size_t sent;
+  } rows[] = {{"has read nothing", 0, 2}, {"has read the first", 20, 1}, {"has read both", 21, 0}};
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
+    view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
+    fill(sender, receiver, 2000, 3);
+    learn(sender, "job-000020", 20);
+    learn(sender, "job-000021", 21);
+    only_peer(sender)->revision = rows[i].read;
+    GPtrArray *frames = frames_of(sender, 1);
+    assert_true(frames->len > 1);
+    for (guint k = 0; k < frames->len; k++) {
+      gsize len;
+      const uint8_t *bytes = g_bytes_get_data(frames->pdata[k], &len);
+      fc_view view;
+      assert_true(fc_view_decode(bytes, len, &view));
+      check_row(rows[i].name, view.cancellation_count == (k == 0 ? rows[i].sent : 0));
+      if (view.cancellation_count)
+        check_row(rows[i].name, view.cancellations[view.cancellation_count - 1].revision == 21);
+      fc_view_clear(&view);
+    }
+    g_ptr_array_free(frames, TRUE);
+    controller_free(sender);
+    controller_free(receiver);
+  }
+}
+
+/* Views are sent between ten times and two and a half times in a heartbeat interval: less often with
+ * less processor, with more peers and with a longer lag. */
+static void spacing_follows_the_processor(void **state) {
+  (void)state;
+  static const struct {
+    const char *name;
+    double cpu;
+    size_t peers;
+    double lag_s;
+    double least, most; /* in heartbeat intervals */
+  } rows[] = {
+      {"a whole core", 1, 2, 0, 0.1, 0.1},
+      {"a twelfth of one", 0.08, 2, 0, 0.1, 0.1},
+      {"a fortieth", 0.024, 2, 0, 0.12, 0.2},
+      {"a fortieth, more peers", 0.024, 4, 0, 0.2, 0.4},
+      {"a hundredth", 0.01, 2, 0, 0.4, 0.4},
+      {"a whole core, a little behind", 1, 2, 0.01, 0.1, 0.1},
+      {"a whole core, behind", 1, 2, 0.1, 0.19, 0.21},
+      {"a whole core, far behind", 1, 2, 5, 0.4, 0.4},
+  };
+  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    fc_settings settings = fixture_settings();
+    settings.cpu = rows[i].cpu;
+    settings.peer_count = rows[i].peers;
+    double spacing = fc_peer_view_spacing_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
+    check_row(rows[i].name, spacing >= rows[i].least - 1e-9 && spacing <= rows[i].most + 1e-9);
+  }
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(whole_fleet_is_replicated),          cmocka_unit_test(parts_lost_repeated_or_reordered),
+      cmocka_unit_test(changes_apply_to_their_base_only),   cmocka_unit_test(tasks_of_a_machine_at_the_bound),
+      cmocka_unit_test(cancellations_not_read_by_the_peer), cmocka_unit_test(spacing_follows_the_processor),
+  };
+  return cmocka_run_group_tests(tests, NULL, NULL);
+}
