--- /dev/null
+++ b/tests/scene.h
@@ -0,0 +1,51 @@
+/* How scenes over whole controllers begin: the deployment, its machines, and jobs alike. */
+#ifndef FC_TESTS_SCENE_H
+#define FC_TESTS_SCENE_H
+
+#include "check.h"
+
+#include "sim/world.h"
+
+typedef struct scene_setup {
+  uint32_t seed;
+  unsigned capacity, spot_capacity; /* of a zone: machines that the cloud rents out */
+  bool keep_idle;                   /* idle machines are not returned */
+  bool images_cached;               /* no machine has to fetch an image */
+  unsigned machines[2];             /* by zone: ordinary ones that are there from the start */
+} scene_setup;
+
+/* All that has to be said before the controllers start; scenes may add to it. */
+static inline void scene_prepare(const scene_setup *setup) {
+  world_set_up(setup->seed, 0);
+  world_capacity(setup->capacity, setup->spot_capacity);
+  if (setup->keep_idle) world_keep_idle();
+  if (setup->images_cached) world_images_there();
+}
+
+static inline void scene_start(const scene_setup *setup) {
+  world_start_nodes();
+  world_machines_up(0, setup->machines[0]);
+  world_machines_up(1, setup->machines[1]);
+}
+
+static inline void scene_begin(const scene_setup *setup) {
+  scene_prepare(setup);
+  scene_start(setup);
+}
+
+/* Jobs that differ in their ids and the time of their submission alone. */
+typedef struct scene_jobs {
+  unsigned first, count; /* numbers of their ids */
+  const char *kind, *priority;
+  unsigned tasks;
+  double gpus, run_s;
+  double in_s, every_s; /* the first is submitted in so long, each after it so much later */
+} scene_jobs;
+
+static inline void scene_submit(const scene_jobs *jobs) {
+  for (unsigned k = 0; k < jobs->count; k++)
+    world_submit(world_id(jobs->first + k), jobs->kind, jobs->priority, jobs->tasks, jobs->gpus, jobs->run_s,
+                 jobs->in_s + k * jobs->every_s);
+}
+
+#endif
--- a/tests/small.h
+++ b/tests/small.h
@@ -5,7 +5,7 @@
 
 #include "check.h"
 
-#include "sim/world.h"
+#include "scene.h"
 
 #define SHARE 0.024        /* of a core */
 #define TIMERS_LATE_S 0.05 /* half a period of the limit on processor time */
@@ -15,11 +15,15 @@
 
 /* Half the machines are filled with services of six tasks; nothing of them ends. */
 static inline unsigned services(unsigned first, unsigned count, double every_s) {
-  for (unsigned k = 0; k < count; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", first + k);
-    world_submit(id, "service", "prod", JOB_TASKS, 1, 1e6, RECORDED_S + k * every_s);
-  }
+  scene_submit(&(scene_jobs){.first = first,
+                             .count = count,
+                             .kind = "service",
+                             .priority = "prod",
+                             .tasks = JOB_TASKS,
+                             .gpus = 1,
+                             .run_s = 1e6,
+                             .in_s = RECORDED_S,
+                             .every_s = every_s});
   return count * JOB_TASKS;
 }
 
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -4,8 +4,8 @@
 
 #include <stdlib.h>
 
+#include "scene.h"
 #include "sim/requests.h"
-#include "sim/world.h"
 
 #define JOB(id, team, gpus)                                                  \
   "{\"id\":\"" id "\",\"squad\":\"c\",\"club\":\"" team                      \
@@ -99,17 +99,13 @@
     sim_run_until(sim_now() + 10);
     world_late_writes(rows[i].share);
     double from = sim_now();
-    for (unsigned k = 0; k < 20; k++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", k);
-      world_submit(id, "sweep", "standard", 1, 1, 5, k * 0.4);
-    }
+    scene_submit(&(scene_jobs){
+        .count = 20, .kind = "sweep", .priority = "standard", .tasks = 1, .gpus = 1, .run_s = 5, .every_s = 0.4});
     sim_run_until(sim_now() + 90);
     world_result r = world_so_far();
     unsigned soon = 0;
     for (unsigned k = 0; k < 20; k++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", k);
+      const char *id = world_id(k);
       soon += world_accepted_at(id) < from + k * 0.4 + 0.5;
     }
     print_message("%s: %u of 20 at once\n", rows[i].name, soon);
@@ -124,13 +120,15 @@
 static void many_archived_jobs(void **state) {
   (void)state;
   enum { JOBS = 120, EVERY_S = 8, ROUNDS = 6 };
-  world_set_up(6, 0);
-  world_capacity(8, 0);
-  world_keep_idle();
-  world_images_there();
-  world_start_nodes();
-  world_machines_up(0, 8);
-  for (unsigned k = 0; k < JOBS; k++) world_submit(world_id(k), "sweep", "standard", 1, 0.25, 1, 5 + 0.1 * k);
+  scene_begin(&(scene_setup){.seed = 6, .capacity = 8, .keep_idle = true, .images_cached = true, .machines = {8}});
+  scene_submit(&(scene_jobs){.count = JOBS,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 1,
+                             .gpus = 0.25,
+                             .run_s = 1,
+                             .in_s = 5,
+                             .every_s = 0.1});
   sim_run_until(sim_now() + 120);
   world_result before = world_so_far();
   assert_int_equal(before.finished, JOBS);
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -4,20 +4,19 @@
 
 #include <math.h>
 
+#include "scene.h"
 #include "sim/requests.h"
-#include "sim/world.h"
 
 #define AT_ONCE_S 0.3
 #define BODY_BYTES ((size_t)63 * 1024) /* a body may have 64 KiB */
 
 static void a_fleet(uint32_t seed, unsigned machines) {
-  world_set_up(seed, 0);
-  world_capacity((machines + 1) / 2, 0); /* of a zone: none more */
-  world_keep_idle();
-  world_images_there();
-  world_start_nodes();
-  world_machines_up(0, machines / 2);
-  world_machines_up(1, machines - machines / 2);
+  /* The capacity holds these machines and no more. */
+  scene_begin(&(scene_setup){.seed = seed,
+                             .capacity = (machines + 1) / 2,
+                             .keep_idle = true,
+                             .images_cached = true,
+                             .machines = {machines / 2, machines - machines / 2}});
   sim_run_until(sim_now() + 8);
 }
 
@@ -213,16 +212,12 @@
  * it goes with it. What is given up half-way is cleared away. */
 static void more_than_a_value_holds(void **state) {
   (void)state;
-  world_set_up(4, 0);
-  world_capacity(3, 0);
-  world_keep_idle();
-  world_images_there();
+  const scene_setup setup = {.seed = 4, .capacity = 3, .keep_idle = true, .images_cached = true, .machines = {3, 3}};
+  scene_prepare(&setup);
   world_state_next(2, 4, 40);
   world_state_limits(2, 4, 40);
   world_keep_over(120);
-  world_start_nodes();
-  world_machines_up(0, 3);
-  world_machines_up(1, 3);
+  scene_start(&setup);
   sim_run_until(sim_now() + 8);
   /* All of them wait for one that takes its time. */
   world_submit(world_id(9), "sweep", "standard", 1, 1, 130, 0);
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -4,18 +4,13 @@
 
 #include <stdlib.h>
 
-#include "sim/world.h"
+#include "scene.h"
 
 /* Six machines in each zone and so many services of two tasks. */
 static void a_running_fleet(uint32_t seed, unsigned jobs) {
-  world_set_up(seed, 0);
-  world_capacity(0, 0);
-  world_keep_idle();
-  world_images_there();
-  world_start_nodes();
-  world_machines_up(0, 6);
-  world_machines_up(1, 6);
-  for (unsigned k = 0; k < jobs; k++) world_submit(world_id(k), "service", "prod", 2, 1, 1e6, 5);
+  scene_begin(&(scene_setup){.seed = seed, .keep_idle = true, .images_cached = true, .machines = {6, 6}});
+  scene_submit(&(scene_jobs){
+      .count = jobs, .kind = "service", .priority = "prod", .tasks = 2, .gpus = 1, .run_s = 1e6, .in_s = 5});
   sim_run_until(sim_now() + 30);
   assert_int_equal(world_running(), jobs * 2);
 }
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -4,8 +4,8 @@
 
 #include <stdlib.h>
 
+#include "scene.h"
 #include "sim/requests.h"
-#include "sim/world.h"
 
 /* The number of tasks that run, as told; -1: not told now. */
 static int told_running(unsigned node, const char *id) {
@@ -21,12 +21,7 @@
 
 /* Six machines, and on them a service, an array and a gang that have long to go. */
 static void set_scene(uint32_t seed) {
-  world_set_up(seed, 0);
-  world_capacity(12, 0);
-  world_keep_idle();
-  world_start_nodes();
-  world_machines_up(0, 3);
-  world_machines_up(1, 3);
+  scene_begin(&(scene_setup){.seed = seed, .capacity = 12, .keep_idle = true, .machines = {3, 3}});
   world_submit(k_ids[0], "service", "prod", 6, 1, 1e6, 5);
   world_submit(k_ids[1], "sweep", "standard", 6, 1, 1e6, 5);
   world_submit(k_ids[2], "gang", "high", 2, 3, 1e6, 5);
@@ -121,12 +116,7 @@
       {"as all come back", 8.5, WORLD_NODES, 4, 4},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(90 + (uint32_t)i, 0);
-    world_capacity(12, 0);
-    world_keep_idle();
-    world_start_nodes();
-    world_machines_up(0, 3);
-    world_machines_up(1, 3);
+    scene_begin(&(scene_setup){.seed = 90 + (uint32_t)i, .capacity = 12, .keep_idle = true, .machines = {3, 3}});
     world_submit(k_ids[0], "service", "prod", 4, 1, 1e6, 5);
     world_submit(k_ids[1], "sweep", "standard", 6, 1, 9, 5);
     world_submit(k_ids[2], "gang", "high", 2, 2, 9, 5);
@@ -228,8 +218,7 @@
 /* Of every kind, size and team; a quarter is cancelled soon. */
 static void submit_of_every_kind(void) {
   for (unsigned k = 0; k < LATE_JOBS; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", k);
+    const char *id = world_id(k);
     world_submit_job(&(world_job){.id = id,
                                   .kind = k % 3 ? "sweep" : "gang",
                                   .rank = k % 3 ? "standard" : "high",
@@ -246,8 +235,7 @@
 
 static void all_over(const char *name) {
   for (unsigned k = 0; k < LATE_JOBS; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", k);
+    const char *id = world_id(k);
     if (!world_told(id)) print_message("%s: %s is not over\n", name, id);
     check_row(name, world_told(id) && world_tasks_of(id) == 0);
   }
@@ -333,8 +321,7 @@
       world_lateness(45, 60);
       world_late_only(k_writes_about_gone[i].of);
       for (unsigned k = 0; k < 4; k++) {
-        char id[32];
-        g_snprintf(id, sizeof id, "job-%06u", k);
+        const char *id = world_id(k);
         world_submit_job(&(world_job){.id = id,
                                       .kind = k % 2 ? "sweep" : "gang",
                                       .team = "blue",
@@ -361,8 +348,7 @@
       print_message("%s: %u machines by then, %u in the end, %u starts\n", name, machines, world_machines(), r.starts);
       if (r.broken) fail_msg("%s: %s", name, r.first);
       for (unsigned k = 0; k < 4; k++) {
-        char id[32];
-        g_snprintf(id, sizeof id, "job-%06u", k);
+        const char *id = world_id(k);
         check_row(name, world_told(id) && strcmp(world_told(id), "done") == 0);
         check_row(name, world_tasks_of(id) == 0);
       }
@@ -393,20 +379,14 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     char name[80];
     g_snprintf(name, sizeof name, "%s, seed %zu", rows[i].name, 500 + i);
-    world_set_up((uint32_t)(500 + i), 0);
-    world_capacity(6, 0);
-    world_keep_idle();
-    world_start_nodes();
-    world_machines_up(0, 4);
-    world_machines_up(1, 4);
+    scene_begin(&(scene_setup){.seed = (uint32_t)(500 + i), .capacity = 6, .keep_idle = true, .machines = {4, 4}});
     sim_run_until(sim_now() + 6);
     double at = sim_now();
     world_lateness(2, rows[i].most_s);
     world_late_only(rows[i].of);
     world_late_writes(rows[i].share);
     for (unsigned k = 0; k < 60; k++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", k * 37 % 1000);
+      const char *id = world_id(k * 37 % 1000);
       world_submit_job(&(world_job){.id = id,
                                     .kind = "sweep",
                                     .team = "blue",
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#include "sim/world.h"
+#include "scene.h"
 
 enum { MACHINES = 12, SERVICES = 4, ARRAYS = 3, GANG = 40, NEW_WORK = 500 };
 enum { LONG_TASKS = SERVICES * 2 + ARRAYS * 3 + 2 };
@@ -28,14 +28,25 @@
 /* Twelve machines, and on them long work of every kind: replicas, tasks of arrays and a
  * gang; about half the room is left. */
 static void long_work(uint32_t seed) {
-  world_set_up(luck(seed), 0);
-  world_capacity(MACHINES / 2, 0);
-  world_keep_idle();
-  world_start_nodes();
-  world_machines_up(0, MACHINES / 2);
-  world_machines_up(1, MACHINES / 2);
-  for (unsigned k = 0; k < SERVICES; k++) world_submit(world_id(k), "service", "prod", 2, 1, 1e6, 5 + k * 0.1);
-  for (unsigned k = 0; k < ARRAYS; k++) world_submit(world_id(20 + k), "sweep", "standard", 3, 1, 1e6, 5 + k * 0.1);
+  scene_begin(&(scene_setup){
+      .seed = luck(seed), .capacity = MACHINES / 2, .keep_idle = true, .machines = {MACHINES / 2, MACHINES / 2}});
+  scene_submit(&(scene_jobs){.count = SERVICES,
+                             .kind = "service",
+                             .priority = "prod",
+                             .tasks = 2,
+                             .gpus = 1,
+                             .run_s = 1e6,
+                             .in_s = 5,
+                             .every_s = 0.1});
+  scene_submit(&(scene_jobs){.first = 20,
+                             .count = ARRAYS,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 3,
+                             .gpus = 1,
+                             .run_s = 1e6,
+                             .in_s = 5,
+                             .every_s = 0.1});
   world_submit(world_id(GANG), "gang", "high", 2, 4, 1e6, 5);
   sim_run_until(sim_now() + 20);
   g_long_starts = 0;
@@ -260,12 +271,10 @@
   static const unsigned tasks[] = {2, 3, 2, 3, 2, 5};
   unsigned handed = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(k_ends_far_apart); i++) {
-    world_set_up(luck(k_ends_far_apart[i].seed), 0);
-    world_capacity(k_ends_far_apart[i].room, 0);
-    world_keep_idle();
-    world_start_nodes();
-    world_machines_up(0, k_ends_far_apart[i].room);
-    world_machines_up(1, k_ends_far_apart[i].room);
+    scene_begin(&(scene_setup){.seed = luck(k_ends_far_apart[i].seed),
+                               .capacity = k_ends_far_apart[i].room,
+                               .keep_idle = true,
+                               .machines = {k_ends_far_apart[i].room, k_ends_far_apart[i].room}});
     /* Whole machines: a part holds six, or three, so that some are handed over. */
     for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++) {
       world_job j = {.id = world_id(k), .kind = "sweep", .tasks = tasks[k], .gpus = 4, .run_s = 8, .in_s = 6};
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -3,7 +3,7 @@
  * transport; the stand-in breaks a rule when it is sent something too large. */
 #include "check.h"
 
-#include "sim/world.h"
+#include "scene.h"
 
 #define LATER_VALUE_KB 2
 #define LATER_TXN_OPS 4
@@ -29,7 +29,14 @@
 
 /* Ten small arrays a second, and a wide one. */
 static void submit_jobs(void) {
-  for (unsigned k = 0; k < JOBS; k++) world_submit(world_id(k), "sweep", "standard", 2, 0.25, 5, 20 + 0.1 * k);
+  scene_submit(&(scene_jobs){.count = JOBS,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 2,
+                             .gpus = 0.25,
+                             .run_s = 5,
+                             .in_s = 20,
+                             .every_s = 0.1});
   world_submit(world_id(JOBS), "sweep", "standard", 150, 0.25, 5, 10);
 }
 
@@ -37,14 +44,11 @@
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_rows); i++) {
     const limits_row *row = &k_rows[i];
-    world_set_up(40 + (uint32_t)i, 0);
-    world_capacity(12, 0);
-    world_keep_idle();
-    world_images_there();
+    const scene_setup setup = {
+        .seed = 40 + (uint32_t)i, .capacity = 12, .keep_idle = true, .images_cached = true, .machines = {6, 6}};
+    scene_prepare(&setup);
     world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
-    world_start_nodes();
-    world_machines_up(0, 6);
-    world_machines_up(1, 6);
+    scene_start(&setup);
     submit_jobs();
     sim_run_until(sim_now() + row->lowered_s);
     world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
@@ -69,15 +73,12 @@
 static void ends_leave_room_for_submissions(void **state) {
   (void)state;
   enum { ARRAYS = 45, SUBMITTED = 60 };
-  world_set_up(60, 0);
-  world_capacity(40, 0);
-  world_keep_idle();
-  world_images_there();
+  const scene_setup setup = {
+      .seed = 60, .capacity = 40, .keep_idle = true, .images_cached = true, .machines = {40, 40}};
+  scene_prepare(&setup);
   world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, 15);
   world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, 15);
-  world_start_nodes();
-  world_machines_up(0, 40);
-  world_machines_up(1, 40);
+  scene_start(&setup);
   for (unsigned k = 0; k < ARRAYS; k++)
     world_submit_job(&(world_job){.id = world_id(k),
                                   .kind = "sweep",
@@ -87,8 +88,15 @@
                                   .later_s = 2.5,
                                   .in_s = 8 + 0.5 * k});
   double from = sim_now() + 75;
-  for (unsigned k = 0; k < SUBMITTED; k++)
-    world_submit(world_id(100 + k), "sweep", "standard", 1, 0.25, 3, 75 + 0.5 * k);
+  scene_submit(&(scene_jobs){.first = 100,
+                             .count = SUBMITTED,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 1,
+                             .gpus = 0.25,
+                             .run_s = 3,
+                             .in_s = 75,
+                             .every_s = 0.5});
   sim_run_until(from + 120);
   unsigned at_once = 0;
   for (unsigned k = 0; k < SUBMITTED; k++) {
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -2,7 +2,7 @@
  * links fail: zones, limits of teams, more work than room. */
 #include "check.h"
 
-#include "sim/world.h"
+#include "scene.h"
 
 /* Until so many jobs are done, for `most_s` at most. */
 static void run_until_done(unsigned jobs, double most_s) {
@@ -80,11 +80,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows) * 2; i++) {
     const unsigned row = (unsigned)i / 2;
-    world_set_up(200 + (uint32_t)i, 0);
-    world_capacity(9, 0);
-    world_start_nodes();
-    world_machines_up(0, 7);
-    world_machines_up(1, 7);
+    scene_begin(&(scene_setup){.seed = 200 + (uint32_t)i, .capacity = 9, .machines = {7, 7}});
     submit_bound(5);
     sim_run_until(sim_now() + (i % 2 ? 16 : 22));
     for (size_t k = 0; k < G_N_ELEMENTS(k_bound); k++) {
@@ -144,11 +140,8 @@
 
 /* One day of it; false: no array was handed over, or none had begun. */
 static bool play_moved_slices(const moved_row *row, uint32_t seed) {
-  world_set_up(seed, 0);
-  world_capacity(MOVED_MACHINES / 2, 0);
-  world_start_nodes();
-  world_machines_up(0, MOVED_MACHINES / 2);
-  world_machines_up(1, MOVED_MACHINES / 2);
+  scene_begin(&(scene_setup){
+      .seed = seed, .capacity = MOVED_MACHINES / 2, .machines = {MOVED_MACHINES / 2, MOVED_MACHINES / 2}});
   fill(MOVED_MACHINES, 5);
   sim_run_until(sim_now() + 25);
   const unsigned moved_before = moved_slices();
@@ -219,12 +212,8 @@
       {"all are", 30, 2, 1, false},          {"the state service is out when it comes back", 30, 1, 0, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(400 + 2 * (uint32_t)i, 0);
-    world_capacity(machines, 0);
-    world_keep_idle();
-    world_start_nodes();
-    world_machines_up(0, machines);
-    world_machines_up(1, machines);
+    scene_begin(&(scene_setup){
+        .seed = 400 + 2 * (uint32_t)i, .capacity = machines, .keep_idle = true, .machines = {machines, machines}});
     submit_bound(5);
     world_submit_job(&(world_job){.id = "job-000020",
                                   .kind = "service",
@@ -291,11 +280,7 @@
   unsigned late = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(rows) * 3; i++) {
     const unsigned row = (unsigned)i / 3, services = 4;
-    world_set_up(500 + (uint32_t)i, 0);
-    world_capacity(8, 0);
-    world_start_nodes();
-    world_machines_up(0, 6);
-    world_machines_up(1, 6);
+    scene_begin(&(scene_setup){.seed = 500 + (uint32_t)i, .capacity = 8, .machines = {6, 6}});
     for (unsigned k = 0; k < services; k++)
       world_submit_job(&(world_job){.id = world_id(k),
                                     .kind = "service",
@@ -400,11 +385,7 @@
 static void more_work_than_room(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_more_work); i++) {
-    world_set_up(600 + (uint32_t)i, 0);
-    world_capacity(6, 0);
-    world_start_nodes();
-    world_machines_up(0, 5);
-    world_machines_up(1, 5);
+    scene_begin(&(scene_setup){.seed = 600 + (uint32_t)i, .capacity = 6, .machines = {5, 5}});
     sim_run_until(sim_now() + 5);
     world_slow_links(70, k_more_work[i].slow_s);
     sent_at sent;
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -4,8 +4,8 @@
 
 #include <stdlib.h>
 
+#include "scene.h"
 #include "sim/requests.h"
-#include "sim/world.h"
 
 #define LOOK_UP_S 0.3 /* archived jobs are looked up at a bounded rate */
 #define SOON_S 0.01   /* while a later answer is as good */
@@ -22,12 +22,7 @@
 } end_row;
 
 static void set_scene(const end_row *row) {
-  world_set_up(11, 0);
-  world_capacity(8, 0);
-  world_keep_idle();
-  world_start_nodes();
-  world_machines_up(0, 2);
-  world_machines_up(1, 1);
+  scene_begin(&(scene_setup){.seed = 11, .capacity = 8, .keep_idle = true, .machines = {2, 1}});
   world_submit(JOB_ID, row->kind, "standard", row->tasks, 1, 6, 5);
   sim_run_until(sim_now() + 6);
   if (row->slow_s > 0) world_state_slow(1e6, row->slow_s);
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -4,25 +4,21 @@
 
 #include <stdlib.h>
 
-#include "sim/world.h"
+#include "scene.h"
 
 /* Small work of every rank that a gang has no claim on fills and fragments the
  * fleet, and goes on arriving. */
 static void stream(unsigned count, double every_s) {
   for (unsigned i = 0; i < count; i++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", 1000 + i);
+    const char *id = world_id(1000 + i);
     world_submit(id, "sweep", "standard", 1 + i % 4, 1, 12 + i % 17, i * every_s);
   }
 }
 
 /* So many alike, five seconds from now. */
 static void alike(unsigned count, const char *kind, const char *rank, double run_s) {
-  for (unsigned k = 0; k < count; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", k);
-    world_submit(id, kind, rank, 2, 1, run_s, 5);
-  }
+  scene_submit(
+      &(scene_jobs){.count = count, .kind = kind, .priority = rank, .tasks = 2, .gpus = 1, .run_s = run_s, .in_s = 5});
 }
 
 /* Half as many machines again as the largest deployment, and one controller left of
@@ -36,11 +32,14 @@
   world_start_nodes();
   world_machines_up(0, machines / 2);
   world_machines_up(1, machines / 2);
-  for (unsigned k = 0; k < services; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", k);
-    world_submit(id, "service", "prod", 6, 1, 1e6, 5 + k * 0.02);
-  }
+  scene_submit(&(scene_jobs){.count = services,
+                             .kind = "service",
+                             .priority = "prod",
+                             .tasks = 6,
+                             .gpus = 1,
+                             .run_s = 1e6,
+                             .in_s = 5,
+                             .every_s = 0.02});
   world_submit("job-000500", "sweep", "standard", 150, 1, 1e6, 10);
   sim_run_until(sim_now() + 40);
   assert_int_equal(world_so_far().starts, services * 6 + 150);
@@ -63,8 +62,7 @@
   sim_run_until(asked + 60);
   assert_int_equal(world_ask(0, "/api/jobs/job-000000"), 200);
   for (unsigned k = 600; k <= 602; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", k);
+    const char *id = world_id(k);
     check_row(id, world_began(id) > 0);
   }
   after = world_counts(0);
@@ -99,11 +97,7 @@
       {"two gangs, and cheap machines are taken", false, true, 2},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(20 + (uint32_t)i, 0);
-    world_capacity(8, 2);
-    world_start_nodes();
-    world_machines_up(0, 6);
-    world_machines_up(1, 6);
+    scene_begin(&(scene_setup){.seed = 20 + (uint32_t)i, .capacity = 8, .spot_capacity = 2, .machines = {6, 6}});
     stream(300, 1);
     double from = sim_now() + 60;
     world_submit("job-000001", "gang", "high", 7, 4, 20, 60);
@@ -119,8 +113,7 @@
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     for (unsigned g = 1; g <= rows[i].gangs; g++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", g);
+      const char *id = world_id(g);
       print_message("%s: gang %u began after %.1f s\n", rows[i].name, g, world_began(id) - from);
       check_row(rows[i].name, world_began(id) > 0);
     }
@@ -173,10 +166,7 @@
       {"all but one", 0, 5, 0, 20, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(60 + (uint32_t)i, 0);
-    world_capacity(0, 0);
-    world_start_nodes();
-    world_machines_up(0, 6);
+    scene_begin(&(scene_setup){.seed = 60 + (uint32_t)i, .machines = {6}});
     alike(11, "sweep", "standard", 300);
     sim_run_until(sim_now() + 30);
     for (unsigned n = 0; n < rows[i].nodes_down; n++) world_crash(n, 1e6);
@@ -207,17 +197,16 @@
       {"all in turn, three machines", 3, 3, 30},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(40 + (uint32_t)i, 0);
-    world_capacity(12, 0);
-    world_start_nodes();
-    world_machines_up(0, 10);
-    world_machines_up(1, 10);
+    scene_begin(&(scene_setup){.seed = 40 + (uint32_t)i, .capacity = 12, .machines = {10, 10}});
     /* Six whole machines stay free; these wait for nothing but their turn. */
-    for (unsigned k = 0; k < 14; k++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", k);
-      world_submit(id, "sweep", "high", 12, 1, 12, 5 + k * 0.1);
-    }
+    scene_submit(&(scene_jobs){.count = 14,
+                               .kind = "sweep",
+                               .priority = "high",
+                               .tasks = 12,
+                               .gpus = 1,
+                               .run_s = 12,
+                               .in_s = 5,
+                               .every_s = 0.1});
     sim_run_until(sim_now() + 20);
     world_kill(0, rows[i].dead);
     for (unsigned n = 0; n < rows[i].crashes; n++) {
@@ -247,18 +236,17 @@
       {"and a controller outside is replaced", 12, 6, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(60 + (uint32_t)i, 0);
-    world_capacity(12, 0);
-    world_keep_idle();
-    world_start_nodes();
-    world_machines_up(0, rows[i].in_a);
-    world_machines_up(1, rows[i].in_b);
+    scene_begin(&(scene_setup){
+        .seed = 60 + (uint32_t)i, .capacity = 12, .keep_idle = true, .machines = {rows[i].in_a, rows[i].in_b}});
     unsigned all = rows[i].in_a + rows[i].in_b;
-    for (unsigned k = 0; k < 6; k++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", k);
-      world_submit(id, "service", "prod", 4, 1, 1e6, 5 + k * 0.1);
-    }
+    scene_submit(&(scene_jobs){.count = 6,
+                               .kind = "service",
+                               .priority = "prod",
+                               .tasks = 4,
+                               .gpus = 1,
+                               .run_s = 1e6,
+                               .in_s = 5,
+                               .every_s = 0.1});
     sim_run_until(sim_now() + 20);
     world_cut_zone(1, 40);
     sim_run_until(sim_now() + 10);
@@ -286,16 +274,15 @@
       {"than a cancellation may take", 40, false}, {"all at once", 10, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    world_set_up(80 + (uint32_t)i, 0);
-    world_capacity(8, 0);
-    world_start_nodes();
-    world_machines_up(0, 6);
-    world_machines_up(1, 6);
-    for (unsigned k = 0; k < 6; k++) {
-      char id[32];
-      g_snprintf(id, sizeof id, "job-%06u", k);
-      world_submit(id, "service", "prod", 4, 1, 1e6, 5 + k * 0.1);
-    }
+    scene_begin(&(scene_setup){.seed = 80 + (uint32_t)i, .capacity = 8, .machines = {6, 6}});
+    scene_submit(&(scene_jobs){.count = 6,
+                               .kind = "service",
+                               .priority = "prod",
+                               .tasks = 4,
+                               .gpus = 1,
+                               .run_s = 1e6,
+                               .in_s = 5,
+                               .every_s = 0.1});
     sim_run_until(sim_now() + 20);
     for (unsigned n = 0; n < (rows[i].all ? 3 : 1); n++) world_still(n, rows[i].for_s);
     stream(20, 0.5);
--- a/tests/test_small.c
+++ b/tests/test_small.c
@@ -5,11 +5,14 @@
 #define ALL_NODES 7u /* a bit a controller */
 
 static void sweeps(unsigned first, unsigned count, double every_s, double run_s) {
-  for (unsigned k = 0; k < count; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", first + k);
-    world_submit(id, "sweep", "standard", 1, 1, run_s, k * every_s);
-  }
+  scene_submit(&(scene_jobs){.first = first,
+                             .count = count,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 1,
+                             .gpus = 1,
+                             .run_s = run_s,
+                             .every_s = every_s});
 }
 
 /* So many jobs within a second: each submission is answered, each job is accepted and done,
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -3,21 +3,17 @@
  * records, and shown by their own, as that version reads and writes them (sim/state.c). */
 #include "check.h"
 
+#include "scene.h"
 #include "sim/requests.h"
-#include "sim/world.h"
 
 #define AT_ONCE_S 0.3
 
 static void a_mixed_fleet(uint32_t seed, const bool *is_new) {
-  world_set_up(seed, 0);
-  world_capacity(5, 0);
-  world_keep_idle();
-  world_images_there();
+  const scene_setup setup = {.seed = seed, .capacity = 5, .keep_idle = true, .images_cached = true, .machines = {5, 5}};
+  scene_prepare(&setup);
   world_state_next(2, 4, 15);
   world_former_version();
-  world_start_nodes();
-  world_machines_up(0, 5);
-  world_machines_up(1, 5);
+  scene_start(&setup);
   sim_run_until(sim_now() + 10);
   for (unsigned n = 0; n < WORLD_NODES; n++)
     if (is_new[n]) world_upgrade(n, 0.3);
