--- a/tests/small.h
+++ b/tests/small.h
@@ -13,7 +13,7 @@
 #define RECORDED_S 15.0 /* until all machines of a fleet that appears at once are on record */
 #define SETTLE_S 40.0
 
-/* Half the machines are filled with services of six tasks; nothing of them ends. */
+/* Services of six tasks that never end. */
 static inline unsigned services(unsigned first, unsigned count, double every_s) {
   scene_submit(&(scene_jobs){.first = first,
                              .count = count,
@@ -43,7 +43,7 @@
   if (r.broken) fail_msg("%s: %u broken, first %s", name, r.broken, r.first);
 }
 
-/* Where a scene stands: what has been counted so far. */
+/* The counters at a moment of a scene. */
 typedef struct mark {
   world_result r;
   double at, used_s;
@@ -55,7 +55,7 @@
   return (mark){world_so_far(), sim_now(), sim_load_of(WORLD_NODE_IP(0)).busy_s, world_terms()};
 }
 
-/* What has happened since; also the part of its share that the first controller used. */
+/* What has happened since, and the processor time of the first controller. */
 static inline void print_since(const char *name, const char *phase, const mark *m) {
   world_result r = world_so_far();
   print_message(
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -1,5 +1,5 @@
-/* What users, and a taker-over, get from whole controllers; over the simulated
- * transport, so that "at once" can be measured. */
+/* Replies of whole controllers to users, and failover of rentals and gangs; over the simulated
+ * transport, so that response times can be measured. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -16,7 +16,7 @@
 
 static const char k_job[] = JOB("job-000001", "red", "1");
 
-static void users_get(void **state) {
+static void replies_to_users(void **state) {
   (void)state;
   world_set_up(1, 0);
   world_start_nodes();
@@ -52,9 +52,9 @@
   }
 }
 
-/* Without the state service: final answers go on, everything that would be a
- * guess is refused, and nothing is held until the user gives up. */
-static void users_get_in_an_outage(void **state) {
+/* Without the key-value store final states are still reported, anything uncertain is refused, and no
+ * request waits until the user gives up. */
+static void replies_in_a_kv_store_outage(void **state) {
   (void)state;
   world_set_up(2, 0);
   world_start_nodes();
@@ -85,12 +85,12 @@
   }
 }
 
-/* Writes that get no answer, or a late one, hold up nobody else's. */
-static void submissions_pass_lost_writes(void **state) {
+/* Transactions without a response, or with a late one, do not block others. */
+static void submissions_beside_lost_transactions(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double share;  /* of the transactions without an answer */
+    double share;  /* of the transactions without a response */
     unsigned soon; /* of twenty accepted within half a second */
   } rows[] = {{"none is lost", 0, 20}, {"one in four", 0.25, 12}, {"one in two", 0.5, 6}};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -115,9 +115,9 @@
   }
 }
 
-/* The users of many jobs that are long over all go on asking, every eight seconds: in the
- * quiet nearly every question is answered at the first try. */
-static void many_archived_jobs(void **state) {
+/* The users of many archived jobs all poll, every eight seconds: nearly every query is answered at the
+ * first try. */
+static void polling_of_many_archived_jobs(void **state) {
   (void)state;
   enum { JOBS = 120, EVERY_S = 8, ROUNDS = 6 };
   scene_begin(&(scene_setup){.seed = 6, .capacity = 8, .keep_idle = true, .images_cached = true, .machines = {8}});
@@ -142,9 +142,9 @@
   if (r.broken) fail_msg("%s", r.first);
 }
 
-/* A job that is long over leaves every controller's memory and is answered all the
- * same, for good: also after all of them have started anew. */
-static void users_get_of_jobs_put_away(void **state) {
+/* An archived job leaves every controller's memory, and its state is still reported, also after all
+ * of them restarted. */
+static void replies_about_archived_jobs(void **state) {
   (void)state;
   world_set_up(5, 0);
   world_start_nodes();
@@ -175,7 +175,7 @@
     check_row(rows[i].name, r.status == rows[i].status && strstr(r.body, rows[i].says));
     sim_run_until(sim_now() + 1);
   }
-  /* Many questions about jobs that nobody knows: each is answered, at once. */
+  /* Many queries about unknown jobs: each is answered at once. */
   for (unsigned i = 0; i < 60; i++) {
     char path[64];
     g_snprintf(path, sizeof path, "/api/jobs/job-%06u", 900000 + i);
@@ -185,9 +185,9 @@
   }
 }
 
-/* An intent that a dead controller left is carried out under the same name, so
- * that its machines are learned of and not rented twice. */
-static void an_intent_is_taken_over(void **state) {
+/* A rental intent of a dead controller is repeated under the same name, so that its machines are
+ * found and not rented twice. */
+static void rental_intent_after_failover(void **state) {
   (void)state;
   world_set_up(3, 0);
   const char *hire = "{\"hire\":\"r-9-1\",\"build\":\"g4\",\"ground\":\"a\",\"loaners\":false,\"count\":2}";
@@ -207,9 +207,9 @@
   assert_non_null(strstr(known.body, "fc1/machine/vm-000001"));
 }
 
-/* A machine about to be taken holds one task of a gang: all are told at once,
- * none is left to find that its mates are gone. */
-static void a_gang_is_stopped_in_order(void **state) {
+/* A machine with a spot notice holds one task of a gang: all its tasks are stopped together, none
+ * fails because its peers are gone. */
+static void gang_drained_on_a_spot_notice(void **state) {
   (void)state;
   world_set_up(4, 0);
   world_start_nodes();
@@ -232,12 +232,12 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(users_get),
-                                     cmocka_unit_test(users_get_in_an_outage),
-                                     cmocka_unit_test(submissions_pass_lost_writes),
-                                     cmocka_unit_test(users_get_of_jobs_put_away),
-                                     cmocka_unit_test(many_archived_jobs),
-                                     cmocka_unit_test(an_intent_is_taken_over),
-                                     cmocka_unit_test(a_gang_is_stopped_in_order)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(replies_to_users),
+                                     cmocka_unit_test(replies_in_a_kv_store_outage),
+                                     cmocka_unit_test(submissions_beside_lost_transactions),
+                                     cmocka_unit_test(replies_about_archived_jobs),
+                                     cmocka_unit_test(polling_of_many_archived_jobs),
+                                     cmocka_unit_test(rental_intent_after_failover),
+                                     cmocka_unit_test(gang_drained_on_a_spot_notice)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -1,5 +1,5 @@
-/* Jobs that await others over whole controllers: what users are answered, what is started
- * when, and what a cancellation reaches, with troubles in between. */
+/* Dependencies between jobs over whole controllers: replies to users, when dependents start, and what
+ * a cancellation reaches, with faults in between. */
 #include "check.h"
 
 #include <math.h>
@@ -7,10 +7,10 @@
 #include "scene.h"
 #include "sim/requests.h"
 
-#define AT_ONCE_S 0.3
+#define IMMEDIATE_S 0.3
 #define BODY_BYTES ((size_t)63 * 1024) /* a body may have 64 KiB */
 
-static void a_fleet(uint32_t seed, unsigned machines) {
+static void start_fleet(uint32_t seed, unsigned machines) {
   /* The capacity holds these machines and no more. */
   scene_begin(&(scene_setup){.seed = seed,
                              .capacity = (machines + 1) / 2,
@@ -20,7 +20,7 @@
   sim_run_until(sim_now() + 8);
 }
 
-/* ---- what users are answered ---- */
+/* ---- replies to users ---- */
 
 static char *submission(const char *id, const char *kind, const char *awaits) {
   return g_strdup_printf(
@@ -77,8 +77,8 @@
     {"a repeat of what was cancelled from the start", "job-000104", "[]", 200, "cancelled", 1},
 };
 
-static void the_scene_of_answers(void) {
-  a_fleet(1, 4);
+static void start_jobs_to_depend_on(void) {
+  start_fleet(1, 4);
   for (unsigned k = 5; k <= 6; k++) world_submit(world_id(k), "sweep", "standard", 1, 0.5, 2, 0);
   sim_run_until(sim_now() + 1);
   world_cancel(world_id(6), -1, 0);
@@ -94,17 +94,17 @@
   assert_string_equal(world_told(world_id(4)), "done");
 }
 
-static void users_are_answered(void **state) {
+static void replies_to_submissions_with_dependencies(void **state) {
   (void)state;
-  the_scene_of_answers();
+  start_jobs_to_depend_on();
   for (size_t i = 0; i < G_N_ELEMENTS(k_answers); i++) {
     const answer_row *row = &k_answers[i];
     world_reply r = submit((unsigned)i % WORLD_NODES, row->id, "sweep", row->awaits);
-    check_row(row->name, r.status == row->status && r.took < AT_ONCE_S);
+    check_row(row->name, r.status == row->status && r.took < IMMEDIATE_S);
     check_row(row->name, !row->told || strstr(r.body, row->told));
     char *key = g_strconcat("fc1/job/", row->id, NULL);
     check_row(row->name, state_has(key) == (row->told != NULL));
-    /* Older versions may see nothing of what awaits others, and all else. */
+    /* Older versions must skip records with pending dependencies, and read all others. */
     check_row(row->name, row->format != FC_JOB_FORMAT_AWAITING || state_says(key, "\"f\":2"));
     check_row(row->name, row->format != FC_JOB_FORMAT_PLAIN || state_says(key, "\"f\":1"));
     g_free(key);
@@ -114,16 +114,16 @@
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* What can't be proved now is answered at once, with when to come back. */
-static void not_sure_now(void **state) {
+/* What can't be known now is refused at once, with the time to retry. */
+static void dependencies_in_a_kv_store_outage(void **state) {
   (void)state;
-  the_scene_of_answers();
+  start_jobs_to_depend_on();
   world_state_down(20);
   sim_run_until(sim_now() + 4);
   static const char *const awaits[] = {"[\"job-999999\"]", "[\"job-000005\"]", "[\"job-000001\"]", "[\"job-000200\"]"};
   for (size_t i = 0; i < G_N_ELEMENTS(awaits); i++) {
     world_reply r = submit((unsigned)i % WORLD_NODES, "job-000200", "sweep", awaits[i]);
-    check_row(awaits[i], r.status == 503 && r.retry_after > 0 && r.took < AT_ONCE_S);
+    check_row(awaits[i], r.status == 503 && r.retry_after > 0 && r.took < IMMEDIATE_S);
   }
   sim_run_until(sim_now() + 30);
   assert_int_equal(submit(0, "job-000200", "sweep", awaits[0]).status, 422);
@@ -131,11 +131,11 @@
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* Who was told "accepted" by one controller names the job at another within the same
- * millisecond; and cancels it there just as one that needs it is submitted elsewhere. */
-static void within_a_millisecond(void **state) {
+/* A job accepted by one controller is a dependency at another within the same millisecond, and may be
+ * cancelled at a third at that moment. */
+static void dependency_accepted_or_cancelled_just_before(void **state) {
   (void)state;
-  a_fleet(2, 2);
+  start_fleet(2, 2);
   char id[2][32], list[64], path[80];
   for (unsigned k = 0; k < 60; k++) {
     g_snprintf(id[0], sizeof id[0], "job-%06u", 1000 + 2 * k);
@@ -159,17 +159,17 @@
   }
 }
 
-/* A body as long as may be, full of ids, is answered; none of them was ever accepted. */
-static void a_body_full_of_ids(void **state) {
+/* A body of the largest size, full of ids of unknown jobs, is answered. */
+static void body_full_of_unknown_dependencies(void **state) {
   (void)state;
-  a_fleet(3, 2);
+  start_fleet(3, 2);
   GString *awaits = g_string_new("[");
   for (unsigned k = 0; awaits->len < BODY_BYTES; k++)
     g_string_append_printf(awaits, "%s\"job-%06u\"", k ? "," : "", 500000 + k);
   g_string_append_c(awaits, ']');
   world_reply r = submit(0, "job-000001", "sweep", awaits->str);
   g_string_free(awaits, TRUE);
-  assert_true(r.status == 422 && r.took < AT_ONCE_S);
+  assert_true(r.status == 422 && r.took < IMMEDIATE_S);
 }
 
 enum { MANY = 300 };
@@ -181,8 +181,8 @@
   return id;
 }
 
-/* Played on until it has been accepted, as a user does who repeats the submission. */
-static double accepted_within(const char *body, double patience_s) {
+/* Repeats the submission until it is accepted; returns how long that took. */
+static double submit_until_accepted(const char *body, double patience_s) {
   double began = sim_now();
   for (unsigned k = 0; sim_now() < began + patience_s; k++) {
     world_reply r = world_request(k % WORLD_NODES, "POST", "/api/jobs", body);
@@ -207,10 +207,9 @@
   return g_parts_left;
 }
 
-/* A job that names more others than one value holds, with values of 2 KiB: it is accepted,
- * waits for every one of them, also at controllers that start anew, and what was stored for
- * it goes with it. What is given up half-way is cleared away. */
-static void more_than_a_value_holds(void **state) {
+/* A job with more dependencies than a value of 2 KiB holds is accepted, stays pending for each of them,
+ * also across restarts, and its parts are removed with it, as are those of an abandoned one. */
+static void dependencies_beyond_one_value(void **state) {
   (void)state;
   const scene_setup setup = {.seed = 4, .capacity = 3, .keep_idle = true, .images_cached = true, .machines = {3, 3}};
   scene_prepare(&setup);
@@ -219,7 +218,7 @@
   world_keep_over(120);
   scene_start(&setup);
   sim_run_until(sim_now() + 8);
-  /* All of them wait for one that takes its time. */
+  /* All dependencies depend on one long job. */
   world_submit(world_id(9), "sweep", "standard", 1, 1, 130, 0);
   GString *awaits = g_string_new("[");
   for (unsigned k = 0; k < MANY; k++) {
@@ -237,10 +236,10 @@
   assert_int_equal(world_so_far().accepted, MANY + 1);
   char *body = submission("job-000001", "sweep", awaits->str);
   world_add_job("job-000001", "sweep", 1, 0, 3);
-  double took = accepted_within(body, 60);
+  double took = submit_until_accepted(body, 60);
   print_message("%d ids: accepted after %.2f s, in %u parts\n", MANY, took, parts_stored());
   assert_true(parts_stored() >= 4);
-  /* That of another job is given up: its controller ends before there is a record. */
+  /* Another submission is abandoned: its controller crashes before there is a record. */
   char *other = submission("job-000002", "sweep", awaits->str);
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 0.3);
   sim_run_until(sim_now() + 6);
@@ -264,7 +263,7 @@
   g_free(other);
 }
 
-/* ---- what is started when ---- */
+/* ---- when dependents start ---- */
 
 typedef struct chain_row {
   const char *name;
@@ -300,7 +299,7 @@
                                   .awaits = {k > 0 ? world_id(first + k - 1) : NULL, k == 3 ? world_id(first) : NULL}});
 }
 
-static void chain_trouble(const chain_row *row) {
+static void apply_chain_fault(const chain_row *row) {
   switch (row->trouble) {
     case CRASH:
       world_crash(0, 4);
@@ -319,16 +318,16 @@
   }
 }
 
-/* Chains of four, in the middle of which something happens. */
-static void chains_go_through(void **state) {
+/* Chains of four jobs, with a fault in the middle. */
+static void chains_complete_despite_faults(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_chains); i++) {
     const chain_row *row = &k_chains[i];
-    a_fleet(50 + (uint32_t)i, 6);
+    start_fleet(50 + (uint32_t)i, 6);
     for (unsigned c = 0; c < 6; c++) submit_chain(row, 10 * c + 1, 0.5 * c);
     double began = sim_now();
     sim_run_until(began + 9);
-    chain_trouble(row);
+    apply_chain_fault(row);
     for (unsigned n = 0; n < WORLD_NODES && row->trouble == ROLLING; n++) {
       world_crash(n, 3);
       sim_run_until(sim_now() + 10);
@@ -347,12 +346,12 @@
   }
 }
 
-/* What waits holds nothing of its team's limit: others of the team use all of it meanwhile. */
-static void waiting_holds_no_limit(void **state) {
+/* Other jobs of the team use all of its limit meanwhile. */
+static void pending_jobs_use_no_quota(void **state) {
   (void)state;
-  a_fleet(70, 8);
+  start_fleet(70, 8);
   world_submit_job(&(world_job){.id = world_id(1), .kind = "sweep", .team = "red", .tasks = 1, .gpus = 1, .run_s = 60});
-  /* Blue may use 12 GPUs: a gang and an array that wait would take them all. */
+  /* The blue team may use 12 GPUs: its pending gang and array would take them all. */
   for (unsigned k = 2; k <= 3; k++)
     world_submit_job(&(world_job){.id = world_id(k),
                                   .kind = k == 2 ? "gang" : "sweep",
@@ -371,13 +370,13 @@
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* In a full fleet the job that others with a deadline need goes first, also when the last of
- * them is submitted later. */
-static void the_deadline_of_the_last(void **state) {
+/* In a full fleet a dependency of a job with a deadline goes first, also when that job is submitted
+ * later. */
+static void deadline_of_the_last_dependent(void **state) {
   (void)state;
   for (unsigned late = 0; late < 2; late++) {
-    a_fleet(80 + late, 2);
-    /* Eight places, all taken for a while, and a queue of others of the same rank. */
+    start_fleet(80 + late, 2);
+    /* Eight places, all taken for a while, and a queue of jobs of the same priority. */
     world_submit(world_id(1), "sweep", "standard", 8, 1, 20, 0);
     for (unsigned k = 2; k <= 9; k++)
       world_submit_job(&(world_job){
@@ -407,7 +406,7 @@
 typedef struct cancel_row {
   const char *name;
   enum { NONE, WRITER_ENDS, STATE_OUT, OTHERS_END, WRITER_REFUSED, ZONE_CUT, ALL_END } trouble;
-  bool at_once; /* everybody is told at once, whom it asks */
+  bool at_once; /* every controller reports the cancellation at once */
 } cancel_row;
 
 static const cancel_row k_cancels[] = {
@@ -420,7 +419,7 @@
     {"all end", ALL_END, false},
 };
 
-static void cancel_trouble(const cancel_row *row) {
+static void apply_cancel_fault(const cancel_row *row) {
   if (row->trouble == WRITER_ENDS) world_crash(0, 4);
   if (row->trouble == STATE_OUT) world_state_down(50);
   if (row->trouble == WRITER_REFUSED) world_refuse(0, 40);
@@ -431,7 +430,7 @@
 
 enum { FIRST = 1, FAN = 20, DEPENDENTS = 2 * FAN };
 
-/* One that runs; twenty that await it; and twenty more, each of which awaits one of those. */
+/* One running job, twenty dependents, and twenty more that depend on one of those each. */
 static void submit_fan(void) {
   world_submit(world_id(FIRST), "sweep", "standard", 2, 1, 1e6, 0);
   for (unsigned k = 1; k <= DEPENDENTS; k++)
@@ -447,7 +446,7 @@
                                   .awaits = {world_id(k <= FAN ? FIRST : FIRST + k - FAN)}});
 }
 
-static void all_cancelled(const cancel_row *row, bool where_reachable) {
+static void check_all_cancelled(const cancel_row *row, bool where_reachable) {
   for (unsigned k = 1; k <= DEPENDENTS; k++) {
     char path[64];
     g_snprintf(path, sizeof path, "/api/jobs/%s", world_id(FIRST + k));
@@ -458,7 +457,7 @@
   }
 }
 
-/* Archived jobs are looked up at a bounded rate: asked until that is answered. */
+/* Archived jobs are looked up at a bounded rate: repeated until answered. */
 static bool archived_as_cancelled(unsigned k) {
   char path[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", world_id(k));
@@ -470,22 +469,21 @@
   return false;
 }
 
-/* A cancellation reaches what needs the job, directly and through others, over all owners:
- * nobody is told anything else from then on, none of it is ever started, and it stays so when
- * all of it has been archived and everybody starts anew. */
-static void a_cancellation_reaches_all(void **state) {
+/* A cancellation reaches direct and indirect dependents in all shards: no other state is reported, none
+ * ever starts, and that holds after all are archived and every controller restarted. */
+static void cancellation_reaches_all_dependents(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_cancels); i++) {
     const cancel_row *row = &k_cancels[i];
-    a_fleet(100 + (uint32_t)i, 6);
+    start_fleet(100 + (uint32_t)i, 6);
     submit_fan();
     sim_run_until(sim_now() + 9);
     assert_true(world_so_far().accepted == DEPENDENTS + 1);
     world_cancel(world_id(FIRST), 0, 0);
     while (!world_cancelled_at(world_id(FIRST))) sim_run_until(sim_now() + 0.001);
-    cancel_trouble(row);
+    apply_cancel_fault(row);
     if (row->at_once) sim_run_until(sim_now() + 0.1);
-    all_cancelled(row, true);
+    check_all_cancelled(row, true);
     sim_run_until(sim_now() + 120);
     for (unsigned k = 1; k <= DEPENDENTS; k++) {
       check_row(row->name, world_starts_of(world_id(FIRST + k)) == 0);
@@ -500,12 +498,12 @@
   }
 }
 
-/* The job ends as its user calls it off: either answer is kept to by all that needs it. */
-static void called_off_at_the_end(void **state) {
+/* The job completes as it is cancelled: its dependents follow whichever state was acknowledged. */
+static void cancellation_at_completion(void **state) {
   (void)state;
   unsigned done = 0, cancelled = 0;
   for (uint32_t seed = 0; seed < 12; seed++) {
-    a_fleet(200 + seed, 4);
+    start_fleet(200 + seed, 4);
     world_submit(world_id(1), "sweep", "standard", 1, 1, 5, 0);
     world_submit_job(&(world_job){
         .id = world_id(2), .kind = "sweep", .tasks = 2, .gpus = 1, .run_s = 3, .in_s = 1, .awaits = {world_id(1)}});
@@ -529,11 +527,16 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(users_are_answered),         cmocka_unit_test(not_sure_now),
-      cmocka_unit_test(within_a_millisecond),       cmocka_unit_test(a_body_full_of_ids),
-      cmocka_unit_test(more_than_a_value_holds),    cmocka_unit_test(chains_go_through),
-      cmocka_unit_test(waiting_holds_no_limit),     cmocka_unit_test(the_deadline_of_the_last),
-      cmocka_unit_test(a_cancellation_reaches_all), cmocka_unit_test(called_off_at_the_end),
+      cmocka_unit_test(replies_to_submissions_with_dependencies),
+      cmocka_unit_test(dependencies_in_a_kv_store_outage),
+      cmocka_unit_test(dependency_accepted_or_cancelled_just_before),
+      cmocka_unit_test(body_full_of_unknown_dependencies),
+      cmocka_unit_test(dependencies_beyond_one_value),
+      cmocka_unit_test(chains_complete_despite_faults),
+      cmocka_unit_test(pending_jobs_use_no_quota),
+      cmocka_unit_test(deadline_of_the_last_dependent),
+      cmocka_unit_test(cancellation_reaches_all_dependents),
+      cmocka_unit_test(cancellation_at_completion),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -1,5 +1,5 @@
-/* What is cancelled is gone in time, whoever confirmed it, whatever else fails just
- * then: whole controllers over the simulated transport. */
+/* Tasks of cancelled jobs end in time, whichever controller acknowledged the cancellation and whatever
+ * fails just then. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 #include "scene.h"
 
 /* Six machines in each zone and so many services of two tasks. */
-static void a_running_fleet(uint32_t seed, unsigned jobs) {
+static void start_services(uint32_t seed, unsigned jobs) {
   scene_begin(&(scene_setup){.seed = seed, .keep_idle = true, .images_cached = true, .machines = {6, 6}});
   scene_submit(&(scene_jobs){
       .count = jobs, .kind = "service", .priority = "prod", .tasks = 2, .gpus = 1, .run_s = 1e6, .in_s = 5});
@@ -15,16 +15,16 @@
   assert_int_equal(world_running(), jobs * 2);
 }
 
-typedef struct gap_row {
+typedef struct outage_row {
   const char *name;
   double refused_at, cancel_at, down_at; /* seconds from the same moment */
   enum { WRITER, FROM_CACHE, RESTARTED, DYING } by;
-  bool blind;     /* changes can't be read from the cancellation on */
-  bool linked;    /* the refused one hears the others */
-  bool passed_on; /* what was confirmed can reach everybody */
-} gap_row;
+  bool blind;     /* no controller reads changes from the cancellation on */
+  bool linked;    /* the refused controller is connected to its peers */
+  bool passed_on; /* the acknowledged cancellations can reach every controller */
+} outage_row;
 
-static const gap_row k_gaps[] = {
+static const outage_row k_outages[] = {
     {"refused a second before", -1.0, 0, 0.3, WRITER, false, true, true},
     {"refused just before", -0.02, 0, 0.1, WRITER, false, true, true},
     {"refused just after", 0.02, 0, 0.1, WRITER, false, true, true},
@@ -38,24 +38,24 @@
     {"no message gets through", -1.0, 0, 0.3, WRITER, false, false, false},
 };
 
-enum { GAP_JOBS = 8, GAP_CANCELLED = 4 };
+enum { OUTAGE_JOBS = 8, OUTAGE_CANCELLED = 4 };
 
-static void gap_cancel(unsigned node) {
-  for (unsigned k = 0; k < GAP_CANCELLED; k++) world_cancel(world_id(k), (int)node, 0);
+static void cancel_through(unsigned node) {
+  for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) world_cancel(world_id(k), (int)node, 0);
 }
 
-/* Users cancel at `writer`; what the row says happens to it, and who else confirms it. */
-static void gap_cancellations(const gap_row *row, double zero, unsigned writer, unsigned other) {
-  gap_cancel(writer);
+/* Users cancel through `writer`, to which the row's fault happens, or another controller. */
+static void play_cancellations(const outage_row *row, double zero, unsigned writer, unsigned other) {
+  cancel_through(writer);
   if (row->by == FROM_CACHE) {
     sim_run_until(zero + 0.5);
-    gap_cancel(other);
+    cancel_through(other);
   } else if (row->by == RESTARTED) {
-    /* Its next life is asked again, and has it from what it reads at its start. */
+    /* The new incarnation knows the cancellation only from its first read. */
     sim_run_until(zero + row->cancel_at + 0.006);
     world_crash(writer, 0.3);
     sim_run_until(zero + 1.5);
-    gap_cancel(writer);
+    cancel_through(writer);
   } else if (row->by == DYING) {
     while (!world_cancelled_at(world_id(0)) && sim_now() < zero + 3) sim_run_until(sim_now() + 0.0005);
     check_row(row->name, world_cancelled_at(world_id(0)) > 0);
@@ -63,28 +63,29 @@
   }
 }
 
-static void gap_check(const gap_row *row, double zero, unsigned refused) {
-  bool told[GAP_CANCELLED];
-  unsigned told_count = 0, soon = 0;
-  for (unsigned k = 0; k < GAP_CANCELLED; k++) told_count += told[k] = world_cancelled_at(world_id(k)) > 0;
+static void check_outage(const outage_row *row, double zero, unsigned refused) {
+  bool acknowledged[OUTAGE_CANCELLED];
+  unsigned acknowledged_count = 0, soon = 0;
+  for (unsigned k = 0; k < OUTAGE_CANCELLED; k++)
+    acknowledged_count += acknowledged[k] = world_cancelled_at(world_id(k)) > 0;
   sim_run_until(zero + 8);
-  for (unsigned k = 0; k < GAP_CANCELLED; k++) soon += told[k] ? world_tasks_of(world_id(k)) : 0;
+  for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) soon += acknowledged[k] ? world_tasks_of(world_id(k)) : 0;
   sim_run_until(zero + 100);
   world_result r = world_so_far();
   print_message("%s, refused %u: %u of %u told, %u of their tasks on after 8 s, %u tasks ended by a lease\n", row->name,
-                refused, told_count, (unsigned)GAP_CANCELLED, soon, r.lease_kills);
+                refused, acknowledged_count, (unsigned)OUTAGE_CANCELLED, soon, r.lease_kills);
   if (r.broken) fail_msg("%s, refused %u: %s", row->name, refused, r.first);
-  check_row(row->name, r.cancelled == GAP_CANCELLED);
-  check_row(row->name, told_count > 0 || row->down_at < 0.02);
-  check_row(row->name, world_running() == (GAP_JOBS - GAP_CANCELLED) * 2);
+  check_row(row->name, r.cancelled == OUTAGE_CANCELLED);
+  check_row(row->name, acknowledged_count > 0 || row->down_at < 0.02);
+  check_row(row->name, world_running() == (OUTAGE_JOBS - OUTAGE_CANCELLED) * 2);
   if (!row->passed_on) return;
-  /* What users were told was passed on: those tasks end at once, no other by a lease. */
+  /* Acknowledged cancellations were passed on: their tasks end at once, no other by a lease. */
   check_row(row->name, soon == 0);
   check_row(row->name, r.lease_kills == 0);
 }
 
-static void gap_scene(const gap_row *row, uint32_t seed, unsigned refused) {
-  a_running_fleet(seed, GAP_JOBS);
+static void play_outage(const outage_row *row, uint32_t seed, unsigned refused) {
+  start_services(seed, OUTAGE_JOBS);
   unsigned writer = (refused + 1) % WORLD_NODES, other = (refused + 2) % WORLD_NODES;
   double zero = sim_now() + 10;
   bool early = row->refused_at <= row->cancel_at;
@@ -93,30 +94,28 @@
   if (!row->linked) world_cut_node_peers(refused, 80);
   sim_run_until(zero + row->cancel_at);
   if (row->blind) world_state_blind(world_id(0), 3);
-  gap_cancellations(row, zero, writer, other);
+  play_cancellations(row, zero, writer, other);
   if (!early) {
     sim_run_until(zero + row->refused_at);
     world_refuse(refused, 14);
   }
   sim_run_until(MAX(sim_now(), zero + row->down_at));
   world_state_down(54);
-  gap_check(row, zero, refused);
+  check_outage(row, zero, refused);
 }
 
-/* The state service refuses one controller; another confirms cancellations; then it is
- * down for everybody, for longer than a cancellation may take. The tasks have to be gone
- * in time all the same, and nobody else's work may end for it. */
-static void the_gap(void **state) {
+/* The key-value store refuses one controller, another acknowledges cancellations, then the store is
+ * down for longer than a cancellation may take. The tasks must end in time, and no others. */
+static void cancellation_before_a_kv_store_outage(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_gaps); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS(k_outages); i++)
     for (unsigned refused = 0; refused < WORLD_NODES; refused++)
-      gap_scene(&k_gaps[i], 10 * (uint32_t)i + refused, refused);
+      play_outage(&k_outages[i], 10 * (uint32_t)i + refused, refused);
 }
 
-/* Starts and halts are held up between a controller and its workers, which go on with the
- * others; the jobs are cancelled meanwhile, and what was held up arrives after the time
- * of a cancellation. */
-static void commands_held_up(void **state) {
+/* Commands between a controller and its workers are delayed while other controllers renew the leases;
+ * the jobs are cancelled meanwhile, and the commands arrive after the cancellation's deadline. */
+static void commands_delayed_past_a_cancellation(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -133,14 +132,14 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     for (unsigned node = 0; node < WORLD_NODES; node++) {
-      a_running_fleet(100 + 10 * (uint32_t)i + node, 6);
+      start_services(100 + 10 * (uint32_t)i + node, 6);
       unsigned held = 6;
       world_cut_node_workers(node, rows[i].for_s, SIM_HELD);
       for (unsigned k = 6; k < 6 + held; k++) world_submit(world_id(k), "sweep", "standard", 2, 1, 1e6, 0);
       sim_run_until(sim_now() + rows[i].cancel_s);
-      /* Three that run too, on machines that others keep alive meanwhile. */
+      /* Also three running jobs, on machines whose leases other controllers renew. */
       for (unsigned k = 3; k < 6 + held; k++) world_cancel(world_id(k), -1, 0);
-      /* Halted by those, long before any machine has to go back for it. */
+      /* Stopped by those controllers, long before any machine has to be returned for it. */
       sim_run_until(sim_now() + 20);
       for (unsigned k = 3; k < 6; k++) check_row(rows[i].name, world_tasks_of(world_id(k)) == 0);
       sim_run_until(sim_now() + rows[i].for_s + 40);
@@ -154,47 +153,47 @@
   }
 }
 
-typedef struct reach_row {
+typedef struct unreachable_row {
   const char *name;
-  enum { HANG, MUTE, DEAF } how;
+  enum { HUNG, OUTBOUND_CUT, INBOUND_CUT } fault;
   unsigned count;
   double before_s, for_s; /* before the cancellation */
   bool down, crash;
-} reach_row;
+} unreachable_row;
 
-static const reach_row k_out_of_reach[] = {
-    {"one hangs a moment", HANG, 1, 0.1, 3, false, false},
-    {"one hangs for most of a lease", HANG, 1, 0.1, 13, false, false},
-    {"one hangs for most of a lease, from just after", HANG, 1, -0.1, 13, false, false},
-    {"one hangs for long", HANG, 1, 1, 40, false, false},
-    {"eight hang for most of a lease", HANG, 8, 0.1, 13, false, false},
-    {"eight hang for long", HANG, 8, 0.1, 36, false, false},
-    {"all hang for long", HANG, 12, 0.1, 50, false, false},
-    {"all hang, and the state service is down", HANG, 12, 0.1, 33, true, false},
-    {"one reaches nobody", MUTE, 1, 3, 40, false, false},
-    {"all reach nobody", MUTE, 12, 3, 40, false, false},
-    {"all reach nobody, and controllers end", MUTE, 12, 3, 40, false, true},
-    {"one hears nobody", DEAF, 1, 3, 40, false, false},
-    {"all hear nobody", DEAF, 12, 3, 60, false, false},
-    {"all hear nobody, and the state service is down", DEAF, 12, 3, 60, true, false},
-    {"eight hang, and controllers end", HANG, 8, 0.1, 13, false, true},
+static const unreachable_row k_unreachable[] = {
+    {"one hangs a moment", HUNG, 1, 0.1, 3, false, false},
+    {"one hangs for most of a lease", HUNG, 1, 0.1, 13, false, false},
+    {"one hangs for most of a lease, from just after", HUNG, 1, -0.1, 13, false, false},
+    {"one hangs for long", HUNG, 1, 1, 40, false, false},
+    {"eight hang for most of a lease", HUNG, 8, 0.1, 13, false, false},
+    {"eight hang for long", HUNG, 8, 0.1, 36, false, false},
+    {"all hang for long", HUNG, 12, 0.1, 50, false, false},
+    {"all hang, and the state service is down", HUNG, 12, 0.1, 33, true, false},
+    {"one reaches nobody", OUTBOUND_CUT, 1, 3, 40, false, false},
+    {"all reach nobody", OUTBOUND_CUT, 12, 3, 40, false, false},
+    {"all reach nobody, and controllers end", OUTBOUND_CUT, 12, 3, 40, false, true},
+    {"one hears nobody", INBOUND_CUT, 1, 3, 40, false, false},
+    {"all hear nobody", INBOUND_CUT, 12, 3, 60, false, false},
+    {"all hear nobody, and the state service is down", INBOUND_CUT, 12, 3, 60, true, false},
+    {"eight hang, and controllers end", HUNG, 8, 0.1, 13, false, true},
 };
 
-static void reach_trouble(const reach_row *row) {
-  if (row->how == HANG) world_hang(0, row->count, row->for_s);
-  if (row->how == MUTE) world_mute(0, row->count, row->for_s);
-  if (row->how == DEAF) world_deaf(0, row->count, row->for_s);
+static void apply_fault(const unreachable_row *row) {
+  if (row->fault == HUNG) world_hang(0, row->count, row->for_s);
+  if (row->fault == OUTBOUND_CUT) world_mute(0, row->count, row->for_s);
+  if (row->fault == INBOUND_CUT) world_deaf(0, row->count, row->for_s);
 }
 
-static void reach_scene(const reach_row *row, uint32_t row_seed, uint32_t seed) {
-  a_running_fleet(row_seed + seed, 8);
-  for (int turn = 0; turn < 2; turn++) {
-    if ((row->before_s > 0) == (turn == 0)) {
-      reach_trouble(row);
+static void play_unreachable(const unreachable_row *row, uint32_t row_seed, uint32_t seed) {
+  start_services(row_seed + seed, 8);
+  for (int step = 0; step < 2; step++) {
+    if ((row->before_s > 0) == (step == 0)) {
+      apply_fault(row);
     } else {
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), -1, 0);
     }
-    if (turn == 0) sim_run_until(sim_now() + MAX(row->before_s, -row->before_s));
+    if (step == 0) sim_run_until(sim_now() + MAX(row->before_s, -row->before_s));
   }
   sim_run_until(sim_now() + 1.2);
   if (row->crash) world_crash(seed, 4);
@@ -206,23 +205,21 @@
   if (r.broken) fail_msg("%s, seed %u: %s", row->name, seed, r.first);
   check_row(row->name, r.cancelled == 5);
   for (unsigned k = 0; k < 5; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
-  /* What was not cancelled goes on, here or elsewhere, unless there is no machine left. */
+  /* Other jobs run on, unless no machine is left. */
   if (world_gone(0, world_machines()) < 6) check_row(row->name, world_running() == 6);
 }
 
-/* Machines of cancelled jobs that can't be halted just then: they hang and may go on at any
- * time, reach nobody, or hear nobody; one, or most of the fleet together, so that the
- * network is suspected; some of them while the state service is down. */
-static void machines_out_of_reach(void **state) {
+/* Machines of cancelled jobs that can't be reached: they hang, or their outbound or inbound messages
+ * are lost; one, or most of the fleet, so that an outage is suspected. */
+static void cancellation_on_unreachable_machines(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_out_of_reach); i++)
-    for (uint32_t seed = 0; seed < 3; seed++) reach_scene(&k_out_of_reach[i], 300 + 10 * (uint32_t)i, seed);
+  for (size_t i = 0; i < G_N_ELEMENTS(k_unreachable); i++)
+    for (uint32_t seed = 0; seed < 3; seed++) play_unreachable(&k_unreachable[i], 300 + 10 * (uint32_t)i, seed);
 }
 
-/* A controller loses the state service and the others, but neither its workers nor its
- * users, who go on asking it while the jobs are cancelled through another; and the same
- * with a state service that is slow before it refuses one and then everybody. */
-static void asked_while_cut_off(void **state) {
+/* A controller is partitioned from the key-value store and its peers, but not from its workers and
+ * users, who poll it while the jobs are cancelled through another; also with a slow store. */
+static void polling_a_partitioned_controller(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -240,14 +237,14 @@
   const unsigned jobs = 8;
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     for (unsigned node = 0; node < WORLD_NODES; node++) {
-      a_running_fleet(500 + 10 * (uint32_t)i + node, jobs);
+      start_services(500 + 10 * (uint32_t)i + node, jobs);
       if (rows[i].alone_s > 0) world_alone(node, rows[i].alone_s);
       if (rows[i].refused_s > 0) world_refuse(node, rows[i].refused_s);
       if (rows[i].slow_s > 0) world_state_slow(rows[i].slow_s, 1.5);
       sim_run_until(sim_now() + 3);
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), (int)((node + 1 + k % 2) % WORLD_NODES), k * 0.3);
       for (unsigned s = 0; s < 30; s++) {
-        world_ask_job(node, world_id(s % jobs)); /* what it says is checked */
+        world_ask_job(node, world_id(s % jobs)); /* the stand-in checks the reply */
         sim_run_until(sim_now() + 0.2);
         if (s == 14 && rows[i].down_s > 0) world_state_down(rows[i].down_s);
       }
@@ -263,7 +260,8 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(the_gap), cmocka_unit_test(commands_held_up),
-                                     cmocka_unit_test(machines_out_of_reach), cmocka_unit_test(asked_while_cut_off)};
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(cancellation_before_a_kv_store_outage), cmocka_unit_test(commands_delayed_past_a_cancellation),
+      cmocka_unit_test(cancellation_on_unreachable_machines), cmocka_unit_test(polling_a_partitioned_controller)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -1,5 +1,5 @@
-/* What comes late: reports that newer ones, a lease or a leader have overtaken, and
- * transactions without an answer that are carried out after newer ones. */
+/* Delayed messages: heartbeats that arrive after newer ones, a lease expiry or a change of leader,
+ * and transactions without a response that are applied after newer ones. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -7,8 +7,8 @@
 #include "scene.h"
 #include "sim/requests.h"
 
-/* The number of tasks that run, as told; -1: not told now. */
-static int told_running(unsigned node, const char *id) {
+/* The number of running tasks that the controller reports; -1: it reports none now. */
+static int reported_running(unsigned node, const char *id) {
   char path[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", id);
   world_reply r = world_request(node, "GET", path, "");
@@ -17,42 +17,41 @@
   return atoi(at + strlen("\"running\":"));
 }
 
-static const char *const k_ids[] = {"job-000001", "job-000002", "job-000003"};
+static const char *const k_job_ids[] = {"job-000001", "job-000002", "job-000003"};
 
-/* Six machines, and on them a service, an array and a gang that have long to go. */
-static void set_scene(uint32_t seed) {
+/* Six machines with a service, an array and a gang that run for long. */
+static void start_three_jobs(uint32_t seed) {
   scene_begin(&(scene_setup){.seed = seed, .capacity = 12, .keep_idle = true, .machines = {3, 3}});
-  world_submit(k_ids[0], "service", "prod", 6, 1, 1e6, 5);
-  world_submit(k_ids[1], "sweep", "standard", 6, 1, 1e6, 5);
-  world_submit(k_ids[2], "gang", "high", 2, 3, 1e6, 5);
+  world_submit(k_job_ids[0], "service", "prod", 6, 1, 1e6, 5);
+  world_submit(k_job_ids[1], "sweep", "standard", 6, 1, 1e6, 5);
+  world_submit(k_job_ids[2], "gang", "high", 2, 3, 1e6, 5);
   sim_run_until(sim_now() + 20);
   assert_int_equal(world_running(), 14);
 }
 
-/* No more than what is there is said to run. */
-static void check_counts(const char *name) {
+/* No controller reports more running tasks than there are. */
+static void check_reported_running(const char *name) {
   for (unsigned n = 0; n < WORLD_NODES; n++) {
-    for (size_t k = 0; k < G_N_ELEMENTS(k_ids); k++) {
-      unsigned there = world_tasks_of(k_ids[k]);
-      int told = told_running(n, k_ids[k]);
-      there = MAX(there, world_tasks_of(k_ids[k])); /* one may have begun meanwhile */
-      if (told > (int)there) print_message("%s: %s: %u says %d run, %u do\n", name, k_ids[k], n, told, there);
+    for (size_t k = 0; k < G_N_ELEMENTS(k_job_ids); k++) {
+      unsigned there = world_tasks_of(k_job_ids[k]);
+      int told = reported_running(n, k_job_ids[k]);
+      there = MAX(there, world_tasks_of(k_job_ids[k])); /* one may have started meanwhile */
+      if (told > (int)there) print_message("%s: %s: %u says %d run, %u do\n", name, k_job_ids[k], n, told, there);
       check_row(name, told <= (int)there);
     }
   }
 }
 
-/* Reports of before come when the lease is over and the tasks run elsewhere, to the
- * owner and to others: nothing is believed to run because of them, nothing is started
- * or stopped, and no lease moves. */
-static void reports_of_a_lease_that_is_over(void **state) {
+/* Old heartbeats arrive, at the owner and at others, after their lease expired and the tasks run
+ * elsewhere: they must not count as running tasks, start or stop any, or renew a lease. */
+static void heartbeats_after_lease_expiry(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned hung; /* of six: most of them stay, a single one is returned */
+    unsigned hung_machines; /* of six: most are kept, a single one is returned */
     double hang_s, in_s;
-    bool settled; /* nothing is on its way when they come */
-    int crash;    /* that controller; -1: none */
+    bool quiescent; /* no start is in transit when they arrive */
+    int crash;      /* that controller; -1: none */
     double crash_s;
   } rows[] = {
       {"one machine", 1, 60, 40, true, -1, 0},
@@ -64,13 +63,13 @@
       {"most machines, another never heard them", 4, 80, 60, true, 2, 0.5},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    set_scene(70 + (uint32_t)i);
-    for (unsigned m = 1; m <= rows[i].hung; m++)
+    start_three_jobs(70 + (uint32_t)i);
+    for (unsigned m = 1; m <= rows[i].hung_machines; m++)
       for (unsigned k = 0; k < WORLD_NODES * 2; k++) {
         unsigned round = k / 3;
         world_report_later(m, k % WORLD_NODES, rows[i].in_s + 1.2 * round);
       }
-    world_hang(1, 1 + rows[i].hung, rows[i].hang_s);
+    world_hang(1, 1 + rows[i].hung_machines, rows[i].hang_s);
     double at = sim_now();
     unsigned first = world_so_far().starts;
     if (rows[i].crash >= 0) {
@@ -83,22 +82,21 @@
     check_row(rows[i].name, starts > first);
     for (unsigned k = 0; k < 12; k++) {
       sim_run_until(at + rows[i].in_s + 0.02 + k * 0.3);
-      check_counts(rows[i].name);
+      check_reported_running(rows[i].name);
     }
-    /* What had been told to start before they came may begin, and nothing else. */
-    check_row(rows[i].name, !rows[i].settled || world_so_far().starts - starts <= fetching);
-    check_row(rows[i].name, !rows[i].settled || world_ended("stopped") == stopped);
+    /* Only tasks that were fetching their image before may start. */
+    check_row(rows[i].name, !rows[i].quiescent || world_so_far().starts - starts <= fetching);
+    check_row(rows[i].name, !rows[i].quiescent || world_ended("stopped") == stopped);
     sim_run_until(at + 110);
     if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
-    check_counts(rows[i].name);
-    for (size_t k = 0; k < 3; k++) check_row(rows[i].name, world_tasks_of(k_ids[k]) == (k < 2 ? 6 : 2));
+    check_reported_running(rows[i].name);
+    for (size_t k = 0; k < 3; k++) check_row(rows[i].name, world_tasks_of(k_job_ids[k]) == (k < 2 ? 6 : 2));
   }
 }
 
-/* Reports are held back while their machine goes on and their jobs end, are called off
- * and begin anew, under the same leaders or new ones, and then arrive, at all of them:
- * what has ended isn't begun again, and what was cleared doesn't run again. */
-static void reports_overtaken_by_newer_ones(void **state) {
+/* Heartbeats are delayed while their jobs end, are cancelled or preempted, under the same leaders or
+ * new ones, and then arrive everywhere: no ended task is started again. */
+static void heartbeats_out_of_order(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -117,9 +115,9 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){.seed = 90 + (uint32_t)i, .capacity = 12, .keep_idle = true, .machines = {3, 3}});
-    world_submit(k_ids[0], "service", "prod", 4, 1, 1e6, 5);
-    world_submit(k_ids[1], "sweep", "standard", 6, 1, 9, 5);
-    world_submit(k_ids[2], "gang", "high", 2, 2, 9, 5);
+    world_submit(k_job_ids[0], "service", "prod", 4, 1, 1e6, 5);
+    world_submit(k_job_ids[1], "sweep", "standard", 6, 1, 9, 5);
+    world_submit(k_job_ids[2], "gang", "high", 2, 2, 9, 5);
     /* While they are fetched, run, and are about to end. */
     double from = sim_now() + 6;
     for (unsigned k = 0; k < 8; k++) {
@@ -132,30 +130,29 @@
       sim_run_until(from + rows[i].crash_s + n * 0.1);
       world_crash(n, rows[i].back_s);
     }
-    world_cancel(k_ids[0], -1, 3);
+    world_cancel(k_job_ids[0], -1, 3);
     for (unsigned k = 0; k < 60; k++) {
       sim_run_until(at + k * 0.9);
-      if (world_told(k_ids[0])) check_row(rows[i].name, strcmp(world_told(k_ids[0]), "cancelled") == 0);
-      if (world_told(k_ids[1]) && world_told(k_ids[2])) {
-        for (unsigned j = 1; j < 3; j++) check_row(rows[i].name, world_tasks_of(k_ids[j]) == 0);
+      if (world_told(k_job_ids[0])) check_row(rows[i].name, strcmp(world_told(k_job_ids[0]), "cancelled") == 0);
+      if (world_told(k_job_ids[1]) && world_told(k_job_ids[2])) {
+        for (unsigned j = 1; j < 3; j++) check_row(rows[i].name, world_tasks_of(k_job_ids[j]) == 0);
       }
     }
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     print_message("%s: %u started, %u ended\n", rows[i].name, r.starts, world_ended("done"));
-    for (unsigned k = 0; k < 3; k++) check_row(rows[i].name, world_told(k_ids[k]));
+    for (unsigned k = 0; k < 3; k++) check_row(rows[i].name, world_told(k_job_ids[k]));
     check_row(rows[i].name, world_running() == 0 && r.late_starts == 0);
-    /* Once each, but for preempted ones, of which some never had their image. */
+    /* Once each, except preempted tasks, some of which never had their image. */
     check_row(rows[i].name, r.starts >= 12 && r.starts + 4 <= 12 + world_ended("stopped"));
     check_row(rows[i].name, r.lease_kills == 0);
-    check_counts(rows[i].name);
+    check_reported_running(rows[i].name);
   }
 }
 
-/* A machine dies, and copies of its last reports arrive at one controller after the
- * other: its tasks go on elsewhere all the same, soon, and it doesn't come back into
- * the records. */
-static void reports_of_the_dead(void **state) {
+/* A machine dies, and copies of its last heartbeats arrive at one controller after the other: its
+ * tasks restart elsewhere soon all the same, and its record does not come back. */
+static void heartbeats_of_a_dead_machine(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -171,10 +168,10 @@
       {"a new leader, soon", 3, 1.5, 0},
       {"a new leader, later", 12, 2, 0},
   };
-  double without = 0;
+  double without_heartbeats = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    set_scene(120);
-    unsigned dead = (unsigned)world_machine_of(k_ids[1], 3);
+    start_three_jobs(120);
+    unsigned dead = (unsigned)world_machine_of(k_job_ids[1], 3);
     char key[64];
     g_snprintf(key, sizeof key, "fc1/machine/vm-%06u", dead);
     check_row(rows[i].name, state_has(key));
@@ -185,26 +182,25 @@
     while (world_running() < 14 && sim_now() < at + 90) sim_run_until(sim_now() + 0.25);
     double took = sim_now() - at;
     print_message("%s: all run again after %.1f s\n", rows[i].name, took);
-    if (rows[i].first_s >= 1e6) without = took;
-    /* Nobody can tell a copy from a live worker's word at once, but it holds for no
-     * longer than that word would. */
-    check_row(rows[i].name, took < without + 15);
+    if (rows[i].first_s >= 1e6) without_heartbeats = took;
+    /* A copy can't be told from a live worker's heartbeat, but renews no lease for longer. */
+    check_row(rows[i].name, took < without_heartbeats + 15);
     sim_run_until(at + 60);
     check_row(rows[i].name, !state_has(key));
     check_row(rows[i].name, world_running() == 14);
-    check_counts(rows[i].name);
+    check_reported_running(rows[i].name);
     if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
   }
 }
 
-typedef struct late_row {
+typedef struct delay_row {
   const char *name;
   double share, for_s, least_s, most_s;
   int crash;
   unsigned seeds;
-} late_row;
+} delay_row;
 
-static const late_row k_late_writes[] = {
+static const delay_row k_delays[] = {
     {"a fifth", 0.2, 60, 2, 12, -1, 2},
     {"half", 0.5, 60, 2, 12, -1, 2},
     {"all, for a while", 1, 12, 2, 12, -1, 2},
@@ -213,11 +209,11 @@
     {"half, by minutes", 0.5, 40, 10, 90, -1, 2},
 };
 
-enum { LATE_JOBS = 15 };
+enum { DELAY_JOBS = 15 };
 
-/* Of every kind, size and team; a quarter is cancelled soon. */
-static void submit_of_every_kind(void) {
-  for (unsigned k = 0; k < LATE_JOBS; k++) {
+/* Of every kind, size and team; a quarter is cancelled soon after. */
+static void submit_jobs_of_every_kind(void) {
+  for (unsigned k = 0; k < DELAY_JOBS; k++) {
     const char *id = world_id(k);
     world_submit_job(&(world_job){.id = id,
                                   .kind = k % 3 ? "sweep" : "gang",
@@ -233,24 +229,24 @@
   }
 }
 
-static void all_over(const char *name) {
-  for (unsigned k = 0; k < LATE_JOBS; k++) {
+static void check_all_ended(const char *name) {
+  for (unsigned k = 0; k < DELAY_JOBS; k++) {
     const char *id = world_id(k);
     if (!world_told(id)) print_message("%s: %s is not over\n", name, id);
     check_row(name, world_told(id) && world_tasks_of(id) == 0);
   }
 }
 
-/* The tasks that a start was on its way to as the user was told. */
-static unsigned late_writes_scene(const late_row *row, uint32_t seed_number) {
+/* Returns the tasks whose start was in transit when their cancellation was acknowledged. */
+static unsigned play_delayed_transactions(const delay_row *row, uint32_t seed) {
   char name[80];
-  g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed_number);
-  world_set_up(seed_number, 0);
+  g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed);
+  world_set_up(seed, 0);
   world_capacity(5, 3);
   world_start_nodes();
   sim_run_until(sim_now() + 4);
   double at = sim_now();
-  submit_of_every_kind();
+  submit_jobs_of_every_kind();
   world_lateness(row->least_s, row->most_s);
   world_late_writes(row->share);
   world_cancel_at_end(0.3);
@@ -261,27 +257,26 @@
   sim_run_until(at + row->for_s);
   world_late_writes(0);
   sim_run_until(at + 90 + row->most_s);
-  for (unsigned k = 0; k < 60; k++) { /* nothing comes back either, at any moment */
+  for (unsigned k = 0; k < 60; k++) { /* no removed record comes back at any moment */
     sim_run_until(sim_now() + 1);
     world_check_returned();
   }
   world_result r = world_so_far();
   if (r.broken) fail_msg("%s: %s", name, r.first);
-  check_row(name, r.accepted == LATE_JOBS);
-  all_over(name);
+  check_row(name, r.accepted == DELAY_JOBS);
+  check_all_ended(name);
   return r.late_starts;
 }
 
-/* Transactions without an answer are carried out late, after newer ones of the same
- * controller; jobs of every kind come, end, are called off and archived meanwhile,
- * machines are rented and returned. Afterwards nothing is left of it. */
-static void writes_carried_out_late(void **state) {
+/* Transactions without a response are applied after newer ones of the same controller, while jobs of
+ * every kind come, end, are cancelled and archived, and machines rented and returned. */
+static void delayed_transactions(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_late_writes); i++) {
-    const late_row *row = &k_late_writes[i];
+  for (size_t i = 0; i < G_N_ELEMENTS(k_delays); i++) {
+    const delay_row *row = &k_delays[i];
     unsigned late_starts = 0;
     for (unsigned seed = 0; seed < row->seeds; seed++)
-      late_starts += late_writes_scene(row, (uint32_t)(200 + i * 1000 + seed));
+      late_starts += play_delayed_transactions(row, (uint32_t)(200 + i * 1000 + seed));
     print_message("%s: %u tasks began after a cancellation\n", row->name, late_starts);
   }
 }
@@ -290,7 +285,7 @@
   const char *name, *of;
   double from_s, to_s; /* such writes are late between these */
   bool report;         /* the machine is there and reports, instead of being rented */
-} k_writes_about_gone[] = {
+} k_removed_records[] = {
     {"records of rented machines", "\"set\":\"fc1/machine/", 0, 8, false},
     {"records of machines that report", "\"set\":\"fc1/machine/", 0, 4, true},
     {"addresses of machines", "\"endpoint\":\"10.", 0, 8, false},
@@ -303,15 +298,14 @@
     {"shares of limits", "\"set\":\"fc1/quota", 0, 20, true},
 };
 
-/* What a writer is told nothing of is carried out when what it was about has come, gone
- * and been forgotten: the record of a machine that was returned stays away, nothing is
- * hired, and a job that is over and archived stays so. */
-static void writes_about_what_is_gone(void **state) {
+/* Transactions without a response are applied after the records that they are about were removed: no
+ * returned machine gets a record again, nothing is rented, and archived jobs stay archived. */
+static void delayed_transactions_about_removed_records(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_writes_about_gone); i++) {
-    for (unsigned seed = 0; seed < (strstr(k_writes_about_gone[i].name, "records of") ? 2 : 1); seed++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_removed_records); i++) {
+    for (unsigned seed = 0; seed < (strstr(k_removed_records[i].name, "records of") ? 2 : 1); seed++) {
       char name[80];
-      g_snprintf(name, sizeof name, "%s, seed %zu", k_writes_about_gone[i].name, 300 + i * 10 + seed);
+      g_snprintf(name, sizeof name, "%s, seed %zu", k_removed_records[i].name, 300 + i * 10 + seed);
       world_set_up((uint32_t)(300 + i * 10 + seed), 0);
       world_capacity(4, 0);
       world_return_idle();
@@ -319,7 +313,7 @@
       sim_run_until(sim_now() + 6);
       double at = sim_now();
       world_lateness(45, 60);
-      world_late_only(k_writes_about_gone[i].of);
+      world_late_only(k_removed_records[i].of);
       for (unsigned k = 0; k < 4; k++) {
         const char *id = world_id(k);
         world_submit_job(&(world_job){.id = id,
@@ -330,17 +324,17 @@
                                       .run_s = 2,
                                       .in_s = k * 0.5});
       }
-      sim_run_until(at + k_writes_about_gone[i].from_s);
+      sim_run_until(at + k_removed_records[i].from_s);
       world_late_writes(1);
-      if (k_writes_about_gone[i].report) world_machines_up(0, 2);
-      sim_run_until(at + k_writes_about_gone[i].to_s);
+      if (k_removed_records[i].report) world_machines_up(0, 2);
+      sim_run_until(at + k_removed_records[i].to_s);
       world_late_writes(0);
-      /* The last comes before this. */
+      /* The last delayed transaction is applied by second 61 after `to_s`. */
       unsigned machines = 0;
-      double t = k_writes_about_gone[i].to_s;
+      double t = k_removed_records[i].to_s;
       while (t < 180) {
         sim_run_until(at + t);
-        if (t > k_writes_about_gone[i].to_s + 61) world_check_returned();
+        if (t > k_removed_records[i].to_s + 61) world_check_returned();
         if (t < 40) machines = world_machines();
         t += 0.5;
       }
@@ -356,10 +350,9 @@
   }
 }
 
-/* A team at its limit with more to run than that, and members that come and go, while
- * the records of both are written late: never above the limit, and in the end all are
- * members again and all is done. */
-static void limits_and_members_written_late(void **state) {
+/* Records of quota shares and membership are applied late, with a team at its limit and controllers
+ * that restart: the limit holds, and in the end all are members again and all jobs done. */
+static void delayed_quota_and_membership_records(void **state) {
   (void)state;
   static const struct {
     const char *name, *of;
@@ -411,11 +404,11 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(reports_of_a_lease_that_is_over),
-                                     cmocka_unit_test(reports_overtaken_by_newer_ones),
-                                     cmocka_unit_test(reports_of_the_dead),
-                                     cmocka_unit_test(writes_carried_out_late),
-                                     cmocka_unit_test(writes_about_what_is_gone),
-                                     cmocka_unit_test(limits_and_members_written_late)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(heartbeats_after_lease_expiry),
+                                     cmocka_unit_test(heartbeats_out_of_order),
+                                     cmocka_unit_test(heartbeats_of_a_dead_machine),
+                                     cmocka_unit_test(delayed_transactions),
+                                     cmocka_unit_test(delayed_transactions_about_removed_records),
+                                     cmocka_unit_test(delayed_quota_and_membership_records)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -1,5 +1,5 @@
-/* Changes of leader: every controller owns a part, and any of them may end, come back,
- * or be left out of the term while work runs that nobody may start twice or lose. */
+/* Changes of leader: every controller owns a shard, and any of them may crash, return or be removed
+ * from the term while tasks run that must not be started twice or lost. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -9,27 +9,27 @@
 enum { MACHINES = 12, SERVICES = 4, ARRAYS = 3, GANG = 40, NEW_WORK = 500 };
 enum { LONG_TASKS = SERVICES * 2 + ARRAYS * 3 + 2 };
 
-/* The same scenes with other luck. */
-static uint32_t luck(uint32_t seed) {
+/* LEADERS_SALT: the same scenes with other seeds. */
+static uint32_t salted(uint32_t seed) {
   const char *salt = g_getenv("LEADERS_SALT");
   return seed + 10000 * (uint32_t)(salt ? atoi(salt) : 0);
 }
 
-static unsigned g_long_starts; /* of the long work, before any trouble */
+static unsigned g_first_starts; /* of the long jobs, before any fault */
 
-/* How often the long work has been started since. */
-static unsigned started_again(void) {
+/* How many tasks of the long jobs have been started since. */
+static unsigned restarts(void) {
   unsigned n = world_starts_of(world_id(GANG));
   for (unsigned k = 0; k < SERVICES; k++) n += world_starts_of(world_id(k));
   for (unsigned k = 0; k < ARRAYS; k++) n += world_starts_of(world_id(20 + k));
-  return n - g_long_starts;
+  return n - g_first_starts;
 }
 
-/* Twelve machines, and on them long work of every kind: replicas, tasks of arrays and a
- * gang; about half the room is left. */
-static void long_work(uint32_t seed) {
+/* Twelve machines with long jobs of every kind: services, arrays and a gang; about half the capacity
+ * is left. */
+static void start_long_jobs(uint32_t seed) {
   scene_begin(&(scene_setup){
-      .seed = luck(seed), .capacity = MACHINES / 2, .keep_idle = true, .machines = {MACHINES / 2, MACHINES / 2}});
+      .seed = salted(seed), .capacity = MACHINES / 2, .keep_idle = true, .machines = {MACHINES / 2, MACHINES / 2}});
   scene_submit(&(scene_jobs){.count = SERVICES,
                              .kind = "service",
                              .priority = "prod",
@@ -49,29 +49,29 @@
                              .every_s = 0.1});
   world_submit(world_id(GANG), "gang", "high", 2, 4, 1e6, 5);
   sim_run_until(sim_now() + 20);
-  g_long_starts = 0;
-  g_long_starts = started_again();
+  g_first_starts = 0;
+  g_first_starts = restarts();
   assert_int_equal(world_running(), LONG_TASKS);
 }
 
-/* Short work goes on arriving. */
-static unsigned stream(unsigned first, unsigned count, double every_s) {
+/* Short jobs go on arriving. */
+static unsigned submit_short_jobs(unsigned first, unsigned count, double every_s) {
   for (unsigned i = 0; i < count; i++)
     world_submit(world_id(first + i), "sweep", "standard", 1 + i % 3, 1, 3 + i % 5, i * every_s);
   return count;
 }
 
-static void rules_hold(const char *name) {
+static void check_rules(const char *name) {
   world_result r = world_so_far();
   if (r.broken) fail_msg("row '%s': %u rules broken, first %s", name, r.broken, r.first);
 }
 
-/* The last trouble is over: new work begins within `within_s`, questions about every
- * open job are answered again, at every controller, and 90 s later all that can end has. */
-static void all_is_well(const char *name, double within_s, unsigned running, unsigned finished) {
+/* After the last fault new jobs start within `within_s`, every controller answers queries about every
+ * open job again, and within 90 s all short jobs are done. */
+static void check_recovery(const char *name, double within_s, unsigned running, unsigned finished) {
   double over = sim_now();
   world_submit(world_id(NEW_WORK), "sweep", "standard", 2, 1, 5, 0);
-  world_submit(world_id(NEW_WORK + 1), "service", "standard", 2, 1, 1e6, 0); /* stops nothing to have room */
+  world_submit(world_id(NEW_WORK + 1), "service", "standard", 2, 1, 1e6, 0); /* preempts nothing */
   while (sim_now() < over + within_s &&
          !(world_began(world_id(NEW_WORK)) > 0 && world_began(world_id(NEW_WORK + 1)) > 0))
     sim_run_until(sim_now() + 0.5);
@@ -81,29 +81,29 @@
   unsigned unanswered = world_unanswered(over), kills = world_so_far().lease_kills;
   while (sim_now() < over + 90 && !(world_so_far().finished == finished + 1 && world_running() == running + 2))
     sim_run_until(sim_now() + 1);
-  sim_run_until(sim_now() + 20); /* longer than a lease: it stays so */
+  sim_run_until(sim_now() + 20); /* longer than a lease: no late expiry */
   world_result r = world_so_far();
   print_message(", %u unanswered, %u run, %u done, %u starts, %u lease kills, %u of tasks done before\n", unanswered,
                 world_running(), r.finished, r.starts, r.lease_kills, r.done_starts);
-  rules_hold(name);
+  check_rules(name);
   check_row(name, world_began(world_id(NEW_WORK)) > 0 && world_began(world_id(NEW_WORK + 1)) > 0);
   check_row(name, unanswered == 0);
-  check_row(name, r.lease_kills == kills); /* reports are answered again */
+  check_row(name, r.lease_kills == kills); /* heartbeats are answered again */
   check_row(name, r.accepted == r.submitted);
   check_row(name, r.finished == finished + 1);
   check_row(name, world_running() == running + 2);
   for (unsigned n = 0; n < WORLD_NODES; n++) check_row(name, world_ask(n, "/api/jobs/job-000000") == 200);
 }
 
-/* Ten changes of leader in two minutes, some inside an outage of the state service. */
-static void ten_in_two_minutes(void **state) {
+/* Some of the changes fall into an outage of the key-value store. */
+static void ten_leader_changes_in_two_minutes(void **state) {
   (void)state;
   static const struct {
     const char *name;
     uint32_t seed;
     double back_s;
     unsigned at_once;
-    double out_at_s[3], out_s; /* outages of the state service; 0: none */
+    double out_at_s[3], out_s; /* outages of the key-value store; 0: none */
     bool due;                  /* leases of workers may have ended */
   } rows[] = {
       {"in turn, back in four seconds", 100, 4, 1, {0}, 0, false},
@@ -116,29 +116,29 @@
       {"two at once, with long outages", 106, 4, 2, {9, 44, 82}, 25, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    long_work(rows[i].seed);
-    unsigned done = stream(600, 40, 2.5);
+    start_long_jobs(rows[i].seed);
+    unsigned done = submit_short_jobs(600, 40, 2.5);
     for (unsigned k = 0; k < 3; k++)
       if (rows[i].out_at_s[k] > 0) world_state_down_in(rows[i].out_at_s[k], rows[i].out_s);
     for (unsigned k = 0; k < 10; k++) {
       for (unsigned n = 0; n < rows[i].at_once; n++) world_crash((k + n) % WORLD_NODES, rows[i].back_s);
       sim_run_until(sim_now() + (k < 9 ? 12 : rows[i].back_s));
     }
-    all_is_well(rows[i].name, 15, LONG_TASKS, done);
-    /* What runs long was found, not started anew. */
-    if (!rows[i].due) check_row(rows[i].name, world_so_far().lease_kills == 0 && started_again() == 0);
+    check_recovery(rows[i].name, 15, LONG_TASKS, done);
+    /* Running tasks were found, not restarted. */
+    if (!rows[i].due) check_row(rows[i].name, world_so_far().lease_kills == 0 && restarts() == 0);
   }
 }
 
-/* All controllers are away for longer than a worker's lease: everything on the machines
- * ends, sessions move on, and what was under way to them must not start any more. */
-static void all_away(void **state) {
+/* All controllers are down for longer than a worker's lease: all tasks end, agents begin a new epoch,
+ * and delayed starts must be refused. */
+static void all_controllers_down(void **state) {
   (void)state;
   static const struct {
     const char *name;
     double back_s[WORLD_NODES];
-    bool held;       /* commands to half of the machines are held up until after the leases */
-    bool state_down; /* the state service is out for most of it */
+    bool held;       /* commands to half of the machines are delayed beyond the leases */
+    bool state_down; /* the key-value store is down for most of it */
     bool ends;       /* leases end */
   } rows[] = {
       {"for less than a lease", {7, 7, 7}, false, false, false},
@@ -151,12 +151,12 @@
       {"the state service too", {25, 25, 25}, false, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    long_work(200 + (uint32_t)i);
+    start_long_jobs(200 + (uint32_t)i);
     unsigned done = 0;
     if (rows[i].held)
       for (unsigned m = 0; m < MACHINES; m += 2)
         for (unsigned n = 0; n < WORLD_NODES; n++) world_cut_pair(n, m, 19, SIM_HELD);
-    done += stream(600, 16, 0.1);
+    done += submit_short_jobs(600, 16, 0.1);
     sim_run_until(sim_now() + 1.6);
     if (rows[i].state_down) world_state_down(24);
     double away = sim_now(), last = 0;
@@ -164,24 +164,24 @@
       world_crash(n, rows[i].back_s[n]);
       last = MAX(last, rows[i].back_s[n]);
     }
-    done += stream(700, 8, 1);
+    done += submit_short_jobs(700, 8, 1);
     sim_run_until(away + last);
-    all_is_well(rows[i].name, 15, LONG_TASKS, done);
+    check_recovery(rows[i].name, 15, LONG_TASKS, done);
     check_row(rows[i].name, (world_so_far().lease_kills > 0) == rows[i].ends);
-    check_row(rows[i].name, rows[i].ends ? started_again() >= LONG_TASKS : started_again() == 0);
+    check_row(rows[i].name, rows[i].ends ? restarts() >= LONG_TASKS : restarts() == 0);
   }
 }
 
-/* They hand over and back, all end, and one returns, also within a second, and in the
- * middle of its return. */
-static void over_and_back(void **state) {
+/* All controllers crash, in every order, and one returns, also within a second, and crashes again
+ * while it rejoins. */
+static void leader_changes_during_return(void **state) {
   (void)state;
   static const unsigned orders[][WORLD_NODES] = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
   static const struct {
     const char *name;
     double gap_s, back_s[WORLD_NODES]; /* in the order in which they end */
     unsigned times;
-    const char *again_at; /* the first ends once more right after it next wrote this */
+    const char *again_at; /* the first crashes again right after it next wrote this key */
     double again_after_s, again_back_s;
     /* With a single one left of three a worker may try the two others for longer than its
      * lease has left: four seconds, and one more, each. */
@@ -199,13 +199,13 @@
       {"the last returns alone", 2, {50, 50, 0.5}, 1, NULL, 0, 0, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    /* Two orders a row, each in every third row; all of them with other luck. */
+    /* Two orders a row, each in every third row; with a salt all of them. */
     size_t step = g_getenv("LEADERS_SALT") ? 1 : 3;
     for (size_t o = i % step; o < G_N_ELEMENTS(orders); o += step) {
       char name[100];
       g_snprintf(name, sizeof name, "%s, %u %u %u", rows[i].name, orders[o][0], orders[o][1], orders[o][2]);
-      long_work(300 + (uint32_t)(i * G_N_ELEMENTS(orders) + o));
-      unsigned done = stream(600, 16, 1);
+      start_long_jobs(300 + (uint32_t)(i * G_N_ELEMENTS(orders) + o));
+      unsigned done = submit_short_jobs(600, 16, 1);
       double back_at = 0;
       for (unsigned k = 0; k < rows[i].times; k++) {
         if (rows[i].again_at)
@@ -230,8 +230,8 @@
         world_users_to(-1);
       }
       sim_run_until(MAX(back_at, sim_now()));
-      all_is_well(name, 15, LONG_TASKS, done);
-      if (!rows[i].ends) check_row(name, world_so_far().lease_kills == 0 && started_again() == 0);
+      check_recovery(name, 15, LONG_TASKS, done);
+      if (!rows[i].ends) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
     }
   }
 }
@@ -246,7 +246,7 @@
   double old_reports_s; /* machines' reports of before come again so much later; 0: they don't */
   unsigned die;         /* so many machines die once the first tasks are done */
   unsigned room;        /* whole machines in each zone */
-} k_ends_far_apart[] = {
+} k_completions[] = {
     {"all in turn", 400, 3, 12, 10, 4, NULL, 0, 0, 9},
     {"all in turn, at once back", 401, 3, 8, 9, 0.2, NULL, 0, 0, 9},
     {"all at once", 402, 3, 14, 0, 3, NULL, 0, 0, 9},
@@ -264,65 +264,65 @@
     {"half done where there is no room, at once back", 414, 9, 9, 5, 0.3, NULL, 0, 0, 4},
 };
 
-/* Arrays of a few tasks that end far apart, with changes of leader in between: what is
- * done stays done and is not run again, and the user is told when the last one is. */
-static void ends_far_apart(void **state) {
+/* Arrays whose tasks complete far apart, with changes of leader in between: completed tasks do not run
+ * again, and the job is reported done after its last task. */
+static void completions_across_leader_changes(void **state) {
   (void)state;
   static const unsigned tasks[] = {2, 3, 2, 3, 2, 5};
   unsigned handed = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_ends_far_apart); i++) {
-    scene_begin(&(scene_setup){.seed = luck(k_ends_far_apart[i].seed),
-                               .capacity = k_ends_far_apart[i].room,
+  for (size_t i = 0; i < G_N_ELEMENTS(k_completions); i++) {
+    scene_begin(&(scene_setup){.seed = salted(k_completions[i].seed),
+                               .capacity = k_completions[i].room,
                                .keep_idle = true,
-                               .machines = {k_ends_far_apart[i].room, k_ends_far_apart[i].room}});
-    /* Whole machines: a part holds six, or three, so that some are handed over. */
+                               .machines = {k_completions[i].room, k_completions[i].room}});
+    /* Tasks take a whole machine: a shard has six, or three, so that some slices are handed over. */
     for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++) {
       world_job j = {.id = world_id(k), .kind = "sweep", .tasks = tasks[k], .gpus = 4, .run_s = 8, .in_s = 6};
       j.later_s = 17 + k;
       world_submit_job(&j);
     }
     sim_run_until(sim_now() + 10);
-    double end_at = sim_now() + k_ends_far_apart[i].at_s, last = 0;
-    if (k_ends_far_apart[i].die) {
+    double end_at = sim_now() + k_completions[i].at_s, last = 0;
+    if (k_completions[i].die) {
       sim_run_until(end_at - 3);
-      world_kill(0, k_ends_far_apart[i].die);
+      world_kill(0, k_completions[i].die);
     }
-    for (unsigned k = 0; k < k_ends_far_apart[i].ends; k++) {
-      unsigned n = (k_ends_far_apart[i].seed + k) % WORLD_NODES;
-      sim_run_until(end_at + k * k_ends_far_apart[i].gap_s);
-      for (unsigned m = 0; m < 2 * k_ends_far_apart[i].room && k_ends_far_apart[i].old_reports_s > 0; m++)
-        for (unsigned to = 0; to < WORLD_NODES; to++) world_report_later(m, to, k_ends_far_apart[i].old_reports_s);
-      if (k_ends_far_apart[i].at_write) {
-        world_crash_at_write(n, k_ends_far_apart[i].at_write, 0, k_ends_far_apart[i].back_s);
+    for (unsigned k = 0; k < k_completions[i].ends; k++) {
+      unsigned n = (k_completions[i].seed + k) % WORLD_NODES;
+      sim_run_until(end_at + k * k_completions[i].gap_s);
+      for (unsigned m = 0; m < 2 * k_completions[i].room && k_completions[i].old_reports_s > 0; m++)
+        for (unsigned to = 0; to < WORLD_NODES; to++) world_report_later(m, to, k_completions[i].old_reports_s);
+      if (k_completions[i].at_write) {
+        world_crash_at_write(n, k_completions[i].at_write, 0, k_completions[i].back_s);
       } else {
-        world_crash(n, k_ends_far_apart[i].back_s);
+        world_crash(n, k_completions[i].back_s);
       }
-      if (k_ends_far_apart[i].ends < 3) world_users_to((int)(n + 1) % WORLD_NODES);
+      if (k_completions[i].ends < 3) world_users_to((int)(n + 1) % WORLD_NODES);
     }
     sim_run_until(end_at + 130);
     world_result r = world_so_far();
     for (unsigned n = 0; n < WORLD_NODES; n++) handed += (unsigned)world_counts(n).handed_over;
     for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++) {
       double told = world_told_done_at(world_id(k));
-      check_row(k_ends_far_apart[i].name, told > 0);
+      check_row(k_completions[i].name, told > 0);
       last = MAX(last, told - world_ended_at(world_id(k)));
     }
     print_message("%s: %u starts, %u lease kills, told %.1f s after the end at most, %u handed over so far\n",
-                  k_ends_far_apart[i].name, r.starts, r.lease_kills, last, handed);
-    rules_hold(k_ends_far_apart[i].name);
+                  k_completions[i].name, r.starts, r.lease_kills, last, handed);
+    check_rules(k_completions[i].name);
     /* No lease ends: one controller at least can be reached within it. */
-    check_row(k_ends_far_apart[i].name, r.lease_kills == 0 && r.done_starts == 0);
-    check_row(k_ends_far_apart[i].name, r.finished == G_N_ELEMENTS(tasks));
+    check_row(k_completions[i].name, r.lease_kills == 0 && r.done_starts == 0);
+    check_row(k_completions[i].name, r.finished == G_N_ELEMENTS(tasks));
     /* A worker may first try one that has ended, and its user asks every 4 to 6 s. */
-    check_row(k_ends_far_apart[i].name, last < 20);
+    check_row(k_completions[i].name, last < 20);
     for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++)
-      check_row(k_ends_far_apart[i].name, k_ends_far_apart[i].die > 0 || world_starts_of(world_id(k)) == tasks[k]);
-    check_row(k_ends_far_apart[i].name, r.starts <= 17 + k_ends_far_apart[i].die);
+      check_row(k_completions[i].name, k_completions[i].die > 0 || world_starts_of(world_id(k)) == tasks[k]);
+    check_row(k_completions[i].name, r.starts <= 17 + k_completions[i].die);
   }
   assert_true(handed > 0);
 }
 
-enum { HUNG, MUTE, DEAF, PAIR_HELD, PAIR_RESET, NEXT_HELD, NEXT_RESET, NODE_HELD };
+enum { HUNG, OUTBOUND_CUT, INBOUND_CUT, PAIR_HELD, PAIR_RESET, NEXT_HELD, NEXT_RESET, NODE_HELD };
 static const struct {
   const char *name;
   uint32_t seed;
@@ -330,17 +330,17 @@
   unsigned from, to;            /* machines */
   double for_s, ends_s, back_s; /* the trouble; when the controller ends, from its begin on */
   bool all;                     /* controllers end, one second apart */
-  bool kept;                    /* somebody can always answer them: no work is lost */
-} k_out_of_reach[] = {
+  bool kept;                    /* some controller can always answer the machines: no task is lost */
+} k_unreachable[] = {
     {"hung, for less than a lease", 500, HUNG, 0, 4, 10, 2, 4, false, false},
     {"hung, for longer", 501, HUNG, 0, 4, 25, 2, 4, false, false},
     {"hung, all controllers end", 502, HUNG, 2, 6, 12, 1, 2, true, false},
     {"one hung, its owner back at once", 503, HUNG, 1, 2, 13, 5, 0.2, false, false},
-    {"mute, for less than a lease", 504, MUTE, 0, 4, 9, 1, 4, false, false},
-    {"mute, for longer", 505, MUTE, 4, 8, 30, 4, 4, false, false},
-    {"deaf, for less than a lease", 506, DEAF, 0, 4, 9, 1, 4, false, false},
-    {"deaf, for longer", 507, DEAF, 5, 9, 30, 5, 11, false, false},
-    {"deaf, all controllers end", 508, DEAF, 0, 3, 11, 1, 1, true, false},
+    {"mute, for less than a lease", 504, OUTBOUND_CUT, 0, 4, 9, 1, 4, false, false},
+    {"mute, for longer", 505, OUTBOUND_CUT, 4, 8, 30, 4, 4, false, false},
+    {"deaf, for less than a lease", 506, INBOUND_CUT, 0, 4, 9, 1, 4, false, false},
+    {"deaf, for longer", 507, INBOUND_CUT, 5, 9, 30, 5, 11, false, false},
+    {"deaf, all controllers end", 508, INBOUND_CUT, 0, 3, 11, 1, 1, true, false},
     {"cut from its owner, held", 509, PAIR_HELD, 0, 6, 20, 3, 4, false, true},
     {"cut from its owner, reset", 510, PAIR_RESET, 6, 12, 40, 3, 0.3, false, true},
     {"cut from the others, held", 511, NEXT_HELD, 0, 5, 12, 1, 40, false, true},
@@ -351,50 +351,51 @@
     {"cut from one of the others, for good, another place", 12913, NEXT_RESET, 0, 12, 60, 1, 12, false, true},
 };
 
-/* A controller ends while machines with long tasks can't be reached, or don't hear its
+/* A controller crashes while machines with long tasks are unreachable, or receive nothing from its
  * successor: their tasks are neither started twice nor lost. */
-static void out_of_reach(void **state) {
+static void unreachable_machines_at_a_leader_change(void **state) {
   (void)state;
   const size_t all_nodes = g_getenv("LEADERS_SALT") ? WORLD_NODES : 1;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_out_of_reach) * all_nodes; i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_unreachable) * all_nodes; i++) {
     const size_t at = i / all_nodes;
-    unsigned node = (unsigned)(k_out_of_reach[at].seed + i % all_nodes) % WORLD_NODES;
+    unsigned node = (unsigned)(k_unreachable[at].seed + i % all_nodes) % WORLD_NODES;
     char name[100];
-    g_snprintf(name, sizeof name, "%s, %u", k_out_of_reach[at].name, node);
-    long_work(k_out_of_reach[at].seed + (uint32_t)i * 100);
-    unsigned done = stream(600, 12, 2);
-    unsigned from = k_out_of_reach[at].from, to = k_out_of_reach[at].to;
-    double for_s = k_out_of_reach[at].for_s,
+    g_snprintf(name, sizeof name, "%s, %u", k_unreachable[at].name, node);
+    start_long_jobs(k_unreachable[at].seed + (uint32_t)i * 100);
+    unsigned done = submit_short_jobs(600, 12, 2);
+    unsigned from = k_unreachable[at].from, to = k_unreachable[at].to;
+    double for_s = k_unreachable[at].for_s,
            over = sim_now() +
-                  MAX(for_s, k_out_of_reach[at].ends_s + k_out_of_reach[at].back_s + (k_out_of_reach[at].all ? 2 : 0));
-    if (k_out_of_reach[at].how == HUNG) world_hang(from, to, for_s);
-    if (k_out_of_reach[at].how == MUTE) world_mute(from, to, for_s);
-    if (k_out_of_reach[at].how == DEAF) world_deaf(from, to, for_s);
-    if (k_out_of_reach[at].how == NODE_HELD) world_cut_node(node, for_s, SIM_HELD);
+                  MAX(for_s, k_unreachable[at].ends_s + k_unreachable[at].back_s + (k_unreachable[at].all ? 2 : 0));
+    if (k_unreachable[at].how == HUNG) world_hang(from, to, for_s);
+    if (k_unreachable[at].how == OUTBOUND_CUT) world_mute(from, to, for_s);
+    if (k_unreachable[at].how == INBOUND_CUT) world_deaf(from, to, for_s);
+    if (k_unreachable[at].how == NODE_HELD) world_cut_node(node, for_s, SIM_HELD);
     for (unsigned m = from; m < to; m++) {
-      if (k_out_of_reach[at].how == PAIR_HELD) world_cut_pair(node, m, for_s, SIM_HELD);
-      if (k_out_of_reach[at].how == PAIR_RESET) world_cut_pair(node, m, for_s, SIM_RESET);
-      if (k_out_of_reach[at].how == NEXT_HELD) world_cut_pair((node + 1) % WORLD_NODES, m, for_s, SIM_HELD);
-      if (k_out_of_reach[at].how == NEXT_RESET) world_cut_pair((node + 1 + m % 2) % WORLD_NODES, m, for_s, SIM_RESET);
+      if (k_unreachable[at].how == PAIR_HELD) world_cut_pair(node, m, for_s, SIM_HELD);
+      if (k_unreachable[at].how == PAIR_RESET) world_cut_pair(node, m, for_s, SIM_RESET);
+      if (k_unreachable[at].how == NEXT_HELD) world_cut_pair((node + 1) % WORLD_NODES, m, for_s, SIM_HELD);
+      if (k_unreachable[at].how == NEXT_RESET) world_cut_pair((node + 1 + m % 2) % WORLD_NODES, m, for_s, SIM_RESET);
     }
-    sim_run_until(sim_now() + k_out_of_reach[at].ends_s);
-    for (unsigned k = 0; k < (k_out_of_reach[at].all ? 3 : 1); k++) {
-      world_crash((node + k) % WORLD_NODES, k_out_of_reach[at].back_s);
+    sim_run_until(sim_now() + k_unreachable[at].ends_s);
+    for (unsigned k = 0; k < (k_unreachable[at].all ? 3 : 1); k++) {
+      world_crash((node + k) % WORLD_NODES, k_unreachable[at].back_s);
       sim_run_until(sim_now() + 1);
     }
     sim_run_until(MAX(over, sim_now()));
-    rules_hold(name);
-    all_is_well(name, 15, LONG_TASKS, done);
+    check_rules(name);
+    check_recovery(name, 15, LONG_TASKS, done);
     unsigned gone = world_gone(0, MACHINES);
-    print_message("%s: %u started again, %u returned\n", name, started_again(), gone);
-    if (k_out_of_reach[at].kept) check_row(name, world_so_far().lease_kills == 0 && started_again() == 0);
+    print_message("%s: %u started again, %u returned\n", name, restarts(), gone);
+    if (k_unreachable[at].kept) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
   }
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(ten_in_two_minutes), cmocka_unit_test(all_away),
-                                     cmocka_unit_test(over_and_back), cmocka_unit_test(ends_far_apart),
-                                     cmocka_unit_test(out_of_reach)};
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test(ten_leader_changes_in_two_minutes), cmocka_unit_test(all_controllers_down),
+      cmocka_unit_test(leader_changes_during_return), cmocka_unit_test(completions_across_leader_changes),
+      cmocka_unit_test(unreachable_machines_at_a_leader_change)};
   if (g_getenv("LEADERS_ONLY")) cmocka_set_test_filter(g_getenv("LEADERS_ONLY"));
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,6 +1,5 @@
-/* The state service lowers its limits while controllers serve: sizes keep to the lower ones
- * from the start, the rate follows the refusals. Whole controllers over the simulated
- * transport; the stand-in breaks a rule when it is sent something too large. */
+/* The key-value store lowers its limits while controllers serve: sizes keep to the announced limits
+ * from the start, the write rate adapts to refusals. The stand-in reports anything too large. */
 #include "check.h"
 
 #include "scene.h"
@@ -40,7 +39,7 @@
   world_submit(world_id(JOBS), "sweep", "standard", 150, 0.25, 5, 10);
 }
 
-static void limits_are_lowered(void **state) {
+static void kv_store_limits_are_lowered(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_rows); i++) {
     const limits_row *row = &k_rows[i];
@@ -62,15 +61,15 @@
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     check_row(row->name, r.accepted == JOBS + 1);
     check_row(row->name, r.finished == JOBS + 1);
-    /* Each of three needs a few refusals to come down to the later rate, and while there is
-     * more to write each tries every thirteen seconds whether more is taken again (commit.c). */
+    /* Each of three needs a few refusals to adapt, and while writes are pending each probes for a
+     * higher rate every thirteen seconds (bookkeeping/write_rate.c). */
     check_row(row->name, early <= row->refused && r.over_rate - early <= LATER_S * WORLD_NODES / 13);
   }
 }
 
-/* Many arrays whose tasks end one by one: their ends, which nobody waits for before the last
- * one, leave the write rate to what is submitted meanwhile. */
-static void ends_leave_room_for_submissions(void **state) {
+/* Many arrays whose tasks complete one by one: those writes, which are not urgent before the last one,
+ * leave the write rate to submissions. */
+static void completions_leave_write_rate_for_submissions(void **state) {
   (void)state;
   enum { ARRAYS = 45, SUBMITTED = 60 };
   const scene_setup setup = {
@@ -112,7 +111,7 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(limits_are_lowered),
-                                     cmocka_unit_test(ends_leave_room_for_submissions)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(kv_store_limits_are_lowered),
+                                     cmocka_unit_test(completions_leave_write_rate_for_submissions)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -1,5 +1,4 @@
-/* Where tasks may be, and how much of them at once, while machines, controllers and
- * links fail: zones, limits of teams, more work than room. */
+/* Placement constraints while machines, controllers and links fail: zones, team limits, overload. */
 #include "check.h"
 
 #include "scene.h"
@@ -10,9 +9,9 @@
   while (sim_now() < end && world_so_far().finished < jobs) sim_run_until(MIN(end, sim_now() + 5));
 }
 
-typedef enum { KILLED, HUNG, CUT_OFF, MUTE, DEAF, NOTICED } trouble;
+typedef enum { KILLED, HUNG, CUT_OFF, OUTBOUND_CUT, INBOUND_CUT, SPOT_NOTICE } machine_fault;
 
-static void befalls(trouble what, unsigned machine, double for_s) {
+static void apply_fault(machine_fault what, unsigned machine, double for_s) {
   switch (what) {
     case KILLED:
       world_kill(machine, machine + 1);
@@ -23,10 +22,10 @@
     case CUT_OFF:
       for (unsigned n = 0; n < WORLD_NODES; n++) world_cut_pair(n, machine, for_s, SIM_HELD);
       break;
-    case MUTE:
+    case OUTBOUND_CUT:
       world_mute(machine, machine + 1, for_s);
       break;
-    case DEAF:
+    case INBOUND_CUT:
       world_deaf(machine, machine + 1, for_s);
       break;
     default:
@@ -34,9 +33,9 @@
   }
 }
 
-/* Jobs bound to zones, arrays that are large enough to be split among them, with more
- * arrays than the first zone holds: who places them can't look where others do. */
-static const world_job k_bound[] = {
+/* Jobs bound to zones, with more arrays than the first zone holds: owners of different slices could
+ * choose different zones for one job. */
+static const world_job k_zone_bound_jobs[] = {
     {.id = "job-000001", .kind = "sweep", .tasks = 12, .gpus = 1, .run_s = 25, .one_zone = true},
     {.id = "job-000002", .kind = "sweep", .tasks = 12, .gpus = 1, .run_s = 25, .one_zone = true},
     {.id = "job-000003", .kind = "sweep", .tasks = 9, .gpus = 1, .run_s = 25, .spread = true},
@@ -47,21 +46,21 @@
     {.id = "job-000008", .kind = "gang", .rank = "high", .tasks = 3, .gpus = 2, .run_s = 25, .zone = "b"},
 };
 
-static void submit_bound(double in_s) {
-  for (size_t k = 0; k < G_N_ELEMENTS(k_bound); k++) {
-    world_job j = k_bound[k];
+static void submit_zone_bound_jobs(double in_s) {
+  for (size_t k = 0; k < G_N_ELEMENTS(k_zone_bound_jobs); k++) {
+    world_job j = k_zone_bound_jobs[k];
     j.in_s = in_s + (double)k * 0.05;
     world_submit_job(&j);
   }
 }
 
-/* Each of them loses a machine while controllers come and go: its replacements go where
- * it may be, judged by all of it that may still be anywhere, and it goes on. */
-static void bound_jobs_lose_machines(void **state) {
+/* Each job loses a machine while controllers restart: the replacements are placed in a zone that is
+ * right for all of the job's tasks that may still run. */
+static void zone_bound_jobs_lose_machines(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    trouble what;
+    machine_fault what;
     double for_s;
     unsigned crashes;
     double crash_after_s;
@@ -73,19 +72,19 @@
       {"hung, and two controllers are replaced", HUNG, 20, 2, 3},
       {"cut off for less than a lease", CUT_OFF, 10, 1, 4},
       {"cut off for longer", CUT_OFF, 30, 1, 8},
-      {"mute, and two controllers are replaced", MUTE, 25, 2, 2},
-      {"deaf, and a controller is replaced", DEAF, 25, 1, 5},
-      {"taken with notice", NOTICED, 0, 0, 0},
-      {"taken with notice, all controllers are replaced", NOTICED, 0, 3, 0.5},
+      {"mute, and two controllers are replaced", OUTBOUND_CUT, 25, 2, 2},
+      {"deaf, and a controller is replaced", INBOUND_CUT, 25, 1, 5},
+      {"taken with notice", SPOT_NOTICE, 0, 0, 0},
+      {"taken with notice, all controllers are replaced", SPOT_NOTICE, 0, 3, 0.5},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows) * 2; i++) {
     const unsigned row = (unsigned)i / 2;
     scene_begin(&(scene_setup){.seed = 200 + (uint32_t)i, .capacity = 9, .machines = {7, 7}});
-    submit_bound(5);
+    submit_zone_bound_jobs(5);
     sim_run_until(sim_now() + (i % 2 ? 16 : 22));
-    for (size_t k = 0; k < G_N_ELEMENTS(k_bound); k++) {
-      int at = world_machine_of(k_bound[k].id, 0);
-      if (at >= 0) befalls(rows[row].what, (unsigned)at, rows[row].for_s);
+    for (size_t k = 0; k < G_N_ELEMENTS(k_zone_bound_jobs); k++) {
+      int at = world_machine_of(k_zone_bound_jobs[k].id, 0);
+      if (at >= 0) apply_fault(rows[row].what, (unsigned)at, rows[row].for_s);
     }
     sim_run_until(sim_now() + rows[row].crash_after_s);
     for (unsigned n = 0; n < rows[row].crashes; n++) world_crash(n, i % 2 ? 0.3 : 4);
@@ -100,8 +99,8 @@
   }
 }
 
-/* Services that fill a machine each: room is where they are called off. */
-static void fill(unsigned machines, double in_s) {
+/* One service fills each machine: cancelling it makes room there. */
+static void fill_with_services(unsigned machines, double in_s) {
   for (unsigned k = 0; k < machines; k++) {
     world_submit_job(&(world_job){.id = world_id(100 + k),
                                   .kind = "service",
@@ -113,8 +112,8 @@
   }
 }
 
-/* Makes room on machines of that controller alone; how many. */
-static unsigned make_room_at(unsigned node, unsigned filled) {
+/* Makes room on machines of that controller alone; returns on how many. */
+static unsigned cancel_services_on(unsigned node, unsigned filled) {
   unsigned n = 0;
   for (unsigned k = 0; k < filled; k++) {
     int at = world_machine_of(world_id(100 + k), 0);
@@ -125,47 +124,47 @@
   return n;
 }
 
-static unsigned moved_slices(void) {
+static unsigned handover_count(void) {
   unsigned moved = 0;
   for (unsigned n = 0; n < WORLD_NODES; n++) moved += (unsigned)world_counts(n).handed_over;
   return moved;
 }
 
-typedef struct moved_row {
+typedef struct failover_row {
   const char *name;
   double hang_s, back_in_s;
-} moved_row;
+} failover_row;
 
-enum { MOVED_MACHINES = 18, MOVED_ARRAYS = 3 };
+enum { HANDOVER_MACHINES = 18, HANDOVER_ARRAYS = 3 };
 
-/* One day of it; false: no array was handed over, or none had begun. */
-static bool play_moved_slices(const moved_row *row, uint32_t seed) {
+/* Plays one seed; false: no array was handed over, or none had started. */
+static bool play_handover_and_failover(const failover_row *row, uint32_t seed) {
   scene_begin(&(scene_setup){
-      .seed = seed, .capacity = MOVED_MACHINES / 2, .machines = {MOVED_MACHINES / 2, MOVED_MACHINES / 2}});
-  fill(MOVED_MACHINES, 5);
+      .seed = seed, .capacity = HANDOVER_MACHINES / 2, .machines = {HANDOVER_MACHINES / 2, HANDOVER_MACHINES / 2}});
+  fill_with_services(HANDOVER_MACHINES, 5);
   sim_run_until(sim_now() + 25);
-  const unsigned moved_before = moved_slices();
-  for (unsigned k = 0; k < MOVED_ARRAYS; k++) {
+  const unsigned moved_before = handover_count();
+  for (unsigned k = 0; k < HANDOVER_ARRAYS; k++) {
     world_submit_job(
         &(world_job){.id = world_id(k), .kind = "sweep", .tasks = 20, .gpus = 4, .run_s = 4, .one_zone = true});
   }
   sim_run_until(sim_now() + 5);
-  unsigned freed = make_room_at(1, MOVED_MACHINES);
+  unsigned freed = cancel_services_on(1, HANDOVER_MACHINES);
   sim_run_until(sim_now() + 12);
-  const unsigned moved = moved_slices() - moved_before;
-  for (unsigned m = 0; m < MOVED_MACHINES; m++)
+  const unsigned moved = handover_count() - moved_before;
+  for (unsigned m = 0; m < HANDOVER_MACHINES; m++)
     if (world_node_of(m) == 2) world_hang(m, m + 1, row->hang_s);
   world_crash(2, row->back_in_s);
   world_crash(1, row->back_in_s);
   double from = sim_now();
-  sim_run_until(from + 2); /* what had been sent off */
-  unsigned before[MOVED_ARRAYS], had_begun = 0, go_on = 0;
-  for (unsigned k = 0; k < MOVED_ARRAYS; k++) {
+  sim_run_until(from + 2); /* for starts in transit */
+  unsigned before[HANDOVER_ARRAYS], had_begun = 0, go_on = 0;
+  for (unsigned k = 0; k < HANDOVER_ARRAYS; k++) {
     before[k] = world_starts_of(world_id(k));
     had_begun += before[k] > 0;
   }
   sim_run_until(from + row->back_in_s + 9);
-  for (unsigned k = 0; k < MOVED_ARRAYS; k++) go_on += before[k] > 0 && world_starts_of(world_id(k)) > before[k];
+  for (unsigned k = 0; k < HANDOVER_ARRAYS; k++) go_on += before[k] > 0 && world_starts_of(world_id(k)) > before[k];
   world_result r = world_so_far();
   if (r.broken) fail_msg("%s: %s", row->name, r.first);
   print_message("%s, %u: room for %u, %u moved, %u of %u go on\n", row->name, seed, freed, moved, go_on, had_begun);
@@ -174,13 +173,12 @@
   return true;
 }
 
-/* Arrays were handed over to a controller that is replaced, while machines of another
- * that is replaced too are out of reach: they go on as soon as those machines are known
- * that may hold them, not once every machine of the fleet is. Three days a row, the first
- * in which an array was handed over. */
-static void moved_slices_go_on(void **state) {
+/* Arrays were handed over to a controller that restarts, while machines of another that restarts too
+ * hang: their tasks start again once the machines that may hold them are reconciled, not only once
+ * the whole fleet is. Three seeds a row, the first in which an array was handed over. */
+static void handed_over_slices_after_failover(void **state) {
   (void)state;
-  static const moved_row rows[] = {
+  static const failover_row rows[] = {
       {"every machine answers", 0, 0.3},
       {"another's machines hang", 13, 0.3},
       {"another's machines hang, replaced later", 13, 3},
@@ -189,22 +187,21 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     unsigned played = 0;
     for (uint32_t seed = 0; seed < SEEDS_MOST && played < DAYS; seed++)
-      played += play_moved_slices(&rows[i], 300 + DAYS * (uint32_t)i + seed);
+      played += play_handover_and_failover(&rows[i], 300 + DAYS * (uint32_t)i + seed);
     check_row(rows[i].name, played == DAYS);
   }
 }
 
-/* A zone with a controller in it is cut off from everything for longer than a lease: jobs
- * that may run nowhere else wait and go on there, what is called off meanwhile ends, and
- * its machines serve again. */
-static void a_zone_comes_back(void **state) {
+/* A zone with a controller is partitioned for longer than a lease: jobs bound to it stay pending and
+ * restart there, cancelled jobs end, and its machines are used again. */
+static void zone_partition_heals(void **state) {
   (void)state;
   const unsigned machines = 11;
   static const struct {
     const char *name;
     double for_s;
-    unsigned outside, inside; /* how often a controller is replaced meanwhile */
-    bool state_too;           /* the state service is out as the zone comes back */
+    unsigned outside, inside; /* controllers that restart meanwhile */
+    bool state_too;           /* the key-value store is down as the partition heals */
   } rows[] = {
       {"for one lease", 15, 0, 0, false},    {"for three", 40, 0, 0, false},
       {"for almost five", 66, 0, 0, false},  {"a controller outside is replaced", 40, 1, 0, false},
@@ -214,7 +211,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){
         .seed = 400 + 2 * (uint32_t)i, .capacity = machines, .keep_idle = true, .machines = {machines, machines}});
-    submit_bound(5);
+    submit_zone_bound_jobs(5);
     world_submit_job(&(world_job){.id = "job-000020",
                                   .kind = "service",
                                   .rank = "prod",
@@ -226,7 +223,7 @@
     sim_run_until(sim_now() + (i > 3 ? 14 : 20));
     world_cut_zone(1, rows[i].for_s);
     double back = sim_now() + rows[i].for_s;
-    /* These may run in the lost zone alone, or in one of both. */
+    /* Bound to the partitioned zone, to either zone, and spread over both. */
     world_submit_job(
         &(world_job){.id = "job-000021", .kind = "sweep", .tasks = 8, .gpus = 1, .run_s = 10, .zone = "b"});
     world_submit_job(
@@ -254,27 +251,27 @@
   }
 }
 
-/* A team is at its limit as controllers are replaced and the machines of one of its jobs
- * can't be asked; that job is called off then. What may be on them counts as used; once
- * it is gone for certain the next job of the team begins at once. */
-static void a_limit_and_a_cancellation(void **state) {
+/* A team is at its limit, controllers restart, the machines of one of its jobs are unreachable, and
+ * that job is cancelled. Its tasks count as usage until they are proved gone; then the team's next
+ * job starts at once. */
+static void team_limit_after_a_cancellation(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    trouble what;
+    machine_fault what;
     double for_s;
     unsigned crashes;
-    double within_s; /* of the end of the last task; of a dead one nobody has told */
+    double within_s; /* of the end of the last task; longer where only the lease proves it */
   } rows[] = {
       {"hung for less than a lease, and one is replaced", HUNG, 9, 1, 6},
       {"hung for longer, and one is", HUNG, 25, 1, 6},
       {"hung for longer, and all are", HUNG, 25, 3, 6},
       {"cut off for longer, and one is", CUT_OFF, 25, 1, 6},
       {"cut off for longer, and two are", CUT_OFF, 25, 2, 6},
-      {"deaf, and one is", DEAF, 25, 1, 6},
-      {"deaf, and all are", DEAF, 25, 3, 6},
-      {"mute, and one is", MUTE, 25, 1, 6},
-      {"mute, and two are", MUTE, 25, 2, 6},
+      {"deaf, and one is", INBOUND_CUT, 25, 1, 6},
+      {"deaf, and all are", INBOUND_CUT, 25, 3, 6},
+      {"mute, and one is", OUTBOUND_CUT, 25, 1, 6},
+      {"mute, and two are", OUTBOUND_CUT, 25, 2, 6},
       {"killed, and two are", KILLED, 0, 2, 14},
   };
   unsigned late = 0;
@@ -297,7 +294,7 @@
     check_row(rows[row].name, world_began(world_id(10)) == 0);
     for (unsigned t = 0; t < 3; t++) {
       int at = world_machine_of(world_id(0), t);
-      if (at >= 0) befalls(rows[row].what, (unsigned)at, rows[row].for_s);
+      if (at >= 0) apply_fault(rows[row].what, (unsigned)at, rows[row].for_s);
     }
     const double back_in_s = (const double[]){4, 0.3, 20}[i % 3];
     for (unsigned n = 0; n < rows[row].crashes; n++) world_crash(n, back_in_s);
@@ -305,7 +302,7 @@
     double from = sim_now(), gone = 0, next = 0;
     while (sim_now() < from + 90 && !next) {
       sim_run_until(sim_now() + 0.25);
-      /* Until its user is told it may be started anew. */
+      /* Until the cancellation is acknowledged a task may be restarted. */
       bool is_over = world_cancelled_at(world_id(0)) > 0 && world_tasks_of(world_id(0)) == 0;
       gone = !is_over ? 0 : gone > 0 ? gone : sim_now();
       if (world_tasks_of(world_id(10)) == 3) next = sim_now();
@@ -315,41 +312,41 @@
     print_message("%s, %u: gone after %.1f s, the next all there %.1f s later\n", rows[row].name, (unsigned)i,
                   gone - from, next - gone);
     check_row(rows[row].name, gone > 0 && next > 0);
-    /* With all of them away it is proved when one is back and has asked the machines. */
+    /* With all controllers down it is proved when one is back and has probed the machines. */
     double proved = rows[row].crashes == WORLD_NODES ? MAX(gone, from + back_in_s + 6) : gone;
     if (next - proved > rows[row].within_s) {
       print_message("not so: within %.0f s\n", rows[row].within_s);
       late++;
     }
   }
-  assert_int_equal(late, 0); /* all rows are played: one that is late hides no broken rule of another */
+  assert_int_equal(late, 0); /* after all rows, so that a late one hides no broken rule of another */
 }
 
 static const struct {
   const char *name;
-  double slow_s; /* whatever is sent takes up to so much longer */
+  double slow_s; /* added to the latency of every message, at most */
   unsigned crashes, dead;
-} k_more_work[] = {
+} k_overloads[] = {
     {"slow links", 0.15, 0, 0},
     {"very slow links", 0.6, 0, 0},
     {"slow links, a controller is replaced", 0.3, 1, 0},
     {"slow links, two are replaced and machines die", 0.3, 2, 3},
 };
 
-static const char *const k_rank_names[] = {"prod", "high", "standard", "best_effort"};
-enum { EACH = 12 };
-typedef double sent_at[4][EACH + 1];
+static const char *const k_priority_names[] = {"prod", "high", "standard", "best_effort"};
+enum { PER_PRIORITY = 12 };
+typedef double sent_at[4][PER_PRIORITY + 1];
 
-/* Three times what there is room for, of all ranks alike; the last is the largest. */
-static void submit_of_all_ranks(sent_at sent) {
+/* Three times the capacity, the same of each priority; the last of each is the largest. */
+static void submit_of_all_priorities(sent_at sent) {
   for (unsigned r = 0; r < 4; r++) {
-    for (unsigned k = 0; k <= EACH; k++) {
-      bool large = k == EACH;
+    for (unsigned k = 0; k <= PER_PRIORITY; k++) {
+      bool large = k == PER_PRIORITY;
       double in_s = large ? 10 : 1 + k * 3 + r * 0.2;
       sent[r][k] = sim_now() + in_s;
       world_submit_job(&(world_job){.id = world_id(r * 100 + k),
                                     .kind = r == 1 && (large || k % 3 == 0) ? "gang" : "sweep",
-                                    .rank = k_rank_names[r],
+                                    .rank = k_priority_names[r],
                                     .team = !large && k % 4 == 0 ? "blue" : "red",
                                     .tasks = large ? 10 : 3,
                                     .gpus = large ? 2 : 1 + k % 2,
@@ -361,16 +358,16 @@
   }
 }
 
-/* The more urgent wait less, and no largest one too long. */
-static void check_waits(const char *name, sent_at sent) {
+/* Higher priorities wait less, and the largest jobs at most four minutes. */
+static void check_queue_times(const char *name, sent_at sent) {
   double mean[4] = {0}, largest[4];
   for (unsigned r = 0; r < 4; r++) {
-    for (unsigned k = 0; k <= EACH; k++) {
+    for (unsigned k = 0; k <= PER_PRIORITY; k++) {
       check_row(name, world_began(world_id(r * 100 + k)) > 0);
-      if (k < EACH) mean[r] += (world_began(world_id(r * 100 + k)) - sent[r][k]) / EACH;
+      if (k < PER_PRIORITY) mean[r] += (world_began(world_id(r * 100 + k)) - sent[r][k]) / PER_PRIORITY;
     }
-    largest[r] = world_began(world_id(r * 100 + EACH)) - sent[r][EACH];
-    print_message(" %s %.1f s (largest %.1f)", k_rank_names[r], mean[r], largest[r]);
+    largest[r] = world_began(world_id(r * 100 + PER_PRIORITY)) - sent[r][PER_PRIORITY];
+    print_message(" %s %.1f s (largest %.1f)", k_priority_names[r], mean[r], largest[r]);
   }
   print_message("\n");
   for (unsigned r = 0; r < 4; r++) {
@@ -379,35 +376,34 @@
   }
 }
 
-/* More work than room, of every rank, while links are slow and machines and controllers
- * fail: the urgent goes first, nothing starves, the largest of each kind begin within four
- * minutes, and once the troubles are over nothing waits beside room. */
-static void more_work_than_room(void **state) {
+/* Overload of every priority with slow links and failing machines and controllers: higher priorities
+ * go first, nothing starves, and after the faults nothing is pending beside free capacity. */
+static void overload_by_priority(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_more_work); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_overloads); i++) {
     scene_begin(&(scene_setup){.seed = 600 + (uint32_t)i, .capacity = 6, .machines = {5, 5}});
     sim_run_until(sim_now() + 5);
-    world_slow_links(70, k_more_work[i].slow_s);
+    world_slow_links(70, k_overloads[i].slow_s);
     sent_at sent;
-    submit_of_all_ranks(sent);
+    submit_of_all_priorities(sent);
     sim_run_until(sim_now() + 30);
-    world_kill(0, k_more_work[i].dead);
-    for (unsigned n = 0; n < k_more_work[i].crashes; n++) world_crash(n, 4);
+    world_kill(0, k_overloads[i].dead);
+    for (unsigned n = 0; n < k_overloads[i].crashes; n++) world_crash(n, 4);
     world_troubles_end(50);
-    run_until_done(4 * (EACH + 1), 260);
+    run_until_done(4 * (PER_PRIORITY + 1), 260);
     world_result res = world_so_far();
-    if (res.broken) fail_msg("%s: %s", k_more_work[i].name, res.first);
-    print_message("%s: %u of %u done; mean wait", k_more_work[i].name, res.finished, 4 * (EACH + 1));
-    check_waits(k_more_work[i].name, sent);
-    check_row(k_more_work[i].name, res.finished == 4 * (EACH + 1));
+    if (res.broken) fail_msg("%s: %s", k_overloads[i].name, res.first);
+    print_message("%s: %u of %u done; mean wait", k_overloads[i].name, res.finished, 4 * (PER_PRIORITY + 1));
+    check_queue_times(k_overloads[i].name, sent);
+    check_row(k_overloads[i].name, res.finished == 4 * (PER_PRIORITY + 1));
   }
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(bound_jobs_lose_machines), cmocka_unit_test(moved_slices_go_on),
-      cmocka_unit_test(a_zone_comes_back),        cmocka_unit_test(a_limit_and_a_cancellation),
-      cmocka_unit_test(more_work_than_room),
+      cmocka_unit_test(zone_bound_jobs_lose_machines), cmocka_unit_test(handed_over_slices_after_failover),
+      cmocka_unit_test(zone_partition_heals),          cmocka_unit_test(team_limit_after_a_cancellation),
+      cmocka_unit_test(overload_by_priority),
   };
   /* One of them alone, or all but one. */
   cmocka_set_test_filter(g_getenv("PLACES_ONLY"));
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,5 +1,5 @@
-/* What users ask meets the end of a job, and what they ask may be odd: over whole
- * controllers, with every answer timed and compared with what is committed. */
+/* Requests at the completion of a job, invalid requests and repeated ones, to whole controllers:
+ * every reply is timed and compared with what is committed. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -7,21 +7,21 @@
 #include "scene.h"
 #include "sim/requests.h"
 
-#define LOOK_UP_S 0.3 /* archived jobs are looked up at a bounded rate */
-#define SOON_S 0.01   /* while a later answer is as good */
-#define AT_ONCE_S 0.3 /* nobody is held: a few exchanges, and no waiting */
+#define ARCHIVE_LOOKUP_S 0.3 /* archived jobs are looked up at a bounded rate */
+#define NEXT_REQUEST_S 0.01  /* between requests that may be answered with 503 */
+#define IMMEDIATE_S 0.3      /* a few exchanges: no request waits */
 
-/* ---- the end of a job ---- */
+/* ---- completion of a job ---- */
 
 #define JOB_ID "job-000001"
 
-typedef struct end_row {
+typedef struct completion_row {
   const char *name, *kind;
   unsigned tasks;
-  double slow_s; /* answers of the state service take up to so long */
-} end_row;
+  double slow_s; /* responses of the key-value store take up to so long */
+} completion_row;
 
-static void set_scene(const end_row *row) {
+static void start_one_job(const completion_row *row) {
   scene_begin(&(scene_setup){.seed = 11, .capacity = 8, .keep_idle = true, .machines = {2, 1}});
   world_submit(JOB_ID, row->kind, "standard", row->tasks, 1, 6, 5);
   sim_run_until(sim_now() + 6);
@@ -36,34 +36,34 @@
           state_says("fc1over/" JOB_ID, strcmp(status, "done") == 0 ? "\"done\":true" : "\"done\":false"));
 }
 
-/* All three at the same moment, each in three ways. Where the state service is slow one
- * may have to be asked again; nobody may say anything else. */
-static void all_say(const char *name, const char *status, const char *body, bool now) {
+/* All three controllers at the same moment, by three kinds of request. Unless `exact` a controller may
+ * answer 503, as with a slow key-value store; no other status is right. */
+static void check_all_replies(const char *name, const char *status, const char *body, bool exact) {
   world_reply r[WORLD_NODES * 3];
   char says[40];
   g_snprintf(says, sizeof says, "\"status\":\"%s\"", status);
   for (unsigned n = 0; n < WORLD_NODES; n++) {
-    world_reply *three = &r[(size_t)n * 3];
-    world_send(&three[0], n, "GET", "/api/jobs/" JOB_ID, "");
-    world_send(&three[1], n, "POST", "/api/jobs", body);
-    world_send(&three[2], n, "POST", "/api/jobs/" JOB_ID "/withdraw", "");
+    world_reply *replies = &r[(size_t)n * 3];
+    world_send(&replies[0], n, "GET", "/api/jobs/" JOB_ID, "");
+    world_send(&replies[1], n, "POST", "/api/jobs", body);
+    world_send(&replies[2], n, "POST", "/api/jobs/" JOB_ID "/withdraw", "");
   }
-  sim_run_until(sim_now() + 8.1); /* none outlives this */
+  sim_run_until(sim_now() + 8.1); /* the longest that a request takes */
   for (unsigned i = 0; i < G_N_ELEMENTS(r); i++) {
     bool fits = r[i].status == 200 && strstr(r[i].body, says);
-    if (!fits && (now || r[i].status != 503))
+    if (!fits && (exact || r[i].status != 503))
       print_message("%s: wanted %s, %u said %d %s\n", name, status, i / 3, r[i].status, r[i].body);
-    check_row(name, fits || (!now && r[i].status == 503));
+    check_row(name, fits || (!exact && r[i].status == 503));
   }
 }
 
-static const char k_body[] = "{\"id\":\"" JOB_ID "\"}"; /* a repeat is one whatever else it says */
+static const char k_body[] = "{\"id\":\"" JOB_ID "\"}"; /* a repeated submission, whatever else it holds */
 
-/* The cancellation is asked for at `at`, with a question and a repeated submission to
- * the other two at the same moment. */
-static const char *meet(const end_row *row, double at, unsigned node) {
+/* A cancellation at `at`, with a query and a repeated submission to the other two controllers at the
+ * same moment. Returns the state that was acknowledged. */
+static const char *cancel_and_ask_at(const completion_row *row, double at, unsigned node) {
   char name[120];
-  set_scene(row);
+  start_one_job(row);
   sim_run_until(at);
   world_cancel(JOB_ID, (int)node, 0);
   world_reply asked, again;
@@ -75,8 +75,8 @@
   g_snprintf(name, sizeof name, "%s, asked %+.3f s after the end, told %s", row->name, at - world_ended_at(JOB_ID),
              told ? told : "nothing");
   check_row(name, told);
-  check_row(name, committed(told)); /* at the very moment at which the user hears it */
-  all_say(name, told, k_body, row->slow_s <= 0);
+  check_row(name, committed(told)); /* by the moment of the reply */
+  check_all_replies(name, told, k_body, row->slow_s <= 0);
   for (unsigned k = 0; k < 2; k++) {
     const world_reply *r = k ? &again : &asked;
     bool says_final = strstr(r->body, "\"status\":\"done\"") || strstr(r->body, "\"status\":\"cancelled\"");
@@ -87,15 +87,15 @@
   }
   sim_run_until(sim_now() + 30); /* it has been archived meanwhile */
   check_row(name, committed(told));
-  all_say(name, told, k_body, row->slow_s <= 0);
+  check_all_replies(name, told, k_body, row->slow_s <= 0);
   check_row(name, world_tasks_of(JOB_ID) == 0);
   if (world_so_far().broken) fail_msg("%s: %s", name, world_so_far().first);
   return told;
 }
 
-static void asked_at_the_end(void **state) {
+static void requests_at_job_completion(void **state) {
   (void)state;
-  static const end_row rows[] = {
+  static const completion_row rows[] = {
       {"one task", "sweep", 1, 0},
       {"an array", "sweep", 6, 0},
       {"a gang", "gang", 3, 0},
@@ -107,7 +107,7 @@
   static const double after_end[] = {-0.4, -0.05, 0, 0.02, 0.1, 0.25};
   static const double after_write[] = {-0.05, -0.01, -0.004, -0.001, 0.002, 0.02};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    set_scene(&rows[i]);
+    start_one_job(&rows[i]);
     double patience = sim_now() + 40;
     while (world_ended_at(JOB_ID) <= 0 && sim_now() < patience) sim_run_until(sim_now() + 0.01);
     double end = world_ended_at(JOB_ID);
@@ -118,7 +118,7 @@
     unsigned done = 0, cancelled = 0;
     for (size_t k = 0; k < G_N_ELEMENTS(after_end) + G_N_ELEMENTS(after_write); k++) {
       double at = k < G_N_ELEMENTS(after_end) ? end + after_end[k] : write + after_write[k - G_N_ELEMENTS(after_end)];
-      const char *told = meet(&rows[i], at, (unsigned)(k + i) % WORLD_NODES);
+      const char *told = cancel_and_ask_at(&rows[i], at, (unsigned)(k + i) % WORLD_NODES);
       if (strcmp(told, "done") == 0) {
         done++;
       } else {
@@ -127,11 +127,11 @@
     }
     print_message("%s: written %.3f s after the end; %u done, %u cancelled\n", rows[i].name, write - end, done,
                   cancelled);
-    check_row(rows[i].name, done > 0 && cancelled > 0); /* or they have not met */
+    check_row(rows[i].name, done > 0 && cancelled > 0); /* or the requests missed the completion */
   }
 }
 
-/* ---- odd requests ---- */
+/* ---- invalid and repeated requests ---- */
 
 /* A valid one of every field; a case replaces one, or takes it out. */
 static const struct {
@@ -179,43 +179,44 @@
   if (!fits || r->took > within_s) print_message("%s: %d %s after %.3f s\n", name, r->status, r->body, r->took);
   check_row(name, fits);
   check_row(name, r->took <= within_s);
-  /* Who is to come back is told when. */
+  /* A refusal says when to retry. */
   check_row(name, (r->status != 503 && r->status != 429) || r->retry_after > 0);
 }
 
-/* One case of each field being missing, null and ill-typed. `later` may be answered
- * instead: what is to be said can't be known yet. Returns how often it was 400. */
-static unsigned malformed(const char *when, const char *id, unsigned node, bool later, double within_s) {
+/* Each field missing, null and of other types. Returns the replies of 400; with
+ * `unavailable_allowed` the controller may not know enough yet and answer 503. */
+static unsigned check_malformed(const char *when, const char *id, unsigned node, bool unavailable_allowed,
+                                double within_s) {
   unsigned refused = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(k_fields); i++) {
     for (int k = -2; k < (int)G_N_ELEMENTS(k_fields[i].wrong); k++) {
       const char *value = k == -2 ? NULL : k == -1 ? "null" : k_fields[i].wrong[k];
       if (k >= 0 && !value) break;
-      if (k < 0 && k_fields[i].may_be_null) continue; /* valid: see accepted_without */
+      if (k < 0 && k_fields[i].may_be_null) continue; /* valid: checked elsewhere */
       char *body = body_with(id, k_fields[i].field, value), name[160];
       g_snprintf(name, sizeof name, "%s: %s %s", when, k_fields[i].field, value ? value : "missing");
       world_reply r = world_request(node, "POST", "/api/jobs", body);
-      check_reply(name, &r, r.status == 400 || (later && r.status == 503), within_s);
+      check_reply(name, &r, r.status == 400 || (unavailable_allowed && r.status == 503), within_s);
       refused += r.status == 400;
       g_free(body);
-      sim_run_until(sim_now() + (later ? SOON_S : LOOK_UP_S));
+      sim_run_until(sim_now() + (unavailable_allowed ? NEXT_REQUEST_S : ARCHIVE_LOOKUP_S));
     }
   }
   static const char *const bodies[] = {"", "hello", "[]", "null", "1", "\"job-000412\"", "{", "{}", "{}x", "\xff{}"};
   for (size_t i = 0; i < G_N_ELEMENTS(bodies); i++) {
     world_reply r = world_request(node, "POST", "/api/jobs", bodies[i]);
-    check_reply(when, &r, r.status == 400 || (later && r.status == 503), within_s);
+    check_reply(when, &r, r.status == 400 || (unavailable_allowed && r.status == 503), within_s);
     refused += r.status == 400;
   }
   return refused;
 }
 
-typedef struct odd {
+typedef struct infeasible_case {
   const char *name, *field, *value, *says;
-} odd;
+} infeasible_case;
 
-/* For a new job 422, and for a known one its state. */
-static const odd k_impossible[] = {
+/* A new job is refused with 422; for a known one the reply is its state. */
+static const infeasible_case k_infeasible[] = {
     {"an unknown team", "club", "\"green\"", "team"},
     {"more gpus than any machine", "gpus", "5", "machine"},
     {"more cpus than any machine", "cpus", "41", "machine"},
@@ -224,20 +225,21 @@
     {"an unknown zone", "ground", "\"z\"", "machine"},
 };
 
-static void repeats(const char *when, const char *id, const char *status, bool later, double within_s) {
+static void check_repeated_submissions(const char *when, const char *id, const char *status, bool unavailable_allowed,
+                                       double within_s) {
   char says[60], path[64], name[160], *huge = g_strnfill(200, 'x');
   g_snprintf(says, sizeof says, "\"id\":\"%s\",\"status\":\"%s\"", id, status);
   GPtrArray *bodies = g_ptr_array_new_with_free_func(g_free);
   g_ptr_array_add(bodies, g_strdup_printf("{\"id\":\"%s\"}", id));
   g_ptr_array_add(bodies, body_with(id, NULL, NULL));
   g_ptr_array_add(bodies, body_with(id, "runs", "99"));
-  for (size_t i = 0; i < G_N_ELEMENTS(k_impossible); i++)
-    g_ptr_array_add(bodies, body_with(id, k_impossible[i].field, k_impossible[i].value));
+  for (size_t i = 0; i < G_N_ELEMENTS(k_infeasible); i++)
+    g_ptr_array_add(bodies, body_with(id, k_infeasible[i].field, k_infeasible[i].value));
   for (size_t i = 1; i < G_N_ELEMENTS(k_fields); i++) {
     g_ptr_array_add(bodies, body_with(id, k_fields[i].field, NULL));
     g_ptr_array_add(bodies, body_with(id, k_fields[i].field, k_fields[i].wrong[0]));
   }
-  /* Well-formed, and more than one value of the state service holds. */
+  /* Valid, but larger than a value of the key-value store. */
   GString *types = g_string_new("[\"g4\"");
   for (unsigned i = 0; i < 60; i++) g_string_append_printf(types, ",\"%s%u\"", huge, i);
   g_string_append_c(types, ']');
@@ -246,8 +248,9 @@
   for (guint i = 0; i < bodies->len; i++) {
     g_snprintf(name, sizeof name, "%s: repeat of a job that is %s: %.60s", when, status, (char *)bodies->pdata[i]);
     world_reply r = world_request(i % WORLD_NODES, "POST", "/api/jobs", bodies->pdata[i]);
-    check_reply(name, &r, (r.status == 200 && strstr(r.body, says)) || (later && r.status == 503), within_s);
-    sim_run_until(sim_now() + (later ? SOON_S : LOOK_UP_S));
+    check_reply(name, &r, (r.status == 200 && strstr(r.body, says)) || (unavailable_allowed && r.status == 503),
+                within_s);
+    sim_run_until(sim_now() + (unavailable_allowed ? NEXT_REQUEST_S : ARCHIVE_LOOKUP_S));
   }
   g_ptr_array_free(bodies, TRUE);
   g_free(huge);
@@ -255,24 +258,26 @@
   g_snprintf(path, sizeof path, "/api/jobs/%s/withdraw", id);
   for (unsigned n = 0; n < WORLD_NODES; n++) {
     world_reply r = world_request(n, "POST", path, "");
-    check_reply(when, &r, (r.status == 200 && strstr(r.body, says)) || (later && r.status == 503), within_s);
+    check_reply(when, &r, (r.status == 200 && strstr(r.body, says)) || (unavailable_allowed && r.status == 503),
+                within_s);
   }
 }
 
-static void impossible(const char *when, unsigned node, bool later, double within_s) {
-  for (size_t i = 0; i < G_N_ELEMENTS(k_impossible); i++) {
-    char *body = body_with("job-700000", k_impossible[i].field, k_impossible[i].value), name[160];
-    g_snprintf(name, sizeof name, "%s: %s", when, k_impossible[i].name);
+static void check_infeasible(const char *when, unsigned node, bool unavailable_allowed, double within_s) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_infeasible); i++) {
+    char *body = body_with("job-700000", k_infeasible[i].field, k_infeasible[i].value), name[160];
+    g_snprintf(name, sizeof name, "%s: %s", when, k_infeasible[i].name);
     world_reply r = world_request(node, "POST", "/api/jobs", body);
-    check_reply(name, &r, (r.status == 422 && strstr(r.body, k_impossible[i].says)) || (later && r.status == 503),
+    check_reply(name, &r,
+                (r.status == 422 && strstr(r.body, k_infeasible[i].says)) || (unavailable_allowed && r.status == 503),
                 within_s);
     g_free(body);
-    sim_run_until(sim_now() + (later ? SOON_S : LOOK_UP_S));
+    sim_run_until(sim_now() + (unavailable_allowed ? NEXT_REQUEST_S : ARCHIVE_LOOKUP_S));
   }
 }
 
-/* Nothing of what was refused is anybody's job. */
-static void refused_are_unknown(const char *when) {
+/* No refused submission left a job. */
+static void check_refused_are_unknown(const char *when) {
   static const char *const ids[] = {"job-600000", "job-700000"};
   for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
     char path[64], key[64];
@@ -284,8 +289,8 @@
   }
 }
 
-/* A job that is done, one that runs, one that waits. */
-static void three_jobs(void) {
+/* One job that is done, one that runs, one that is pending. */
+static void start_three_jobs(void) {
   world_capacity(6, 0);
   world_keep_idle();
   world_start_nodes();
@@ -299,23 +304,23 @@
   assert_true(world_began("job-000002") > 0);
 }
 
-static void check_known(const char *when, bool later, double within_s) {
-  repeats(when, "job-000001", "done", later, within_s);
-  repeats(when, "job-000002", "running", later, within_s);
-  repeats(when, "job-000003", "pending", later, within_s);
+static void check_known_jobs(const char *when, bool unavailable_allowed, double within_s) {
+  check_repeated_submissions(when, "job-000001", "done", unavailable_allowed, within_s);
+  check_repeated_submissions(when, "job-000002", "running", unavailable_allowed, within_s);
+  check_repeated_submissions(when, "job-000003", "pending", unavailable_allowed, within_s);
 }
 
-static void odd_requests(void **state) {
+static void invalid_and_repeated_requests(void **state) {
   (void)state;
   world_set_up(21, 0);
-  three_jobs();
+  start_three_jobs();
   for (unsigned n = 0; n < WORLD_NODES; n++) {
-    assert_true(malformed("calm", "job-600000", n, false, AT_ONCE_S) > 100);
-    impossible("calm", n, false, AT_ONCE_S);
+    assert_true(check_malformed("calm", "job-600000", n, false, IMMEDIATE_S) > 100);
+    check_infeasible("calm", n, false, IMMEDIATE_S);
   }
-  check_known("calm", false, AT_ONCE_S);
-  refused_are_unknown("calm");
-  /* What may be null may be left out. */
+  check_known_jobs("calm", false, IMMEDIATE_S);
+  check_refused_are_unknown("calm");
+  /* Fields that may be null may be absent. */
   unsigned id = 800000;
   for (size_t i = 0; i < G_N_ELEMENTS(k_fields); i++) {
     for (unsigned k = 0; k < 2 && k_fields[i].may_be_null; k++) {
@@ -323,18 +328,18 @@
       g_snprintf(name, sizeof name, "job-%06u", id++);
       char *body = body_with(name, k_fields[i].field, k ? "null" : NULL);
       world_reply r = world_request(k, "POST", "/api/jobs", body);
-      check_reply(k_fields[i].field, &r, r.status == 201, AT_ONCE_S);
+      check_reply(k_fields[i].field, &r, r.status == 201, IMMEDIATE_S);
       g_free(body);
     }
   }
   sim_run_until(sim_now() + 40); /* archived by now */
   assert_true(state_has("fc1over/job-000001"));
-  check_known("later", false, AT_ONCE_S);
+  check_known_jobs("later", false, IMMEDIATE_S);
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* Of an array one task, of a gang or a service all of them, of either kind. */
-static void limits(void **state) {
+/* One task of an array, or all tasks of a gang or service, must fit the limit on CPUs and on GPUs. */
+static void submissions_against_a_team_limit(void **state) {
   (void)state;
   static const struct {
     const char *name, *kind;
@@ -366,16 +371,16 @@
     for (unsigned n = 0; n < WORLD_NODES; n++) {
       world_reply r = world_request(n, "POST", "/api/jobs", body);
       bool known = n > 0 && rows[i].status == 201;
-      check_reply(rows[i].name, &r, r.status == (known ? 200 : rows[i].status), AT_ONCE_S);
+      check_reply(rows[i].name, &r, r.status == (known ? 200 : rows[i].status), IMMEDIATE_S);
       check_row(rows[i].name, r.status != 422 || strstr(r.body, "limit"));
     }
     g_free(body);
   }
 }
 
-/* Who has just started knows nothing yet: it says so, and refuses nothing that was
- * accepted, accepts nothing that can't run, and holds nobody. */
-static void odd_requests_after_a_takeover(void **state) {
+/* A controller that has just started answers 503 at once: it neither refuses accepted jobs nor
+ * accepts infeasible ones. */
+static void invalid_requests_after_failover(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -392,38 +397,38 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_set_up(23 + (uint32_t)i, 0);
-    three_jobs();
+    start_three_jobs();
     for (unsigned n = 0; n < rows[i].crashed; n++) world_crash(n, rows[i].back_s);
     sim_run_until(sim_now() + rows[i].wait_s);
-    impossible(rows[i].name, 0, true, AT_ONCE_S);
+    check_infeasible(rows[i].name, 0, true, IMMEDIATE_S);
     world_reply r = world_request(0, "POST", "/api/jobs", "{\"id\":\"job-000002\",\"squad\":1}");
-    check_reply(rows[i].name, &r, r.status == 200 || r.status == 503, AT_ONCE_S);
-    (void)malformed(rows[i].name, "job-600000", 0, true, AT_ONCE_S);
-    check_known(rows[i].name, true, AT_ONCE_S);
+    check_reply(rows[i].name, &r, r.status == 200 || r.status == 503, IMMEDIATE_S);
+    (void)check_malformed(rows[i].name, "job-600000", 0, true, IMMEDIATE_S);
+    check_known_jobs(rows[i].name, true, IMMEDIATE_S);
     sim_run_until(sim_now() + 10);
-    assert_true(malformed(rows[i].name, "job-600000", 0, false, AT_ONCE_S) > 100);
-    impossible(rows[i].name, 0, false, AT_ONCE_S);
-    check_known(rows[i].name, false, AT_ONCE_S);
-    refused_are_unknown(rows[i].name);
+    assert_true(check_malformed(rows[i].name, "job-600000", 0, false, IMMEDIATE_S) > 100);
+    check_infeasible(rows[i].name, 0, false, IMMEDIATE_S);
+    check_known_jobs(rows[i].name, false, IMMEDIATE_S);
+    check_refused_are_unknown(rows[i].name);
     if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
   }
 }
 
-/* Without the state service nobody can say that a job is not known: neither 400 nor
- * 422 for what can be read as a job's, and nobody waits to hear that. */
-static void odd_requests_in_an_outage(void **state) {
+/* Without the key-value store no controller can know that a job is unknown: it answers 503 at once,
+ * neither 400 nor 422, to whatever names a job. */
+static void invalid_requests_in_a_kv_store_outage(void **state) {
   (void)state;
   world_set_up(31, 0);
-  three_jobs();
+  start_three_jobs();
   double began = sim_now();
   world_state_down(60);
   world_reply first = world_request(0, "POST", "/api/jobs", "{\"id\":\"job-000002\"}");
   check_reply("not noticed yet", &first, first.status == 503, 2.1);
   sim_run_until(began + 6);
-  for (size_t i = 0; i < G_N_ELEMENTS(k_impossible); i++) {
-    char *body = body_with("job-700000", k_impossible[i].field, k_impossible[i].value);
+  for (size_t i = 0; i < G_N_ELEMENTS(k_infeasible); i++) {
+    char *body = body_with("job-700000", k_infeasible[i].field, k_infeasible[i].value);
     world_reply r = world_request((unsigned)i % WORLD_NODES, "POST", "/api/jobs", body);
-    check_reply(k_impossible[i].name, &r, r.status == 503, AT_ONCE_S);
+    check_reply(k_infeasible[i].name, &r, r.status == 503, IMMEDIATE_S);
     g_free(body);
   }
   static const struct {
@@ -438,24 +443,24 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_reply r = world_request((unsigned)i % WORLD_NODES, "POST", "/api/jobs", rows[i].body);
-    check_reply(rows[i].name, &r, r.status == rows[i].status, AT_ONCE_S);
+    check_reply(rows[i].name, &r, r.status == rows[i].status, IMMEDIATE_S);
   }
-  unsigned n = malformed("in an outage", "job-600000", 1, true, AT_ONCE_S);
+  unsigned n = check_malformed("in an outage", "job-600000", 1, true, IMMEDIATE_S);
   print_message("in an outage %u were told 400\n", n);
-  check_known("in an outage", true, AT_ONCE_S);
+  check_known_jobs("in an outage", true, IMMEDIATE_S);
   world_reply over = world_request(2, "POST", "/api/jobs/job-000001/withdraw", "");
-  check_reply("a done job is called off", &over, over.status == 200 && strstr(over.body, "done"), AT_ONCE_S);
+  check_reply("a done job is called off", &over, over.status == 200 && strstr(over.body, "done"), IMMEDIATE_S);
   sim_run_until(began + 75);
-  assert_true(malformed("after it", "job-600000", 1, false, AT_ONCE_S) > 100);
-  impossible("after it", 1, false, AT_ONCE_S);
-  check_known("after it", false, AT_ONCE_S);
-  refused_are_unknown("after it");
+  assert_true(check_malformed("after it", "job-600000", 1, false, IMMEDIATE_S) > 100);
+  check_infeasible("after it", 1, false, IMMEDIATE_S);
+  check_known_jobs("after it", false, IMMEDIATE_S);
+  check_refused_are_unknown("after it");
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* Accepted by one a moment ago, and asked about elsewhere where word of it has not come
- * yet: nobody calls it unknown, malformed or impossible. */
-static void odd_requests_about_what_was_just_accepted(void **state) {
+/* Another controller that has not learned of the job yet must not call it unknown, malformed or
+ * infeasible. */
+static void requests_about_jobs_just_accepted(void **state) {
   (void)state;
   world_set_up(51, 0);
   world_start_nodes();
@@ -487,44 +492,44 @@
     for (unsigned k = 0; k < 4; k++) g_free(bodies[k]);
   }
   print_message("of 120 answers %u knew it\n", known);
-  assert_true(known > 60); /* a refusal to all would prove nothing */
+  assert_true(known > 60); /* refusing all would prove nothing */
 }
 
-static void odd_requests_before_types_are_known(void **state) {
+static void invalid_requests_before_machine_types_are_known(void **state) {
   (void)state;
   world_set_up(41, 0);
   world_cloud_down(true);
   world_start_nodes();
   sim_run_until(sim_now() + 6);
   for (unsigned n = 0; n < WORLD_NODES; n++) {
-    for (size_t i = 0; i <= G_N_ELEMENTS(k_impossible); i++) {
-      bool last = i == G_N_ELEMENTS(k_impossible); /* one that can run */
+    for (size_t i = 0; i <= G_N_ELEMENTS(k_infeasible); i++) {
+      bool last = i == G_N_ELEMENTS(k_infeasible); /* a feasible one */
       char *body = last ? body_with("job-700000", NULL, NULL)
-                        : body_with("job-700000", k_impossible[i].field, k_impossible[i].value);
+                        : body_with("job-700000", k_infeasible[i].field, k_infeasible[i].value);
       world_reply r = world_request(n, "POST", "/api/jobs", body);
-      check_reply(last ? "a good one" : k_impossible[i].name, &r, r.status == 503, AT_ONCE_S);
+      check_reply(last ? "a good one" : k_infeasible[i].name, &r, r.status == 503, IMMEDIATE_S);
       g_free(body);
     }
-    assert_true(malformed("types unknown", "job-600000", n, false, AT_ONCE_S) > 100);
+    assert_true(check_malformed("types unknown", "job-600000", n, false, IMMEDIATE_S) > 100);
     assert_int_equal(world_ask(n, "/ready"), 503);
   }
-  refused_are_unknown("types unknown");
+  check_refused_are_unknown("types unknown");
   world_cloud_down(false);
   sim_run_until(sim_now() + 6);
-  impossible("types known", 0, false, AT_ONCE_S);
+  check_infeasible("types known", 0, false, IMMEDIATE_S);
   char *body = body_with("job-700000", NULL, NULL);
   world_reply r = world_request(0, "POST", "/api/jobs", body);
-  check_reply("types known", &r, r.status == 201, AT_ONCE_S);
+  check_reply("types known", &r, r.status == 201, IMMEDIATE_S);
   g_free(body);
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(asked_at_the_end),
-                                     cmocka_unit_test(odd_requests),
-                                     cmocka_unit_test(limits),
-                                     cmocka_unit_test(odd_requests_after_a_takeover),
-                                     cmocka_unit_test(odd_requests_in_an_outage),
-                                     cmocka_unit_test(odd_requests_about_what_was_just_accepted),
-                                     cmocka_unit_test(odd_requests_before_types_are_known)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(requests_at_job_completion),
+                                     cmocka_unit_test(invalid_and_repeated_requests),
+                                     cmocka_unit_test(submissions_against_a_team_limit),
+                                     cmocka_unit_test(invalid_requests_after_failover),
+                                     cmocka_unit_test(invalid_requests_in_a_kv_store_outage),
+                                     cmocka_unit_test(requests_about_jobs_just_accepted),
+                                     cmocka_unit_test(invalid_requests_before_machine_types_are_known)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -1,30 +1,29 @@
-/* Scenes that the seeded days meet too seldom: whole controllers, one trouble at a
- * time, with what people would notice of it measured. */
+/* Faults that the seeded days meet too seldom, one at a time over whole controllers, with their effect
+ * on users measured. */
 #include "check.h"
 
 #include <stdlib.h>
 
 #include "scene.h"
 
-/* Small work of every rank that a gang has no claim on fills and fragments the
- * fleet, and goes on arriving. */
-static void stream(unsigned count, double every_s) {
+/* Small arrays that fill and fragment the fleet and go on arriving. */
+static void submit_small_arrays(unsigned count, double every_s) {
   for (unsigned i = 0; i < count; i++) {
     const char *id = world_id(1000 + i);
     world_submit(id, "sweep", "standard", 1 + i % 4, 1, 12 + i % 17, i * every_s);
   }
 }
 
-/* So many alike, five seconds from now. */
-static void alike(unsigned count, const char *kind, const char *rank, double run_s) {
+/* Equal jobs of two tasks, five seconds from now. */
+static void submit_alike(unsigned count, const char *kind, const char *rank, double run_s) {
   scene_submit(
       &(scene_jobs){.count = count, .kind = kind, .priority = rank, .tasks = 2, .gpus = 1, .run_s = run_s, .in_s = 5});
 }
 
-/* Half as many machines again as the largest deployment, and one controller left of
- * three: every worker finds it, no task is lost, new work begins, and what it costs
- * follows what happens, not the fleet. Then all controllers come back from nothing. */
-static void a_whole_fleet_on_one(void **state) {
+/* One and a half times the largest deployment, and one controller left of three: every worker finds
+ * it, no task is lost, new jobs start, and its cost follows the changes, not the fleet's size. Then
+ * all controllers restart. */
+static void whole_fleet_on_one_controller(void **state) {
   (void)state;
   const unsigned machines = 2150, services = 150;
   world_set_up(5, 0);
@@ -43,7 +42,7 @@
   world_submit("job-000500", "sweep", "standard", 150, 1, 1e6, 10);
   sim_run_until(sim_now() + 40);
   assert_int_equal(world_so_far().starts, services * 6 + 150);
-  /* Nothing happens: views say nothing, and few machines are asked anything. */
+  /* Idle: views hold no machines, and few workers are called. */
   fc_counters before = world_counts(0);
   sim_run_until(sim_now() + 20);
   fc_counters after = world_counts(0);
@@ -68,7 +67,7 @@
   after = world_counts(0);
   assert_true(after.heartbeats - before.heartbeats > (uint64_t)machines * 20);
   sim_run_until(sim_now() + 45);
-  /* All from nothing at once. */
+  /* All restart at once. */
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
   sim_run_until(sim_now() + 8);
   world_submit("job-000700", "sweep", "standard", 150, 1, 1e6, 0);
@@ -81,10 +80,9 @@
   assert_int_equal(r.starts, services * 6 + 150 + 6 + 150 + 16 + 150);
 }
 
-/* The largest of a class begin within four minutes in a full, fragmented fleet,
- * also when a controller is replaced meanwhile; two gangs that each need most of
- * a zone don't each hold half. */
-static void the_largest_begin(void **state) {
+/* The largest jobs start within four minutes in a full, fragmented fleet, also when a controller
+ * restarts meanwhile; two gangs that each need most of a zone don't each hold half. */
+static void largest_jobs_start(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -98,7 +96,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){.seed = 20 + (uint32_t)i, .capacity = 8, .spot_capacity = 2, .machines = {6, 6}});
-    stream(300, 1);
+    submit_small_arrays(300, 1);
     double from = sim_now() + 60;
     world_submit("job-000001", "gang", "high", 7, 4, 20, 60);
     if (rows[i].gangs > 1) world_submit("job-000002", "gang", "high", 7, 4, 20, 61);
@@ -121,9 +119,9 @@
   }
 }
 
-/* A controller that loses all but its workers: its authority ends in time, its workers
- * find the others and keep their tasks, and it comes back by itself. */
-static void with_its_workers_alone(void **state) {
+/* A controller loses all connections but those to its workers: its leadership expires in time, its
+ * workers find other controllers and keep their tasks, and it rejoins by itself. */
+static void controller_partitioned_with_its_workers(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -135,7 +133,7 @@
     world_start_nodes();
     world_machines_up(0, 3);
     world_machines_up(1, 3);
-    alike(6, "service", "prod", 1);
+    submit_alike(6, "service", "prod", 1);
     sim_run_until(sim_now() + 40);
     unsigned starts = world_so_far().starts;
     assert_int_equal(starts, 12);
@@ -147,17 +145,17 @@
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     check_row(rows[i].name, r.lease_kills == 0);
-    check_row(rows[i].name, r.starts == starts); /* nothing was started anew */
+    check_row(rows[i].name, r.starts == starts); /* no restarts */
   }
 }
 
-/* Deaf machines: one is returned in about the time that a silent one is, and its
- * tasks run elsewhere; when it is most of them, it is us, and none is returned. */
-static void deaf_machines(void **state) {
+/* A single machine whose inbound messages are lost is returned as soon as a silent one, and its tasks
+ * restart elsewhere; if it is most machines, the fault is on our side and none is returned. */
+static void machines_that_receive_nothing(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned from, to, nodes_down; /* the fewer controllers, the oftener it is back */
+    unsigned from, to, nodes_down; /* with fewer controllers the machine retries each more often */
     double for_s;
     unsigned gone;
   } rows[] = {
@@ -167,7 +165,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){.seed = 60 + (uint32_t)i, .machines = {6}});
-    alike(11, "sweep", "standard", 300);
+    submit_alike(11, "sweep", "standard", 300);
     sim_run_until(sim_now() + 30);
     for (unsigned n = 0; n < rows[i].nodes_down; n++) world_crash(n, 1e6);
     sim_run_until(sim_now() + 30 * rows[i].nodes_down);
@@ -183,9 +181,9 @@
   }
 }
 
-/* A controller is replaced, and machines have died: jobs of before go on as soon as its
- * own machines are known, not once every dead one of the fleet has been waited for. */
-static void old_jobs_go_on(void **state) {
+/* A controller restarts after machines died: its jobs continue once its own machines are reconciled,
+ * not only once every dead machine of the fleet has been waited for. */
+static void jobs_after_failover_with_dead_machines(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -198,7 +196,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){.seed = 40 + (uint32_t)i, .capacity = 12, .machines = {10, 10}});
-    /* Six whole machines stay free; these wait for nothing but their turn. */
+    /* Six whole machines stay free: nothing is pending for lack of room. */
     scene_submit(&(scene_jobs){.count = 14,
                                .kind = "sweep",
                                .priority = "high",
@@ -221,10 +219,9 @@
   }
 }
 
-/* A zone is cut off from everything for longer than a lease, with the controllers in
- * it, and one outside is replaced: none of its machines is returned, and afterwards
- * they serve again. */
-static void a_zone_cut_off(void **state) {
+/* A zone with its controllers is partitioned for longer than a lease, and a controller outside
+ * restarts: no machine is returned, and afterwards all are used again. */
+static void zone_partition(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -261,9 +258,8 @@
   }
 }
 
-/* A controller stands still while its clock runs on. Nothing is lost or runs twice, and
- * for less than its lease nobody notices. */
-static void a_controller_stands_still(void **state) {
+/* A controller's process is paused while its clock runs on: no task is lost or runs twice. */
+static void paused_controller(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -285,7 +281,7 @@
                                .every_s = 0.1});
     sim_run_until(sim_now() + 20);
     for (unsigned n = 0; n < (rows[i].all ? 3 : 1); n++) world_still(n, rows[i].for_s);
-    stream(20, 0.5);
+    submit_small_arrays(20, 0.5);
     sim_run_until(sim_now() + rows[i].for_s + 60);
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
@@ -295,10 +291,9 @@
   }
 }
 
-/* Machines that were kept by the others while their controller was away come back to it.
- * The others go on telling what they answered for two leases: each machine is asked about
- * that once, not at every acknowledgement. */
-static void machines_that_come_back_are_asked_once(void **state) {
+/* Machines whose leases the peers renewed return to their restarted controller. The peers go on
+ * reporting those renewals for two leases: each machine is probed once, not at every report. */
+static void returning_machines_are_probed_once(void **state) {
   (void)state;
   const unsigned machines = 60;
   world_set_up(95, 0);
@@ -306,7 +301,7 @@
   world_start_nodes();
   world_machines_up(0, machines / 2);
   world_machines_up(1, machines / 2);
-  alike(10, "service", "prod", 1e6);
+  submit_alike(10, "service", "prod", 1e6);
   sim_run_until(sim_now() + 25);
   world_crash(1, 8);
   sim_run_until(sim_now() + 8);
@@ -317,15 +312,18 @@
   world_result r = world_so_far();
   if (r.broken) fail_msg("%s", r.first);
   assert_int_equal(r.lease_kills, 0);
-  /* Each is fenced once in the new term, and about a third come back from another. */
+  /* Each is fenced once in the new term, and about a third return from a peer. */
   assert_true(asked <= (uint64_t)machines * 2);
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {
-      cmocka_unit_test(a_whole_fleet_on_one), cmocka_unit_test(old_jobs_go_on),
-      cmocka_unit_test(a_zone_cut_off),       cmocka_unit_test(a_controller_stands_still),
-      cmocka_unit_test(the_largest_begin),    cmocka_unit_test(with_its_workers_alone),
-      cmocka_unit_test(deaf_machines),        cmocka_unit_test(machines_that_come_back_are_asked_once)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(whole_fleet_on_one_controller),
+                                     cmocka_unit_test(jobs_after_failover_with_dead_machines),
+                                     cmocka_unit_test(zone_partition),
+                                     cmocka_unit_test(paused_controller),
+                                     cmocka_unit_test(largest_jobs_start),
+                                     cmocka_unit_test(controller_partitioned_with_its_workers),
+                                     cmocka_unit_test(machines_that_receive_nothing),
+                                     cmocka_unit_test(returning_machines_are_probed_once)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_small.c
+++ b/tests/test_small.c
@@ -4,7 +4,7 @@
 #define FORGOTTEN_S 75.0
 #define ALL_NODES 7u /* a bit a controller */
 
-static void sweeps(unsigned first, unsigned count, double every_s, double run_s) {
+static void submit_arrays(unsigned first, unsigned count, double every_s, double run_s) {
   scene_submit(&(scene_jobs){.first = first,
                              .count = count,
                              .kind = "sweep",
@@ -15,11 +15,11 @@
                              .every_s = every_s});
 }
 
-/* So many jobs within a second: each submission is answered, each job is accepted and done,
- * no worker's lease ends, and no member is taken for dead. */
-static void burst(const char *name, const char *phase, unsigned first, unsigned jobs) {
+/* That many jobs within a second: each submission is answered, each job accepted and done, no worker's
+ * lease expires, and no member is removed. */
+static void play_burst(const char *name, const char *phase, unsigned first, unsigned jobs) {
   mark m = mark_now();
-  sweeps(first, jobs, 1.0 / jobs, 20);
+  submit_arrays(first, jobs, 1.0 / jobs, 20);
   sim_run_until(m.at + 60);
   print_since(name, phase, &m);
   world_result r = world_so_far();
@@ -30,7 +30,7 @@
   check_row(name, world_terms() == m.terms);
 }
 
-static void all_on_one(const char *name, unsigned jobs) {
+static void play_all_on_one(const char *name, unsigned jobs) {
   mark m = mark_now();
   world_crash(1, 90);
   world_crash(2, 90);
@@ -39,21 +39,20 @@
   print_since(name, "all workers on one", &m);
   check_row(name, world_ask(0, "/ready") == 200);
   check_row(name, world_so_far().lease_kills == 0);
-  burst(name, "burst on one", 2000, jobs);
+  play_burst(name, "burst on one", 2000, jobs);
   world_users_to(-1);
   sim_run_until(m.at + 90 + SETTLE_S);
   check_row(name, world_so_far().lease_kills == 0);
 }
 
-/* The day of a deployment on slow controllers: start, a burst of submissions, all workers
- * on one of them, and all controllers from nothing. */
-static void a_slow_day(void **state) {
+/* Start, a burst of submissions, all workers on one controller, and a restart of all controllers. */
+static void day_on_slow_controllers(void **state) {
   (void)state;
   static const struct {
     const char *name;
     unsigned slow; /* a bit a controller */
     double share, timers_late_s;
-    unsigned machines, burst; /* jobs submitted within a second */
+    unsigned machines, play_burst; /* jobs submitted within a second */
   } rows[] = {
       {"one slow", 1, SHARE, TIMERS_LATE_S, 288, 40},
       {"all slow", ALL_NODES, SHARE, TIMERS_LATE_S, 288, 40},
@@ -71,9 +70,9 @@
     sim_run_until(m.at + 20);
     print_since(name, "idle", &m);
     check_row(name, world_so_far().unanswered == 0);
-    check_row(name, world_terms() == m.terms); /* nobody was taken for dead */
-    burst(name, "burst", 1000, rows[i].burst);
-    all_on_one(name, rows[i].burst);
+    check_row(name, world_terms() == m.terms); /* no member was removed */
+    play_burst(name, "burst", 1000, rows[i].play_burst);
+    play_all_on_one(name, rows[i].play_burst);
     for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
     sim_run_until(sim_now() + 90);
     world_checks_end();
@@ -85,6 +84,6 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(a_slow_day)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(day_on_slow_controllers)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_small_costs.c
+++ b/tests/test_small_costs.c
@@ -1,12 +1,12 @@
-/* What a controller costs, counted: messages, bytes, wake-ups and pieces of memory, of a
- * fleet and of one twice as large. Nothing here is measured by a clock. */
+/* Cost of a controller in messages, bytes, wake-ups and allocations, for a fleet and one twice as
+ * large. Nothing here is measured by a clock. */
 #include "heap.h"
 #include "small.h"
 
 #define FLEET 120u /* machines; on three controllers */
 #define WATCHED_S 60.0
-#define REPORT_PIECES 60.0 /* taken, by malloc and the like */
-#define WHOLE_FLEET 432u   /* half as many again as the largest of such deployments */
+#define REPORT_PIECES 60.0 /* allocations */
+#define WHOLE_FLEET 432u   /* one and a half times the largest such deployment */
 #define LIMIT_BYTES (27u * 1024u * 1024u)
 #define MACHINE_BYTES 950.0
 #define JOB_BYTES 2600.0 /* running, its tasks included */
@@ -22,14 +22,14 @@
   return (sample){sim_load_of(WORLD_NODE_IP(node)), world_counts(node), heap_of(node)};
 }
 
-/* Of the first controller, over a while in which nothing happens. */
+/* Of the first controller while idle. */
 typedef enum {
   REPORT_MESSAGES, /* to and from workers, for each report */
   ANSWER_BYTES,
   REPORT_CALLS, /* of malloc, for each report that the larger fleet has more */
   PEER_MESSAGES,
   PEER_BYTES,
-  SERVICE_MESSAGES, /* to the state service and the cloud */
+  SERVICE_MESSAGES, /* to the key-value store and the cloud */
   OTHER_WAKES,      /* but for reports */
   ROUNDS,
   FIGURES
@@ -65,7 +65,7 @@
   return (double)(after.counts.heartbeats - before.counts.heartbeats) / WATCHED_S;
 }
 
-static void an_idle_fleet_costs_its_reports(void **state) {
+static void idle_fleet_costs_only_heartbeats(void **state) {
   (void)state;
   /* A figure, its bound at the size, and how much more it may be at twice the size. */
   static const struct {
@@ -122,9 +122,8 @@
   return h;
 }
 
-/* All workers and jobs on one controller: the settings' limit leaves room for the process
- * itself, its stacks and buffers. */
-static void a_whole_fleet_in_memory(void **state) {
+/* The settings' limit leaves room for the process itself, its stacks and buffers. */
+static void memory_of_one_controller_with_the_whole_fleet(void **state) {
   (void)state;
   holding bare = on_one(FLEET, 0), more = on_one(2 * FLEET, 0), jobs = on_one(2 * FLEET, FLEET / 3);
   holding whole = on_one(WHOLE_FLEET, WHOLE_FLEET / 3);
@@ -139,7 +138,7 @@
   assert_true(whole.load_peak <= LIMIT_BYTES / 14.0);
 }
 
-/* Jobs that are over and kept so that they are answered at once. */
+/* Ended jobs that are kept in memory for replies. */
 static double with_over(unsigned jobs) {
   heap_forget();
   start_fleet(330, FLEET / 2, 0, 0, 0);
@@ -150,7 +149,7 @@
   return (double)heap_of(0).bytes;
 }
 
-static void jobs_that_are_over_are_small(void **state) {
+static void memory_of_ended_jobs(void **state) {
   (void)state;
   const unsigned few = 60, many = 180;
   double over = (with_over(many) - with_over(few)) / (many - few);
@@ -163,12 +162,12 @@
     world_submit(world_id(first + k), "sweep", "standard", 2, 1, 8, RECORDED_S + k * 0.5);
 }
 
-/* The same load for twice as long: the same memory, but for jobs that are over and kept. */
-static void a_longer_day_holds_no_more(void **state) {
+/* Twice as long under the same load takes the same memory. */
+static void memory_is_bounded_over_time(void **state) {
   (void)state;
   heap_forget();
   world_set_up(320, 0);
-  world_large(FLEET / 2); /* jobs are put away after 20 s */
+  world_large(FLEET / 2); /* jobs are archived after 20 s */
   world_start_nodes();
   world_machines_up(0, FLEET / 4);
   world_machines_up(1, FLEET / 4);
@@ -178,7 +177,7 @@
   for (unsigned i = 0; i < G_N_ELEMENTS(held); i++) {
     sim_run_until(from + 90 * (i + 1));
     held[i] = 0;
-    /* Between rounds and reports it is never quite the same. */
+    /* It varies between rounds and heartbeats. */
     for (unsigned k = 0; k < 20; k++) {
       sim_run_until(sim_now() + 0.5);
       held[i] = MAX(held[i], heap_of(0).bytes);
@@ -194,8 +193,9 @@
 
 int main(void) {
   heap_start();
-  const struct CMUnitTest tests[] = {
-      cmocka_unit_test(an_idle_fleet_costs_its_reports), cmocka_unit_test(a_whole_fleet_in_memory),
-      cmocka_unit_test(jobs_that_are_over_are_small), cmocka_unit_test(a_longer_day_holds_no_more)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(idle_fleet_costs_only_heartbeats),
+                                     cmocka_unit_test(memory_of_one_controller_with_the_whole_fleet),
+                                     cmocka_unit_test(memory_of_ended_jobs),
+                                     cmocka_unit_test(memory_is_bounded_over_time)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_small_requests.c
+++ b/tests/test_small_requests.c
@@ -1,14 +1,14 @@
-/* Requests that must be refused, to a controller with a fortieth of a core that has the
- * whole fleet. */
+/* Floods of requests that must be refused, to a controller with a fortieth of a core and the whole
+ * fleet. */
 #include "small.h"
 
-#define LOADED_MACHINES 224u /* on one: some two thirds of its share go into their reports */
+#define LOADED_MACHINES 224u /* their heartbeats take two thirds of one controller's share */
 #define FLOOD_S 20.0
 #define REFUSED_S 1.0    /* with Retry-After: at once, but for a moment of a busy processor */
-#define LONG_TASKS 900u  /* a report of 50 kB */
-#define LEASE_LEFT_S 9.0 /* of 14: a report each 2.5 s, answered within 2 */
+#define LONG_TASKS 900u  /* a heartbeat of 50 kB */
+#define LEASE_LEFT_S 9.0 /* of 14: a heartbeat each 2.5 s, answered within 2 */
 
-/* Requests that have to be refused, so many a second for a while. */
+/* Requests that must be refused, at a constant rate for a while. */
 typedef struct flood {
   const char *name, *method, *path, *body; /* %u: one more each time */
   double per_s;
@@ -81,11 +81,10 @@
   "\",\"endpoint\":\"10.9.9.9:9000\",\"build\":\"g4\",\"ground\":\"a\",\"loaners\":false," \
   "\"stint\":1,\"tally\":1,\"captaincy\":0,\"runs\":[" runs
 
-/* A slow controller with the whole fleet, and requests that it must refuse: they are
- * answered as ever and soon, and every worker's report is answered in time. */
+/* Invalid requests are answered as ever and soon, and every heartbeat is answered in time. */
 static void play_flood(const flood *f, uint32_t seed) {
   start_fleet(seed, LOADED_MACHINES, 1, SHARE, TIMERS_LATE_S);
-  /* More tasks than machines: none is left empty. */
+  /* More tasks than machines: none is idle. */
   unsigned tasks = services(0, LOADED_MACHINES / 4, 0.1);
   sim_run_until(sim_now() + SETTLE_S);
   world_crash(1, 1e6);
@@ -120,7 +119,7 @@
   check_row(f->name, world_running() >= tasks);
 }
 
-static void bad_input_under_load(void **state) {
+static void invalid_requests_under_load(void **state) {
   (void)state;
   /* Statuses allowed, within: of what can be told without the state service, a moment of a
    * busy processor; of the rest also the time for a read. */
@@ -189,9 +188,9 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) play_flood(&rows[i], 200 + (uint32_t)i);
 }
 
-/* More submissions than the processor can take beside the reports: what can't be taken is
- * refused at once, and the reports and questions of others are answered as before. */
-static void more_jobs_than_fit(void **state) {
+/* More submissions than the processor can take beside the heartbeats: the excess is refused at once,
+ * and heartbeats and queries are answered as before. */
+static void submissions_beyond_capacity(void **state) {
   (void)state;
   static const flood row = {.name = "more jobs than fit",
                             .method = "POST",
@@ -206,6 +205,7 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(bad_input_under_load), cmocka_unit_test(more_jobs_than_fit)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(invalid_requests_under_load),
+                                     cmocka_unit_test(submissions_beyond_capacity)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,14 +1,13 @@
-/* The version before pipelines and this one side by side, and on each other's data: whole
- * controllers over the simulated transport, where those of the former version are shown
- * records, and shown by their own, as that version reads and writes them (sim/state.c). */
+/* The version before pipelines and this one side by side, and on each other's data. Controllers of the
+ * former version read and write records through a stand-in of its formats (sim/state.c). */
 #include "check.h"
 
 #include "scene.h"
 #include "sim/requests.h"
 
-#define AT_ONCE_S 0.3
+#define IMMEDIATE_S 0.3
 
-static void a_mixed_fleet(uint32_t seed, const bool *is_new) {
+static void start_mixed_fleet(uint32_t seed, const bool *is_new) {
   const scene_setup setup = {.seed = seed, .capacity = 5, .keep_idle = true, .images_cached = true, .machines = {5, 5}};
   scene_prepare(&setup);
   world_state_next(2, 4, 15);
@@ -46,10 +45,10 @@
     {"writes come late", {true, false, true}, LATE_WRITES},
 };
 
-enum { SERVICES = 3 }; /* so few that some zone has two machines left for the gang */
+enum { SERVICES = 3 }; /* some zone has two machines left for the gang */
 
-/* Services, an array in several parts, a gang that no part holds, and a team at its limit. */
-static void work(void) {
+/* Services, an array of several slices, a gang that no shard holds, and a team at its limit. */
+static void submit_jobs(void) {
   for (unsigned k = 1; k <= SERVICES; k++) world_submit(world_id(k), "service", "prod", 2, 1, 1e6, 0);
   world_submit(world_id(10), "sweep", "standard", 12, 0.5, 10, 1);
   world_submit(world_id(11), "gang", "high", 2, 4, 8, 2);
@@ -58,7 +57,7 @@
         &(world_job){.id = world_id(k), .kind = "sweep", .team = "blue", .tasks = 8, .gpus = 1, .run_s = 8});
 }
 
-static void mix_trouble(const mix_row *row) {
+static void apply_fault(const mix_row *row) {
   if (row->trouble == STATE_DOWN) world_state_down(22);
   if (row->trouble == FIRST_ENDS) world_crash(0, 4);
   if (row->trouble == SECOND_ENDS) world_crash(1, 4);
@@ -70,16 +69,16 @@
   for (unsigned k = 1; k <= 2; k++) world_cancel(world_id(k), 1, 0);
 }
 
-/* Every mix of versions serves: what is handed over, lent, limited and cancelled crosses them,
- * and an outage or a lost controller costs no more than among equals. */
-static void versions_mixed(void **state) {
+/* Handovers, machine transfers, limits and cancellations work across versions, and an outage or a lost
+ * controller costs no more than within one version. */
+static void mixed_versions_serve(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_mixes); i++) {
     const mix_row *row = &k_mixes[i];
-    a_mixed_fleet(10 + (uint32_t)i, row->is_new);
-    work();
+    start_mixed_fleet(10 + (uint32_t)i, row->is_new);
+    submit_jobs();
     sim_run_until(sim_now() + 6);
-    mix_trouble(row);
+    apply_fault(row);
     sim_run_until(sim_now() + 8);
     if (row->trouble == CANCELLED)
       for (unsigned k = 1; k <= 2; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
@@ -97,7 +96,7 @@
   }
 }
 
-static char *awaiting(const char *id, const char *awaits) {
+static char *submission_awaiting(const char *id, const char *awaits) {
   return g_strdup_printf(
       "{\"id\":\"%s\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":1,\"cpus\":1,"
       "\"gpus\":0,\"memGb\":1,\"kit\":\"i\",\"pullGb\":1,\"samePlace\":false,\"scatter\":false,\"loaners\":true,"
@@ -105,18 +104,18 @@
       id, awaits);
 }
 
-/* What an old controller could not read is not taken while one is there; what awaits nobody any
- * more is an ordinary job. */
-static void nothing_new_beside_an_old_one(void **state) {
+/* Jobs with pending dependencies, which the old version can't read, are refused while it serves; with
+ * met dependencies they are ordinary jobs. */
+static void dependencies_beside_the_old_version(void **state) {
   (void)state;
   static const bool mix[WORLD_NODES] = {true, true, false};
-  a_mixed_fleet(40, mix);
+  start_mixed_fleet(40, mix);
   world_submit(world_id(1), "sweep", "standard", 1, 1, 1e6, 0);
   world_submit(world_id(2), "sweep", "standard", 1, 1, 1, 0);
   sim_run_until(sim_now() + 6);
-  char *waits = awaiting("job-000003", world_id(1)), *ready = awaiting("job-000004", world_id(2));
+  char *waits = submission_awaiting("job-000003", world_id(1)), *ready = submission_awaiting("job-000004", world_id(2));
   world_reply r = world_request(0, "POST", "/api/jobs", waits);
-  assert_true(r.status == 503 && r.retry_after > 0 && r.took < AT_ONCE_S);
+  assert_true(r.status == 503 && r.retry_after > 0 && r.took < IMMEDIATE_S);
   assert_int_equal(world_request(1, "POST", "/api/jobs", ready).status, 201);
   world_upgrade(2, 0.3);
   sim_run_until(sim_now() + 4);
@@ -127,13 +126,13 @@
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* An old one that comes back when jobs await others already starts none of them; they go on
- * when it has been replaced again. */
-static void an_old_one_comes_back(void **state) {
+/* A controller that is rolled back starts none of the jobs with dependencies; they start once it is
+ * upgraded again. */
+static void rollback_of_one_controller(void **state) {
   (void)state;
   static const bool all_new[WORLD_NODES] = {true, true, true};
   for (unsigned back = 0; back < WORLD_NODES; back++) {
-    a_mixed_fleet(50 + back, all_new);
+    start_mixed_fleet(50 + back, all_new);
     world_submit(world_id(1), "sweep", "standard", 2, 1, 20, 0);
     for (unsigned k = 2; k <= 9; k++)
       world_submit_job(&(world_job){.id = world_id(k),
@@ -144,7 +143,7 @@
                                     .in_s = 1,
                                     .awaits = {world_id(k < 6 ? 1 : k - 4)}});
     sim_run_until(sim_now() + 6);
-    world_users_to((int)((back + 1) % WORLD_NODES)); /* the old one would not know the jobs */
+    world_users_to((int)((back + 1) % WORLD_NODES)); /* the old version does not know the jobs */
     world_downgrade(back, 0.5);
     sim_run_until(sim_now() + 30);
     if (world_so_far().broken) fail_msg("%u back: %s", back, world_so_far().first);
@@ -156,12 +155,12 @@
   }
 }
 
-/* Transactions of an old process are carried out minutes after the last of them has ended. */
-static void writes_of_the_old_come_late(void **state) {
+/* Transactions of old processes are applied minutes after the last of those has ended. */
+static void delayed_transactions_of_the_old_version(void **state) {
   (void)state;
   static const bool none_new[WORLD_NODES] = {false, false, false};
   for (uint32_t seed = 0; seed < 6; seed++) {
-    a_mixed_fleet(70 + seed, none_new);
+    start_mixed_fleet(70 + seed, none_new);
     world_lateness(30, 200);
     world_late_writes(0.25);
     for (unsigned k = 1; k <= 30; k++) world_submit(world_id(k), "sweep", "standard", 4, 0.5, 4, 0.4 * k);
@@ -172,7 +171,7 @@
     }
     world_late_writes(0);
     world_state_limits(2, 4, 15);
-    /* Chains over what is still open, and over what the late writes are about. */
+    /* Dependencies on jobs that are still open, and on those of the delayed transactions. */
     for (unsigned k = 31; k <= 50; k++)
       world_submit_job(&(world_job){.id = world_id(k),
                                     .kind = "sweep",
@@ -191,7 +190,7 @@
   }
 }
 
-static char *with_many_types(const char *id, unsigned tasks) {
+static char *submission_with_many_types(const char *id, unsigned tasks) {
   GString *types = g_string_new("\"g4\"");
   for (unsigned k = 0; k < 60; k++) g_string_append_printf(types, ",\"a-type-with-a-long-name-%036u\"", k);
   char *body = g_strdup_printf(
@@ -212,17 +211,17 @@
   return true;
 }
 
-/* What was stored when values could be larger is read, and its jobs end: no write of theirs is
- * as large as it was, which the stand-in would refuse. */
-static void stored_larger_than_now(void **state) {
+/* Records stored when values could be larger are read, and their jobs end: no write exceeds the new
+ * limit, which the stand-in would report. */
+static void records_larger_than_the_new_limits(void **state) {
   (void)state;
   static const bool none_new[WORLD_NODES] = {false, false, false};
   static const char *const ids[] = {"job-000001", "job-000002", "job-000003"};
   static const double run_s[] = {40, 1e6, 12};
-  a_mixed_fleet(90, none_new);
+  start_mixed_fleet(90, none_new);
   for (unsigned k = 0; k < 3; k++) {
     world_add_job(ids[k], "sweep", 4, 1, run_s[k]);
-    char *body = with_many_types(ids[k], 4);
+    char *body = submission_with_many_types(ids[k], 4);
     assert_int_equal(world_request(k, "POST", "/api/jobs", body).status, 201);
     g_free(body);
   }
@@ -234,9 +233,9 @@
   sim_run_until(sim_now() + 70);
   assert_true(job_is(ids[0], "done") && job_is(ids[1], "cancelled") && job_is(ids[2], "done"));
   assert_int_equal(world_tasks_of(ids[1]), 0);
-  /* A new one as long is taken, too: its description is stored in parts. */
+  /* A new job as large is accepted too: its description is stored in parts. */
   world_add_job("job-000004", "sweep", 4, 1, 5);
-  char *body = with_many_types("job-000004", 4);
+  char *body = submission_with_many_types("job-000004", 4);
   assert_int_equal(world_request(1, "POST", "/api/jobs", body).status, 201);
   g_free(body);
   sim_run_until(sim_now() + 25);
@@ -246,9 +245,11 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(versions_mixed),         cmocka_unit_test(nothing_new_beside_an_old_one),
-      cmocka_unit_test(an_old_one_comes_back),  cmocka_unit_test(writes_of_the_old_come_late),
-      cmocka_unit_test(stored_larger_than_now),
+      cmocka_unit_test(mixed_versions_serve),
+      cmocka_unit_test(dependencies_beside_the_old_version),
+      cmocka_unit_test(rollback_of_one_controller),
+      cmocka_unit_test(delayed_transactions_of_the_old_version),
+      cmocka_unit_test(records_larger_than_the_new_limits),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
