--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -207,17 +207,8 @@
   return g_parts_left;
 }
 
-/* A job with more dependencies than a value of 2 KiB holds is accepted, stays pending for each of them,
- * also across restarts, and its parts are removed with it, as are those of an abandoned one. */
-static void dependencies_beyond_one_value(void **state) {
-  (void)state;
-  const scene_setup setup = {.seed = 4, .capacity = 3, .keep_idle = true, .images_cached = true, .machines = {3, 3}};
-  scene_prepare(&setup);
-  world_state_next(2, 4, 40);
-  world_state_limits(2, 4, 40);
-  world_keep_over(120);
-  scene_start(&setup);
-  sim_run_until(sim_now() + 8);
+/* Returns the list of their ids, as JSON. */
+static GString *submit_many_dependencies(void) {
   /* All dependencies depend on one long job. */
   world_submit(world_id(9), "sweep", "standard", 1, 1, 130, 0);
   GString *awaits = g_string_new("[");
@@ -232,6 +223,21 @@
                                   .awaits = {world_id(9)}});
   }
   g_string_append_c(awaits, ']');
+  return awaits;
+}
+
+/* A job with more dependencies than a value of 2 KiB holds is accepted, stays pending for each of them,
+ * also across restarts, and its parts are removed with it, as are those of an abandoned one. */
+static void dependencies_beyond_one_value(void **state) {
+  (void)state;
+  const scene_setup setup = {.seed = 4, .capacity = 3, .keep_idle = true, .images_cached = true, .machines = {3, 3}};
+  scene_prepare(&setup);
+  world_state_next(2, 4, 40);
+  world_state_limits(2, 4, 40);
+  world_keep_over(120);
+  scene_start(&setup);
+  sim_run_until(sim_now() + 8);
+  GString *awaits = submit_many_dependencies();
   sim_run_until(sim_now() + 80);
   assert_int_equal(world_so_far().accepted, MANY + 1);
   char *body = submission("job-000001", "sweep", awaits->str);
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -217,6 +217,15 @@
     for (uint32_t seed = 0; seed < 3; seed++) play_unreachable(&k_unreachable[i], 300 + 10 * (uint32_t)i, seed);
 }
 
+/* Users poll the controller for six seconds; after three the key-value store goes down (0: not). */
+static void poll_jobs(unsigned node, unsigned jobs, double down_s) {
+  for (unsigned poll = 0; poll < 30; poll++) {
+    world_ask_job(node, world_id(poll % jobs)); /* the stand-in checks the reply */
+    sim_run_until(sim_now() + 0.2);
+    if (poll == 14 && down_s > 0) world_state_down(down_s);
+  }
+}
+
 /* A controller is partitioned from the key-value store and its peers, but not from its workers and
  * users, who poll it while the jobs are cancelled through another; also with a slow store. */
 static void polling_a_partitioned_controller(void **state) {
@@ -243,11 +252,7 @@
       if (rows[i].slow_s > 0) world_state_slow(rows[i].slow_s, 1.5);
       sim_run_until(sim_now() + 3);
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), (int)((node + 1 + k % 2) % WORLD_NODES), k * 0.3);
-      for (unsigned s = 0; s < 30; s++) {
-        world_ask_job(node, world_id(s % jobs)); /* the stand-in checks the reply */
-        sim_run_until(sim_now() + 0.2);
-        if (s == 14 && rows[i].down_s > 0) world_state_down(rows[i].down_s);
-      }
+      poll_jobs(node, jobs, rows[i].down_s);
       sim_run_until(sim_now() + 110);
       world_result r = world_so_far();
       print_message("%s, controller %u: %u cancelled, %u ended by a lease\n", rows[i].name, node, r.cancelled,
--- a/tests/test_cancellation_log.c
+++ b/tests/test_cancellation_log.c
@@ -64,14 +64,35 @@
   fc_cancellation_log_free(log);
 }
 
+typedef enum { FROM_PEER, READ_ACCEPTED, READ_CANCELLED, CAUGHT_UP } cancellation_step;
+
+static void apply_step(fc_cluster *cluster, cancellation_step step) {
+  switch (step) {
+    case FROM_PEER:
+      fc_cluster_apply_cancellation(cluster, "job-000001", 9, 3, 4);
+      break;
+    case READ_ACCEPTED:
+      (void)fixture_job(cluster, "job-000001", "sweep", "standard", "red", 3, 1, ""); /* version 5 */
+      break;
+    case READ_CANCELLED: {
+      const fc_job *job = fc_cluster_find_job(cluster, "job-000001");
+      fc_job_record record = {.phase = FC_PHASE_CANCELLED, .done = "", .slices = 1, .spec = job->spec};
+      (void)fc_cluster_apply_job(cluster, "job-000001", &record, 9, true, 5);
+      break;
+    }
+    default:
+      fc_cluster_caught_up(cluster, 9);
+      assert_int_equal(g_hash_table_size(cluster->unread_cancellations), 0);
+  }
+}
+
 /* A job whose cancellation a peer passed on stays cancelled whatever older records are still read, also when
  * its record has not been read at all. */
 static void cancellation_is_final(void **state) {
   (void)state;
-  enum { FROM_PEER, READ_ACCEPTED, READ_CANCELLED, CAUGHT_UP };
   static const struct {
     const char *name;
-    int steps[4];
+    cancellation_step steps[4];
     unsigned step_count;
     bool cancelled;
   } rows[] = {
@@ -86,25 +107,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
     fc_cluster *cluster = fixture_cluster(&settings);
-    for (unsigned step = 0; step < rows[i].step_count; step++) {
-      switch (rows[i].steps[step]) {
-        case FROM_PEER:
-          fc_cluster_apply_cancellation(cluster, "job-000001", 9, 3, 4);
-          break;
-        case READ_ACCEPTED:
-          (void)fixture_job(cluster, "job-000001", "sweep", "standard", "red", 3, 1, ""); /* version 5 */
-          break;
-        case READ_CANCELLED: {
-          const fc_job *job = fc_cluster_find_job(cluster, "job-000001");
-          fc_job_record record = {.phase = FC_PHASE_CANCELLED, .done = "", .slices = 1, .spec = job->spec};
-          (void)fc_cluster_apply_job(cluster, "job-000001", &record, 9, true, 5);
-          break;
-        }
-        default:
-          fc_cluster_caught_up(cluster, 9);
-          assert_int_equal(g_hash_table_size(cluster->unread_cancellations), 0);
-      }
-    }
+    for (unsigned step = 0; step < rows[i].step_count; step++) apply_step(cluster, rows[i].steps[step]);
     check_row(rows[i].name, fc_cluster_is_cancelled(cluster, "job-000001") == rows[i].cancelled);
     const fc_job *job = fc_cluster_find_job(cluster, "job-000001");
     /* Writes are conditional on the version read, never on what a peer passed on. */
--- a/tests/test_handover_planning.c
+++ b/tests/test_handover_planning.c
@@ -4,32 +4,35 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "scheduler/handover_planning.h"
 
+typedef struct handover_row {
+  const char *name;
+  bool running, acknowledged, room_here, resolved;
+  unsigned expect;
+  bool unavailable;
+  enum { NOT_THERE, THERE, THERE_UNRECONCILED } on_peer; /* a task on the peer's machine */
+  bool unreconciled;                                     /* our machine, in this term */
+} handover_row;
+
+static const handover_row k_handovers[] = {
+    {"nothing runs yet", false, false, false, true, 1, false, NOT_THERE, false},
+    {"room here", false, false, true, true, 0, false, NOT_THERE, false},
+    {"a task runs, its start not acknowledged", true, false, false, true, 0, false, NOT_THERE, false},
+    {"a task runs, its start acknowledged", true, true, false, true, 1, false, NOT_THERE, false},
+    {"tasks may be running unseen", false, false, false, false, 0, false, NOT_THERE, false},
+    {"a task runs on the peer's machine", false, false, false, true, 1, false, THERE, false},
+    {"a task runs on the peer's unreconciled machine", false, false, false, true, 0, false, THERE_UNRECONCILED, false},
+    {"one here and one there, acknowledged", true, true, false, true, 1, false, THERE, false},
+    {"one here and one there, not acknowledged", true, false, false, true, 0, false, THERE, false},
+    {"the peer is unavailable", false, false, false, true, 0, true, NOT_THERE, false},
+    {"a task runs, its start acknowledged in an earlier term", true, true, false, true, 0, false, NOT_THERE, true},
+};
+
 /* A slice is handed over to a shard with room only once its owner has acknowledged all tasks of
  * the slice that may be on a machine; it would start them a second time. */
 static void handover_after_acknowledged_starts(void **state) {
   (void)state;
-  static const struct {
-    const char *name;
-    bool running, acknowledged, room_here, resolved;
-    unsigned expect;
-    bool unavailable;
-    enum { NOT_THERE, THERE, THERE_UNRECONCILED } on_peer; /* a task on the peer's machine */
-    bool unreconciled;                                     /* our machine, in this term */
-  } rows[] = {
-      {"nothing runs yet", false, false, false, true, 1, false, NOT_THERE, false},
-      {"room here", false, false, true, true, 0, false, NOT_THERE, false},
-      {"a task runs, its start not acknowledged", true, false, false, true, 0, false, NOT_THERE, false},
-      {"a task runs, its start acknowledged", true, true, false, true, 1, false, NOT_THERE, false},
-      {"tasks may be running unseen", false, false, false, false, 0, false, NOT_THERE, false},
-      {"a task runs on the peer's machine", false, false, false, true, 1, false, THERE, false},
-      {"a task runs on the peer's unreconciled machine", false, false, false, true, 0, false, THERE_UNRECONCILED,
-       false},
-      {"one here and one there, acknowledged", true, true, false, true, 1, false, THERE, false},
-      {"one here and one there, not acknowledged", true, false, false, true, 0, false, THERE, false},
-      {"the peer is unavailable", false, false, false, true, 0, true, NOT_THERE, false},
-      {"a task runs, its start acknowledged in an earlier term", true, true, false, true, 0, false, NOT_THERE, true},
-  };
-  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_handovers); i++) {
+    const handover_row *row = &k_handovers[i];
     fc_settings settings = fixture_settings();
     fc_cluster *cluster = fixture_cluster(&settings);
     fixture_two_members(cluster);
@@ -42,27 +45,27 @@
     fc_job *job = fixture_job(cluster, "job-000002", "sweep", "standard", "red", 3, 1, "");
     job->record.handed_to[0] = g_strdup("paddock-0");
     fc_cluster_assign_slices(cluster, job);
-    job->slices.resolved = rows[i].resolved ? 1 : 0;
-    if (!rows[i].room_here || rows[i].running) fixture_run_task(cluster, machine, job, 0, 2);
-    if (!rows[i].running && !rows[i].room_here) {
+    job->slices.resolved = row->resolved ? 1 : 0;
+    if (!row->room_here || row->running) fixture_run_task(cluster, machine, job, 0, 2);
+    if (!row->running && !row->room_here) {
       /* Our machine is full with tasks of the other job instead. */
       fc_placement_remove(fc_machine_find_placement(machine, job->spec.id, 0, 2));
       fixture_run_task(cluster, machine, full, 9, 3);
       full->spec.gpus = 2;
     }
-    if (rows[i].on_peer) fixture_run_task(cluster, peer_machine, job, 1, 4);
-    if (rows[i].on_peer == THERE_UNRECONCILED) peer_machine->reconciled_term = 0;
-    if (rows[i].unreconciled) machine->reconciled_term = 0;
-    fc_peer_progress progress = {.available = {true, !rows[i].unavailable}};
-    if (rows[i].acknowledged) {
+    if (row->on_peer) fixture_run_task(cluster, peer_machine, job, 1, 4);
+    if (row->on_peer == THERE_UNRECONCILED) peer_machine->reconciled_term = 0;
+    if (row->unreconciled) machine->reconciled_term = 0;
+    fc_peer_progress progress = {.available = {true, !row->unavailable}};
+    if (row->acknowledged) {
       progress.acked_view[1] = 100;
       progress.acked_revision[1] = 100;
     }
     GArray *plan = fc_plan_handovers(cluster, &progress, 90);
-    check_row(rows[i].name, plan->len == rows[i].expect);
+    check_row(row->name, plan->len == row->expect);
     if (plan->len) {
       const fc_handover *handover = &g_array_index(plan, fc_handover, 0);
-      check_row(rows[i].name, handover->to == 1 && handover->machine_owners == (rows[i].running ? 3 : 2));
+      check_row(row->name, handover->to == 1 && handover->machine_owners == (row->running ? 3 : 2));
     }
     g_array_free(plan, TRUE);
     fc_cluster_free(cluster);
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -94,59 +94,73 @@
   }
 }
 
+typedef struct order_row {
+  const char *name;
+  double in_s; /* the first of them; the others a moment apart */
+  unsigned crashes;
+  double crash_s, back_s;
+} order_row;
+
+static const order_row k_orders[] = {
+    {"seconds late", 3, 0, 0, 0},
+    {"a lease late", 20, 0, 0, 0},
+    {"well over a lease late", 35, 0, 0, 0},
+    {"after one was replaced", 16, 1, 4, 4},
+    {"as one is replaced", 8.3, 1, 4, 4},
+    {"as one comes back at once", 4.3, 1, 4, 0.2},
+    {"after all were replaced", 20, WORLD_NODES, 4, 4},
+    {"as all come back", 8.5, WORLD_NODES, 4, 4},
+};
+
+/* Copies of the heartbeats of twelve seconds: while images are fetched, tasks run, and some are about to
+ * end. */
+static void delay_heartbeats(double from, double delay_s) {
+  for (unsigned k = 0; k < 8; k++) {
+    sim_run_until(from + k * 1.5);
+    for (unsigned m = 0; m < 6; m++)
+      for (unsigned n = 0; n < WORLD_NODES; n++) world_report_later(m, n, delay_s + 0.3 * n);
+  }
+}
+
+/* Jobs whose end was acknowledged stay ended. */
+static void check_nothing_restarts(const char *name) {
+  if (world_told(k_job_ids[0])) check_row(name, strcmp(world_told(k_job_ids[0]), "cancelled") == 0);
+  if (world_told(k_job_ids[1]) && world_told(k_job_ids[2])) {
+    for (unsigned j = 1; j < 3; j++) check_row(name, world_tasks_of(k_job_ids[j]) == 0);
+  }
+}
+
 /* Heartbeats are delayed while their jobs end, are cancelled or preempted, under the same leaders or
  * new ones, and then arrive everywhere: no ended task is started again. */
 static void heartbeats_out_of_order(void **state) {
   (void)state;
-  static const struct {
-    const char *name;
-    double in_s; /* the first of them; the others a moment apart */
-    unsigned crashes;
-    double crash_s, back_s;
-  } rows[] = {
-      {"seconds late", 3, 0, 0, 0},
-      {"a lease late", 20, 0, 0, 0},
-      {"well over a lease late", 35, 0, 0, 0},
-      {"after one was replaced", 16, 1, 4, 4},
-      {"as one is replaced", 8.3, 1, 4, 4},
-      {"as one comes back at once", 4.3, 1, 4, 0.2},
-      {"after all were replaced", 20, WORLD_NODES, 4, 4},
-      {"as all come back", 8.5, WORLD_NODES, 4, 4},
-  };
-  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_orders); i++) {
+    const order_row *row = &k_orders[i];
     scene_begin(&(scene_setup){.seed = 90 + (uint32_t)i, .capacity = 12, .keep_idle = true, .machines = {3, 3}});
     world_submit(k_job_ids[0], "service", "prod", 4, 1, 1e6, 5);
     world_submit(k_job_ids[1], "sweep", "standard", 6, 1, 9, 5);
     world_submit(k_job_ids[2], "gang", "high", 2, 2, 9, 5);
-    /* While they are fetched, run, and are about to end. */
     double from = sim_now() + 6;
-    for (unsigned k = 0; k < 8; k++) {
-      sim_run_until(from + k * 1.5);
-      for (unsigned m = 0; m < 6; m++)
-        for (unsigned n = 0; n < WORLD_NODES; n++) world_report_later(m, n, rows[i].in_s + 0.3 * n);
-    }
+    delay_heartbeats(from, row->in_s);
     double at = sim_now();
-    for (unsigned n = 0; n < rows[i].crashes; n++) {
-      sim_run_until(from + rows[i].crash_s + n * 0.1);
-      world_crash(n, rows[i].back_s);
+    for (unsigned n = 0; n < row->crashes; n++) {
+      sim_run_until(from + row->crash_s + n * 0.1);
+      world_crash(n, row->back_s);
     }
     world_cancel(k_job_ids[0], -1, 3);
     for (unsigned k = 0; k < 60; k++) {
       sim_run_until(at + k * 0.9);
-      if (world_told(k_job_ids[0])) check_row(rows[i].name, strcmp(world_told(k_job_ids[0]), "cancelled") == 0);
-      if (world_told(k_job_ids[1]) && world_told(k_job_ids[2])) {
-        for (unsigned j = 1; j < 3; j++) check_row(rows[i].name, world_tasks_of(k_job_ids[j]) == 0);
-      }
+      check_nothing_restarts(row->name);
     }
     world_result r = world_so_far();
-    if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
-    print_message("%s: %u started, %u ended\n", rows[i].name, r.starts, world_ended("done"));
-    for (unsigned k = 0; k < 3; k++) check_row(rows[i].name, world_told(k_job_ids[k]));
-    check_row(rows[i].name, world_running() == 0 && r.late_starts == 0);
+    if (r.broken) fail_msg("%s: %s", row->name, r.first);
+    print_message("%s: %u started, %u ended\n", row->name, r.starts, world_ended("done"));
+    for (unsigned k = 0; k < 3; k++) check_row(row->name, world_told(k_job_ids[k]));
+    check_row(row->name, world_running() == 0 && r.late_starts == 0);
     /* Once each, except preempted tasks, some of which never had their image. */
-    check_row(rows[i].name, r.starts >= 12 && r.starts + 4 <= 12 + world_ended("stopped"));
-    check_row(rows[i].name, r.lease_kills == 0);
-    check_reported_running(rows[i].name);
+    check_row(row->name, r.starts >= 12 && r.starts + 4 <= 12 + world_ended("stopped"));
+    check_row(row->name, r.lease_kills == 0);
+    check_reported_running(row->name);
   }
 }
 
@@ -281,11 +295,13 @@
   }
 }
 
-static const struct {
-  const char *name, *of;
-  double from_s, to_s; /* such writes are late between these */
-  bool report;         /* the machine is there and reports, instead of being rented */
-} k_removed_records[] = {
+typedef struct removed_row {
+  const char *name, *of; /* text in the bodies of the transactions that are delayed */
+  double from_s, to_s;   /* between these times */
+  bool report;           /* the machine is there and reports, instead of being rented */
+} removed_row;
+
+static const removed_row k_removed_records[] = {
     {"records of rented machines", "\"set\":\"fc1/machine/", 0, 8, false},
     {"records of machines that report", "\"set\":\"fc1/machine/", 0, 4, true},
     {"addresses of machines", "\"endpoint\":\"10.", 0, 8, false},
@@ -298,55 +314,63 @@
     {"shares of limits", "\"set\":\"fc1/quota", 0, 20, true},
 };
 
+static void submit_four_jobs(void) {
+  for (unsigned k = 0; k < 4; k++) {
+    const char *id = world_id(k);
+    world_submit_job(&(world_job){.id = id,
+                                  .kind = k % 2 ? "sweep" : "gang",
+                                  .team = "blue",
+                                  .tasks = 2,
+                                  .gpus = 2,
+                                  .run_s = 2,
+                                  .in_s = k * 0.5});
+  }
+}
+
+static void play_removed_records(const removed_row *row, uint32_t seed) {
+  char name[80];
+  g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed);
+  world_set_up(seed, 0);
+  world_capacity(4, 0);
+  world_return_idle();
+  world_start_nodes();
+  sim_run_until(sim_now() + 6);
+  double at = sim_now();
+  world_lateness(45, 60);
+  world_late_only(row->of);
+  submit_four_jobs();
+  sim_run_until(at + row->from_s);
+  world_late_writes(1);
+  if (row->report) world_machines_up(0, 2);
+  sim_run_until(at + row->to_s);
+  world_late_writes(0);
+  /* The last delayed transaction is applied by second 61 after `to_s`. */
+  unsigned machines = 0;
+  double t = row->to_s;
+  while (t < 180) {
+    sim_run_until(at + t);
+    if (t > row->to_s + 61) world_check_returned();
+    if (t < 40) machines = world_machines();
+    t += 0.5;
+  }
+  world_result r = world_so_far();
+  print_message("%s: %u machines by then, %u in the end, %u starts\n", name, machines, world_machines(), r.starts);
+  if (r.broken) fail_msg("%s: %s", name, r.first);
+  for (unsigned k = 0; k < 4; k++) {
+    const char *id = world_id(k);
+    check_row(name, world_told(id) && strcmp(world_told(id), "done") == 0);
+    check_row(name, world_tasks_of(id) == 0);
+  }
+}
+
 /* Transactions without a response are applied after the records that they are about were removed: no
  * returned machine gets a record again, nothing is rented, and archived jobs stay archived. */
 static void delayed_transactions_about_removed_records(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_removed_records); i++) {
-    for (unsigned seed = 0; seed < (strstr(k_removed_records[i].name, "records of") ? 2 : 1); seed++) {
-      char name[80];
-      g_snprintf(name, sizeof name, "%s, seed %zu", k_removed_records[i].name, 300 + i * 10 + seed);
-      world_set_up((uint32_t)(300 + i * 10 + seed), 0);
-      world_capacity(4, 0);
-      world_return_idle();
-      world_start_nodes();
-      sim_run_until(sim_now() + 6);
-      double at = sim_now();
-      world_lateness(45, 60);
-      world_late_only(k_removed_records[i].of);
-      for (unsigned k = 0; k < 4; k++) {
-        const char *id = world_id(k);
-        world_submit_job(&(world_job){.id = id,
-                                      .kind = k % 2 ? "sweep" : "gang",
-                                      .team = "blue",
-                                      .tasks = 2,
-                                      .gpus = 2,
-                                      .run_s = 2,
-                                      .in_s = k * 0.5});
-      }
-      sim_run_until(at + k_removed_records[i].from_s);
-      world_late_writes(1);
-      if (k_removed_records[i].report) world_machines_up(0, 2);
-      sim_run_until(at + k_removed_records[i].to_s);
-      world_late_writes(0);
-      /* The last delayed transaction is applied by second 61 after `to_s`. */
-      unsigned machines = 0;
-      double t = k_removed_records[i].to_s;
-      while (t < 180) {
-        sim_run_until(at + t);
-        if (t > k_removed_records[i].to_s + 61) world_check_returned();
-        if (t < 40) machines = world_machines();
-        t += 0.5;
-      }
-      world_result r = world_so_far();
-      print_message("%s: %u machines by then, %u in the end, %u starts\n", name, machines, world_machines(), r.starts);
-      if (r.broken) fail_msg("%s: %s", name, r.first);
-      for (unsigned k = 0; k < 4; k++) {
-        const char *id = world_id(k);
-        check_row(name, world_told(id) && strcmp(world_told(id), "done") == 0);
-        check_row(name, world_tasks_of(id) == 0);
-      }
-    }
+  for (uint32_t i = 0; i < G_N_ELEMENTS(k_removed_records); i++) {
+    const removed_row *row = &k_removed_records[i];
+    const uint32_t seeds = strstr(row->name, "records of") ? 2 : 1;
+    for (uint32_t seed = 0; seed < seeds; seed++) play_removed_records(row, 300 + i * 10 + seed);
   }
 }
 
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -172,81 +172,100 @@
   }
 }
 
+typedef struct return_row {
+  const char *name;
+  double gap_s, back_s[WORLD_NODES]; /* in the order in which they end */
+  unsigned times;
+  const char *again_at; /* the first crashes again right after it next wrote this key */
+  double again_after_s, again_back_s;
+  /* With a single one left of three a worker may try the two others for longer than its
+   * lease has left: four seconds, and one more, each. */
+  bool ends;
+} return_row;
+
+static const return_row k_returns[] = {
+    {"back at once", 0.1, {0.05, 0.05, 0.05}, 3, NULL, 0, 0, false},
+    {"back within a second", 0.4, {1, 0.3, 0.6}, 3, NULL, 0, 0, false},
+    {"two at once, then the third", 0, {0.3, 1, 0.05}, 3, NULL, 0, 0, false},
+    {"right after the member's key", 0.3, {0.2, 0.5, 1}, 2, "fc1/member/", 0, 0.1, false},
+    {"its key's answer has come", 0.3, {0.2, 0.5, 1}, 2, "fc1/member/", 0.02, 1, false},
+    {"right after the term", 0.3, {0.2, 0.5, 1}, 2, "fc1/term", 0, 0.1, false},
+    {"the term's answer has come", 0.3, {0.2, 0.5, 1}, 2, "fc1/term", 0.02, 1, false},
+    {"one returns alone", 0.5, {1, 50, 50}, 1, NULL, 0, 0, true},
+    {"one returns alone, and ends in its term", 0.5, {1, 50, 50}, 1, "fc1/term", 0.01, 0.3, true},
+    {"the last returns alone", 2, {50, 50, 0.5}, 1, NULL, 0, 0, true},
+};
+
+static const unsigned k_crash_orders[][WORLD_NODES] = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2},
+                                                       {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
+
+/* Returns when the last controller is back. */
+static double crash_in_order(const return_row *row, const unsigned *order) {
+  double back_at = 0;
+  for (unsigned k = 0; k < row->times; k++) {
+    if (row->again_at) world_crash_at_write(order[0], row->again_at, row->again_after_s, row->again_back_s);
+    for (unsigned n = 0; n < WORLD_NODES; n++) {
+      world_crash(order[n], row->back_s[n]);
+      back_at = MAX(back_at, sim_now() + row->back_s[n] + row->again_back_s);
+      sim_run_until(sim_now() + row->gap_s);
+    }
+    sim_run_until(sim_now() + 1.5);
+  }
+  return back_at;
+}
+
+/* A single controller for long: new jobs start meanwhile, at the latest once it may remove the others
+ * from the term, which is cancel_s - lease_s after its entry. */
+static void check_one_controller_serves(const char *name, unsigned node) {
+  sim_run_until(sim_now() + 8);
+  world_users_to((int)node);
+  world_submit(world_id(800), "sweep", "standard", 2, 1, 3, 0);
+  sim_run_until(sim_now() + 20);
+  check_row(name, world_began(world_id(800)) > 0);
+  world_users_to(-1);
+}
+
+static void play_return(const return_row *row, const unsigned *order, uint32_t seed) {
+  char name[100];
+  g_snprintf(name, sizeof name, "%s, %u %u %u", row->name, order[0], order[1], order[2]);
+  start_long_jobs(seed);
+  unsigned done = submit_short_jobs(600, 16, 1);
+  double back_at = crash_in_order(row, order);
+  if (row->back_s[0] > 10 || row->back_s[1] > 10) {
+    check_one_controller_serves(name, order[row->back_s[0] < 10 ? 0 : 2]);
+    done++;
+  }
+  sim_run_until(MAX(back_at, sim_now()));
+  check_recovery(name, 15, LONG_TASKS, done);
+  if (!row->ends) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
+}
+
 /* All controllers crash, in every order, and one returns, also within a second, and crashes again
  * while it rejoins. */
 static void leader_changes_during_return(void **state) {
   (void)state;
-  static const unsigned orders[][WORLD_NODES] = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
-  static const struct {
-    const char *name;
-    double gap_s, back_s[WORLD_NODES]; /* in the order in which they end */
-    unsigned times;
-    const char *again_at; /* the first crashes again right after it next wrote this key */
-    double again_after_s, again_back_s;
-    /* With a single one left of three a worker may try the two others for longer than its
-     * lease has left: four seconds, and one more, each. */
-    bool ends;
-  } rows[] = {
-      {"back at once", 0.1, {0.05, 0.05, 0.05}, 3, NULL, 0, 0, false},
-      {"back within a second", 0.4, {1, 0.3, 0.6}, 3, NULL, 0, 0, false},
-      {"two at once, then the third", 0, {0.3, 1, 0.05}, 3, NULL, 0, 0, false},
-      {"right after the member's key", 0.3, {0.2, 0.5, 1}, 2, "fc1/member/", 0, 0.1, false},
-      {"its key's answer has come", 0.3, {0.2, 0.5, 1}, 2, "fc1/member/", 0.02, 1, false},
-      {"right after the term", 0.3, {0.2, 0.5, 1}, 2, "fc1/term", 0, 0.1, false},
-      {"the term's answer has come", 0.3, {0.2, 0.5, 1}, 2, "fc1/term", 0.02, 1, false},
-      {"one returns alone", 0.5, {1, 50, 50}, 1, NULL, 0, 0, true},
-      {"one returns alone, and ends in its term", 0.5, {1, 50, 50}, 1, "fc1/term", 0.01, 0.3, true},
-      {"the last returns alone", 2, {50, 50, 0.5}, 1, NULL, 0, 0, true},
-  };
-  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_returns); i++) {
     /* Two orders a row, each in every third row; with a salt all of them. */
     size_t step = g_getenv("LEADERS_SALT") ? 1 : 3;
-    for (size_t o = i % step; o < G_N_ELEMENTS(orders); o += step) {
-      char name[100];
-      g_snprintf(name, sizeof name, "%s, %u %u %u", rows[i].name, orders[o][0], orders[o][1], orders[o][2]);
-      start_long_jobs(300 + (uint32_t)(i * G_N_ELEMENTS(orders) + o));
-      unsigned done = submit_short_jobs(600, 16, 1);
-      double back_at = 0;
-      for (unsigned k = 0; k < rows[i].times; k++) {
-        if (rows[i].again_at)
-          world_crash_at_write(orders[o][0], rows[i].again_at, rows[i].again_after_s, rows[i].again_back_s);
-        for (unsigned n = 0; n < WORLD_NODES; n++) {
-          world_crash(orders[o][n], rows[i].back_s[n]);
-          back_at = MAX(back_at, sim_now() + rows[i].back_s[n] + rows[i].again_back_s);
-          sim_run_until(sim_now() + rows[i].gap_s);
-        }
-        sim_run_until(sim_now() + 1.5);
-      }
-      if (rows[i].back_s[0] > 10 || rows[i].back_s[1] > 10) {
-        /* With a single one for long: work goes on meanwhile, at the latest once it may take
-         * the others out of the term, which is cancel_s - lease_s after its entry. */
-        unsigned alone = rows[i].back_s[0] < 10 ? 0 : 2;
-        sim_run_until(sim_now() + 8);
-        world_users_to((int)orders[o][alone]);
-        world_submit(world_id(800), "sweep", "standard", 2, 1, 3, 0);
-        done++;
-        sim_run_until(sim_now() + 20);
-        check_row(name, world_began(world_id(800)) > 0);
-        world_users_to(-1);
-      }
-      sim_run_until(MAX(back_at, sim_now()));
-      check_recovery(name, 15, LONG_TASKS, done);
-      if (!rows[i].ends) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
+    for (size_t o = i % step; o < G_N_ELEMENTS(k_crash_orders); o += step) {
+      play_return(&k_returns[i], k_crash_orders[o], 300 + (uint32_t)(i * G_N_ELEMENTS(k_crash_orders) + o));
     }
   }
 }
 
-static const struct {
+typedef struct completion_row {
   const char *name;
   uint32_t seed;
   unsigned ends;      /* controllers, one after the other, from the one that the seed says */
   double at_s, gap_s; /* after the tasks have begun; the first ones end 6 to 9 s after that */
   double back_s;
   const char *at_write; /* or each at its next write of that, from then on */
-  double old_reports_s; /* machines' reports of before come again so much later; 0: they don't */
+  double old_reports_s; /* delay of copies of the machines' heartbeats; 0: no copies */
   unsigned die;         /* so many machines die once the first tasks are done */
   unsigned room;        /* whole machines in each zone */
-} k_completions[] = {
+} completion_row;
+
+static const completion_row k_completions[] = {
     {"all in turn", 400, 3, 12, 10, 4, NULL, 0, 0, 9},
     {"all in turn, at once back", 401, 3, 8, 9, 0.2, NULL, 0, 0, 9},
     {"all at once", 402, 3, 14, 0, 3, NULL, 0, 0, 9},
@@ -264,74 +283,101 @@
     {"half done where there is no room, at once back", 414, 9, 9, 5, 0.3, NULL, 0, 0, 4},
 };
 
+static const unsigned k_array_tasks[] = {2, 3, 2, 3, 2, 5};
+
+static void start_arrays(const completion_row *row) {
+  scene_begin(&(scene_setup){
+      .seed = salted(row->seed), .capacity = row->room, .keep_idle = true, .machines = {row->room, row->room}});
+  /* Tasks take a whole machine: a shard has six, or three, so that some slices are handed over. */
+  for (unsigned k = 0; k < G_N_ELEMENTS(k_array_tasks); k++) {
+    world_job j = {.id = world_id(k), .kind = "sweep", .tasks = k_array_tasks[k], .gpus = 4, .run_s = 8, .in_s = 6};
+    j.later_s = 17 + k;
+    world_submit_job(&j);
+  }
+  sim_run_until(sim_now() + 10);
+}
+
+static void crash_controllers(const completion_row *row, double end_at) {
+  for (unsigned k = 0; k < row->ends; k++) {
+    unsigned n = (row->seed + k) % WORLD_NODES;
+    sim_run_until(end_at + k * row->gap_s);
+    for (unsigned m = 0; m < 2 * row->room && row->old_reports_s > 0; m++)
+      for (unsigned to = 0; to < WORLD_NODES; to++) world_report_later(m, to, row->old_reports_s);
+    if (row->at_write) {
+      world_crash_at_write(n, row->at_write, 0, row->back_s);
+    } else {
+      world_crash(n, row->back_s);
+    }
+    if (row->ends < 3) world_users_to((int)(n + 1) % WORLD_NODES);
+  }
+}
+
+/* Returns the longest time from the last completion of an array to its report to the user. */
+static double check_reported_done(const completion_row *row) {
+  double longest_s = 0;
+  for (unsigned k = 0; k < G_N_ELEMENTS(k_array_tasks); k++) {
+    double told = world_told_done_at(world_id(k));
+    check_row(row->name, told > 0);
+    longest_s = MAX(longest_s, told - world_ended_at(world_id(k)));
+  }
+  return longest_s;
+}
+
 /* Arrays whose tasks complete far apart, with changes of leader in between: completed tasks do not run
  * again, and the job is reported done after its last task. */
 static void completions_across_leader_changes(void **state) {
   (void)state;
-  static const unsigned tasks[] = {2, 3, 2, 3, 2, 5};
   unsigned handed = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(k_completions); i++) {
-    scene_begin(&(scene_setup){.seed = salted(k_completions[i].seed),
-                               .capacity = k_completions[i].room,
-                               .keep_idle = true,
-                               .machines = {k_completions[i].room, k_completions[i].room}});
-    /* Tasks take a whole machine: a shard has six, or three, so that some slices are handed over. */
-    for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++) {
-      world_job j = {.id = world_id(k), .kind = "sweep", .tasks = tasks[k], .gpus = 4, .run_s = 8, .in_s = 6};
-      j.later_s = 17 + k;
-      world_submit_job(&j);
-    }
-    sim_run_until(sim_now() + 10);
-    double end_at = sim_now() + k_completions[i].at_s, last = 0;
-    if (k_completions[i].die) {
+    const completion_row *row = &k_completions[i];
+    start_arrays(row);
+    double end_at = sim_now() + row->at_s;
+    if (row->die) {
       sim_run_until(end_at - 3);
-      world_kill(0, k_completions[i].die);
-    }
-    for (unsigned k = 0; k < k_completions[i].ends; k++) {
-      unsigned n = (k_completions[i].seed + k) % WORLD_NODES;
-      sim_run_until(end_at + k * k_completions[i].gap_s);
-      for (unsigned m = 0; m < 2 * k_completions[i].room && k_completions[i].old_reports_s > 0; m++)
-        for (unsigned to = 0; to < WORLD_NODES; to++) world_report_later(m, to, k_completions[i].old_reports_s);
-      if (k_completions[i].at_write) {
-        world_crash_at_write(n, k_completions[i].at_write, 0, k_completions[i].back_s);
-      } else {
-        world_crash(n, k_completions[i].back_s);
-      }
-      if (k_completions[i].ends < 3) world_users_to((int)(n + 1) % WORLD_NODES);
+      world_kill(0, row->die);
     }
+    crash_controllers(row, end_at);
     sim_run_until(end_at + 130);
     world_result r = world_so_far();
     for (unsigned n = 0; n < WORLD_NODES; n++) handed += (unsigned)world_counts(n).handed_over;
-    for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++) {
-      double told = world_told_done_at(world_id(k));
-      check_row(k_completions[i].name, told > 0);
-      last = MAX(last, told - world_ended_at(world_id(k)));
-    }
+    double last = check_reported_done(row);
     print_message("%s: %u starts, %u lease kills, told %.1f s after the end at most, %u handed over so far\n",
-                  k_completions[i].name, r.starts, r.lease_kills, last, handed);
-    check_rules(k_completions[i].name);
+                  row->name, r.starts, r.lease_kills, last, handed);
+    check_rules(row->name);
     /* No lease ends: one controller at least can be reached within it. */
-    check_row(k_completions[i].name, r.lease_kills == 0 && r.done_starts == 0);
-    check_row(k_completions[i].name, r.finished == G_N_ELEMENTS(tasks));
+    check_row(row->name, r.lease_kills == 0 && r.done_starts == 0);
+    check_row(row->name, r.finished == G_N_ELEMENTS(k_array_tasks));
     /* A worker may first try one that has ended, and its user asks every 4 to 6 s. */
-    check_row(k_completions[i].name, last < 20);
-    for (unsigned k = 0; k < G_N_ELEMENTS(tasks); k++)
-      check_row(k_completions[i].name, k_completions[i].die > 0 || world_starts_of(world_id(k)) == tasks[k]);
-    check_row(k_completions[i].name, r.starts <= 17 + k_completions[i].die);
+    check_row(row->name, last < 20);
+    for (unsigned k = 0; k < G_N_ELEMENTS(k_array_tasks); k++)
+      check_row(row->name, row->die > 0 || world_starts_of(world_id(k)) == k_array_tasks[k]);
+    check_row(row->name, r.starts <= 17 + row->die);
   }
   assert_true(handed > 0);
 }
 
-enum { HUNG, OUTBOUND_CUT, INBOUND_CUT, PAIR_HELD, PAIR_RESET, NEXT_HELD, NEXT_RESET, NODE_HELD };
-static const struct {
+typedef enum {
+  HUNG,
+  OUTBOUND_CUT,
+  INBOUND_CUT,
+  PAIR_HELD,
+  PAIR_RESET,
+  NEXT_HELD,
+  NEXT_RESET,
+  NODE_HELD
+} reachability_fault;
+
+typedef struct unreachable_row {
   const char *name;
   uint32_t seed;
-  int how;
+  reachability_fault fault;
   unsigned from, to;            /* machines */
-  double for_s, ends_s, back_s; /* the trouble; when the controller ends, from its begin on */
+  double for_s, ends_s, back_s; /* the fault; the crash of the controller, from its begin on */
   bool all;                     /* controllers end, one second apart */
   bool kept;                    /* some controller can always answer the machines: no task is lost */
-} k_unreachable[] = {
+} unreachable_row;
+
+static const unreachable_row k_unreachable[] = {
     {"hung, for less than a lease", 500, HUNG, 0, 4, 10, 2, 4, false, false},
     {"hung, for longer", 501, HUNG, 0, 4, 25, 2, 4, false, false},
     {"hung, all controllers end", 502, HUNG, 2, 6, 12, 1, 2, true, false},
@@ -351,35 +397,38 @@
     {"cut from one of the others, for good, another place", 12913, NEXT_RESET, 0, 12, 60, 1, 12, false, true},
 };
 
+static void apply_fault(const unreachable_row *row, unsigned node) {
+  unsigned from = row->from, to = row->to;
+  double for_s = row->for_s;
+  if (row->fault == HUNG) world_hang(from, to, for_s);
+  if (row->fault == OUTBOUND_CUT) world_mute(from, to, for_s);
+  if (row->fault == INBOUND_CUT) world_deaf(from, to, for_s);
+  if (row->fault == NODE_HELD) world_cut_node(node, for_s, SIM_HELD);
+  for (unsigned m = from; m < to; m++) {
+    if (row->fault == PAIR_HELD) world_cut_pair(node, m, for_s, SIM_HELD);
+    if (row->fault == PAIR_RESET) world_cut_pair(node, m, for_s, SIM_RESET);
+    if (row->fault == NEXT_HELD) world_cut_pair((node + 1) % WORLD_NODES, m, for_s, SIM_HELD);
+    if (row->fault == NEXT_RESET) world_cut_pair((node + 1 + m % 2) % WORLD_NODES, m, for_s, SIM_RESET);
+  }
+}
+
 /* A controller crashes while machines with long tasks are unreachable, or receive nothing from its
  * successor: their tasks are neither started twice nor lost. */
 static void unreachable_machines_at_a_leader_change(void **state) {
   (void)state;
   const size_t all_nodes = g_getenv("LEADERS_SALT") ? WORLD_NODES : 1;
   for (size_t i = 0; i < G_N_ELEMENTS(k_unreachable) * all_nodes; i++) {
-    const size_t at = i / all_nodes;
-    unsigned node = (unsigned)(k_unreachable[at].seed + i % all_nodes) % WORLD_NODES;
+    const unreachable_row *row = &k_unreachable[i / all_nodes];
+    unsigned node = (unsigned)(row->seed + i % all_nodes) % WORLD_NODES;
     char name[100];
-    g_snprintf(name, sizeof name, "%s, %u", k_unreachable[at].name, node);
-    start_long_jobs(k_unreachable[at].seed + (uint32_t)i * 100);
+    g_snprintf(name, sizeof name, "%s, %u", row->name, node);
+    start_long_jobs(row->seed + (uint32_t)i * 100);
     unsigned done = submit_short_jobs(600, 12, 2);
-    unsigned from = k_unreachable[at].from, to = k_unreachable[at].to;
-    double for_s = k_unreachable[at].for_s,
-           over = sim_now() +
-                  MAX(for_s, k_unreachable[at].ends_s + k_unreachable[at].back_s + (k_unreachable[at].all ? 2 : 0));
-    if (k_unreachable[at].how == HUNG) world_hang(from, to, for_s);
-    if (k_unreachable[at].how == OUTBOUND_CUT) world_mute(from, to, for_s);
-    if (k_unreachable[at].how == INBOUND_CUT) world_deaf(from, to, for_s);
-    if (k_unreachable[at].how == NODE_HELD) world_cut_node(node, for_s, SIM_HELD);
-    for (unsigned m = from; m < to; m++) {
-      if (k_unreachable[at].how == PAIR_HELD) world_cut_pair(node, m, for_s, SIM_HELD);
-      if (k_unreachable[at].how == PAIR_RESET) world_cut_pair(node, m, for_s, SIM_RESET);
-      if (k_unreachable[at].how == NEXT_HELD) world_cut_pair((node + 1) % WORLD_NODES, m, for_s, SIM_HELD);
-      if (k_unreachable[at].how == NEXT_RESET) world_cut_pair((node + 1 + m % 2) % WORLD_NODES, m, for_s, SIM_RESET);
-    }
-    sim_run_until(sim_now() + k_unreachable[at].ends_s);
-    for (unsigned k = 0; k < (k_unreachable[at].all ? 3 : 1); k++) {
-      world_crash((node + k) % WORLD_NODES, k_unreachable[at].back_s);
+    double over = sim_now() + MAX(row->for_s, row->ends_s + row->back_s + (row->all ? 2 : 0));
+    apply_fault(row, node);
+    sim_run_until(sim_now() + row->ends_s);
+    for (unsigned k = 0; k < (row->all ? 3 : 1); k++) {
+      world_crash((node + k) % WORLD_NODES, row->back_s);
       sim_run_until(sim_now() + 1);
     }
     sim_run_until(MAX(over, sim_now()));
@@ -387,7 +436,7 @@
     check_recovery(name, 15, LONG_TASKS, done);
     unsigned gone = world_gone(0, MACHINES);
     print_message("%s: %u started again, %u returned\n", name, restarts(), gone);
-    if (k_unreachable[at].kept) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
+    if (row->kept) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
   }
 }
 
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -251,71 +251,87 @@
   }
 }
 
+typedef struct limit_row {
+  const char *name;
+  machine_fault what;
+  double for_s;
+  unsigned crashes;
+  double within_s; /* of the end of the last task; longer where only the lease proves it */
+} limit_row;
+
+static const limit_row k_limit_rows[] = {
+    {"hung for less than a lease, and one is replaced", HUNG, 9, 1, 6},
+    {"hung for longer, and one is", HUNG, 25, 1, 6},
+    {"hung for longer, and all are", HUNG, 25, 3, 6},
+    {"cut off for longer, and one is", CUT_OFF, 25, 1, 6},
+    {"cut off for longer, and two are", CUT_OFF, 25, 2, 6},
+    {"deaf, and one is", INBOUND_CUT, 25, 1, 6},
+    {"deaf, and all are", INBOUND_CUT, 25, 3, 6},
+    {"mute, and one is", OUTBOUND_CUT, 25, 1, 6},
+    {"mute, and two are", OUTBOUND_CUT, 25, 2, 6},
+    {"killed, and two are", KILLED, 0, 2, 14},
+};
+
+enum { LIMIT_SERVICES = 4 };
+
+/* Four services use all of the team's limit; an array of the team is pending. */
+static void start_team_at_limit(const char *name, uint32_t seed) {
+  scene_begin(&(scene_setup){.seed = seed, .capacity = 8, .machines = {6, 6}});
+  for (unsigned k = 0; k < LIMIT_SERVICES; k++)
+    world_submit_job(&(world_job){.id = world_id(k),
+                                  .kind = "service",
+                                  .rank = "prod",
+                                  .team = "blue",
+                                  .tasks = 3,
+                                  .gpus = 1,
+                                  .run_s = 1e6,
+                                  .in_s = 5});
+  world_submit_job(&(world_job){
+      .id = world_id(10), .kind = "sweep", .team = "blue", .tasks = 3, .gpus = 1, .run_s = 1e6, .in_s = 15});
+  sim_run_until(sim_now() + 25);
+  for (unsigned k = 0; k < LIMIT_SERVICES; k++) check_row(name, world_tasks_of(world_id(k)) == 3);
+  check_row(name, world_began(world_id(10)) == 0);
+}
+
+/* When the cancelled service's tasks are gone, and when the array's run; 0: not within 90 s. */
+static void wait_for_next_job(double *gone, double *next) {
+  double from = sim_now();
+  while (sim_now() < from + 90 && !*next) {
+    sim_run_until(sim_now() + 0.25);
+    /* Until the cancellation is acknowledged a task may be restarted. */
+    bool is_over = world_cancelled_at(world_id(0)) > 0 && world_tasks_of(world_id(0)) == 0;
+    *gone = !is_over ? 0 : *gone > 0 ? *gone : sim_now();
+    if (world_tasks_of(world_id(10)) == 3) *next = sim_now();
+  }
+}
+
 /* A team is at its limit, controllers restart, the machines of one of its jobs are unreachable, and
  * that job is cancelled. Its tasks count as usage until they are proved gone; then the team's next
  * job starts at once. */
 static void team_limit_after_a_cancellation(void **state) {
   (void)state;
-  static const struct {
-    const char *name;
-    machine_fault what;
-    double for_s;
-    unsigned crashes;
-    double within_s; /* of the end of the last task; longer where only the lease proves it */
-  } rows[] = {
-      {"hung for less than a lease, and one is replaced", HUNG, 9, 1, 6},
-      {"hung for longer, and one is", HUNG, 25, 1, 6},
-      {"hung for longer, and all are", HUNG, 25, 3, 6},
-      {"cut off for longer, and one is", CUT_OFF, 25, 1, 6},
-      {"cut off for longer, and two are", CUT_OFF, 25, 2, 6},
-      {"deaf, and one is", INBOUND_CUT, 25, 1, 6},
-      {"deaf, and all are", INBOUND_CUT, 25, 3, 6},
-      {"mute, and one is", OUTBOUND_CUT, 25, 1, 6},
-      {"mute, and two are", OUTBOUND_CUT, 25, 2, 6},
-      {"killed, and two are", KILLED, 0, 2, 14},
-  };
   unsigned late = 0;
-  for (size_t i = 0; i < G_N_ELEMENTS(rows) * 3; i++) {
-    const unsigned row = (unsigned)i / 3, services = 4;
-    scene_begin(&(scene_setup){.seed = 500 + (uint32_t)i, .capacity = 8, .machines = {6, 6}});
-    for (unsigned k = 0; k < services; k++)
-      world_submit_job(&(world_job){.id = world_id(k),
-                                    .kind = "service",
-                                    .rank = "prod",
-                                    .team = "blue",
-                                    .tasks = 3,
-                                    .gpus = 1,
-                                    .run_s = 1e6,
-                                    .in_s = 5});
-    world_submit_job(&(world_job){
-        .id = world_id(10), .kind = "sweep", .team = "blue", .tasks = 3, .gpus = 1, .run_s = 1e6, .in_s = 15});
-    sim_run_until(sim_now() + 25);
-    for (unsigned k = 0; k < services; k++) check_row(rows[row].name, world_tasks_of(world_id(k)) == 3);
-    check_row(rows[row].name, world_began(world_id(10)) == 0);
+  for (size_t i = 0; i < G_N_ELEMENTS(k_limit_rows) * 3; i++) {
+    const limit_row *row = &k_limit_rows[i / 3];
+    start_team_at_limit(row->name, 500 + (uint32_t)i);
     for (unsigned t = 0; t < 3; t++) {
       int at = world_machine_of(world_id(0), t);
-      if (at >= 0) apply_fault(rows[row].what, (unsigned)at, rows[row].for_s);
+      if (at >= 0) apply_fault(row->what, (unsigned)at, row->for_s);
     }
     const double back_in_s = (const double[]){4, 0.3, 20}[i % 3];
-    for (unsigned n = 0; n < rows[row].crashes; n++) world_crash(n, back_in_s);
+    for (unsigned n = 0; n < row->crashes; n++) world_crash(n, back_in_s);
     world_cancel(world_id(0), -1, (double)(i % 3) * 1.5);
     double from = sim_now(), gone = 0, next = 0;
-    while (sim_now() < from + 90 && !next) {
-      sim_run_until(sim_now() + 0.25);
-      /* Until the cancellation is acknowledged a task may be restarted. */
-      bool is_over = world_cancelled_at(world_id(0)) > 0 && world_tasks_of(world_id(0)) == 0;
-      gone = !is_over ? 0 : gone > 0 ? gone : sim_now();
-      if (world_tasks_of(world_id(10)) == 3) next = sim_now();
-    }
+    wait_for_next_job(&gone, &next);
     world_result r = world_so_far();
-    if (r.broken) fail_msg("%s, %u: %s", rows[row].name, (unsigned)i, r.first);
-    print_message("%s, %u: gone after %.1f s, the next all there %.1f s later\n", rows[row].name, (unsigned)i,
-                  gone - from, next - gone);
-    check_row(rows[row].name, gone > 0 && next > 0);
+    if (r.broken) fail_msg("%s, %u: %s", row->name, (unsigned)i, r.first);
+    print_message("%s, %u: gone after %.1f s, the next all there %.1f s later\n", row->name, (unsigned)i, gone - from,
+                  next - gone);
+    check_row(row->name, gone > 0 && next > 0);
     /* With all controllers down it is proved when one is back and has probed the machines. */
-    double proved = rows[row].crashes == WORLD_NODES ? MAX(gone, from + back_in_s + 6) : gone;
-    if (next - proved > rows[row].within_s) {
-      print_message("not so: within %.0f s\n", rows[row].within_s);
+    double proved = row->crashes == WORLD_NODES ? MAX(gone, from + back_in_s + 6) : gone;
+    if (next - proved > row->within_s) {
+      print_message("not so: within %.0f s\n", row->within_s);
       late++;
     }
   }
--- a/tests/test_reconciliation_progress.c
+++ b/tests/test_reconciliation_progress.c
@@ -64,69 +64,76 @@
   }
 }
 
+typedef struct resolution_row {
+  const char *name;
+  bool ours_reconciled, theirs_reconciled;
+  uint64_t accepted, names_since; /* terms; this is the tenth */
+  unsigned moved;
+  bool other_owner, resolved;
+  uint64_t moved_in;       /* the term of the first slice's last handover */
+  unsigned machine_owners; /* a bit a member: on whose machines its tasks may be since */
+} resolution_row;
+
+static const resolution_row k_resolutions[] = {
+    {"all machines are reconciled", true, true, 0, 10, 1, true, true, 0, 0},
+    {"ours are reconciled", true, false, 5, 5, 0, false, true, 0, 0},
+    {"ours are, but the job's term is not known", true, false, 0, 1, 0, false, false, 0, 0},
+    {"ours are not", false, true, 5, 5, 0, false, false, 0, 0},
+    {"a member has come or gone since", true, false, 5, 6, 0, false, false, 0, 0},
+    {"the slice has been handed over", true, false, 5, 5, 1, false, false, 0, 0},
+    {"another slice has been", true, false, 5, 5, 2, false, true, 0, 0},
+    {"it is another shard's", true, false, 5, 5, 0, true, false, 0, 0},
+    {"handed over to us, with no task elsewhere", true, false, 5, 5, 1, false, true, 7, 1},
+    {"handed over to us, with tasks on the peer's machines", true, false, 5, 5, 1, false, false, 7, 3},
+    {"the peer's are reconciled, and its tasks are on ours too", false, true, 5, 5, 1, false, false, 7, 3},
+    {"the peer's are reconciled, and its tasks are on those alone", false, true, 5, 5, 1, false, true, 7, 2},
+    {"handed over since a member has come or gone", true, false, 3, 6, 1, false, true, 6, 1},
+    {"handed over before that", true, false, 3, 6, 1, false, false, 5, 1},
+    {"handed over, and the job's term is not known", true, false, 0, 6, 1, false, true, 7, 1},
+    {"handed over, and not ours any more", true, false, 5, 5, 1, true, false, 7, 1},
+    {"never handed over: owners that were recorded don't count", true, false, 5, 6, 0, false, false, 7, 1},
+};
+
+/* The same record read after a gap in the changes: its slice is resolved as before. */
+static void check_reread_job(fc_cluster *cluster, const fc_job *job, const resolution_row *row) {
+  fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .done = (char *)"", .slices = 1, .origin = job->record.origin};
+  char error[200];
+  static const char text[] =
+      "{\"id\":\"job-000002\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":1,"
+      "\"cpus\":1,\"gpus\":1,\"memGb\":1,\"kit\":\"img\",\"pullGb\":1,\"builds\":null,\"ground\":null,"
+      "\"samePlace\":false,\"scatter\":false,\"loaners\":true,\"expectS\":1,\"markS\":0,\"stowS\":0,\"whistleS\":"
+      "null}";
+  assert_true(fc_job_spec_parse(text, strlen(text), &record.spec, error, sizeof error));
+  record.handed[0] = job->record.handed_to[0];
+  check_row(row->name,
+            (fc_cluster_apply_job(cluster, "job-000002", &record, 8, false, 6)->slices.resolved & 1) == row->resolved);
+  fc_job_spec_clear(&record.spec);
+}
+
 /* Slices that were always in this shard, or were handed over to it with known tasks, are resolved
  * as soon as the machines that may hold their tasks are reconciled. */
 static void slices_resolved_before_all_is_reconciled(void **state) {
   (void)state;
-  static const struct {
-    const char *name;
-    bool ours_reconciled, theirs_reconciled;
-    uint64_t accepted, names_since; /* terms; this is the tenth */
-    unsigned moved;
-    bool other_owner, resolved;
-    uint64_t moved_in;       /* the term of the first slice's last handover */
-    unsigned machine_owners; /* a bit a member: on whose machines its tasks may be since */
-  } rows[] = {
-      {"all machines are reconciled", true, true, 0, 10, 1, true, true, 0, 0},
-      {"ours are reconciled", true, false, 5, 5, 0, false, true, 0, 0},
-      {"ours are, but the job's term is not known", true, false, 0, 1, 0, false, false, 0, 0},
-      {"ours are not", false, true, 5, 5, 0, false, false, 0, 0},
-      {"a member has come or gone since", true, false, 5, 6, 0, false, false, 0, 0},
-      {"the slice has been handed over", true, false, 5, 5, 1, false, false, 0, 0},
-      {"another slice has been", true, false, 5, 5, 2, false, true, 0, 0},
-      {"it is another shard's", true, false, 5, 5, 0, true, false, 0, 0},
-      {"handed over to us, with no task elsewhere", true, false, 5, 5, 1, false, true, 7, 1},
-      {"handed over to us, with tasks on the peer's machines", true, false, 5, 5, 1, false, false, 7, 3},
-      {"the peer's are reconciled, and its tasks are on ours too", false, true, 5, 5, 1, false, false, 7, 3},
-      {"the peer's are reconciled, and its tasks are on those alone", false, true, 5, 5, 1, false, true, 7, 2},
-      {"handed over since a member has come or gone", true, false, 3, 6, 1, false, true, 6, 1},
-      {"handed over before that", true, false, 3, 6, 1, false, false, 5, 1},
-      {"handed over, and the job's term is not known", true, false, 0, 6, 1, false, true, 7, 1},
-      {"handed over, and not ours any more", true, false, 5, 5, 1, true, false, 7, 1},
-      {"never handed over: owners that were recorded don't count", true, false, 5, 6, 0, false, false, 7, 1},
-  };
-  for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(k_resolutions); i++) {
+    const resolution_row *row = &k_resolutions[i];
     fc_settings settings = fixture_settings();
     fc_cluster *cluster = fixture_cluster(&settings);
     fc_machine *ours = fixture_machine(cluster, "vm-1", "a", false);
     fc_machine *theirs = fixture_machine(cluster, "vm-2", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     job->record.origin = (fc_job_origin){
-        .term = rows[i].accepted, .moved = rows[i].moved, .last_move = {{rows[i].moved_in, rows[i].machine_owners}}};
-    job->record.handed_to[0] = g_strdup(rows[i].other_owner ? "paddock-1" : "paddock-0");
+        .term = row->accepted, .moved = row->moved, .last_move = {{row->moved_in, row->machine_owners}}};
+    job->record.handed_to[0] = g_strdup(row->other_owner ? "paddock-1" : "paddock-0");
     g_strlcpy(theirs->record.owner, "paddock-1", sizeof theirs->record.owner);
     fc_term term = {
-        .number = 10, .names_since = rows[i].names_since, .members = {{"paddock-0", 3}, {"paddock-1", 4}}, .count = 2};
+        .number = 10, .names_since = row->names_since, .members = {{"paddock-0", 3}, {"paddock-1", 4}}, .count = 2};
     fc_cluster_apply_term(cluster, &term, 20, false, 5);
     assert_int_equal(job->slices.resolved & 1, 0);
-    if (rows[i].ours_reconciled) ours->reconciled_term = 10;
-    if (rows[i].theirs_reconciled) theirs->reconciled_term = 10;
-    check_row(rows[i].name,
-              fc_cluster_update_reconciled(cluster) == (rows[i].ours_reconciled && rows[i].theirs_reconciled));
-    check_row(rows[i].name, (job->slices.resolved & 1) == rows[i].resolved);
-    /* Read anew, after a gap in the changes, it is resolved as before. */
-    fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .done = (char *)"", .slices = 1, .origin = job->record.origin};
-    char error[200];
-    static const char text[] =
-        "{\"id\":\"job-000002\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":1,"
-        "\"cpus\":1,\"gpus\":1,\"memGb\":1,\"kit\":\"img\",\"pullGb\":1,\"builds\":null,\"ground\":null,"
-        "\"samePlace\":false,\"scatter\":false,\"loaners\":true,\"expectS\":1,\"markS\":0,\"stowS\":0,\"whistleS\":"
-        "null}";
-    assert_true(fc_job_spec_parse(text, strlen(text), &record.spec, error, sizeof error));
-    record.handed[0] = job->record.handed_to[0];
-    check_row(rows[i].name, (fc_cluster_apply_job(cluster, "job-000002", &record, 8, false, 6)->slices.resolved & 1) ==
-                                rows[i].resolved);
-    fc_job_spec_clear(&record.spec);
+    if (row->ours_reconciled) ours->reconciled_term = 10;
+    if (row->theirs_reconciled) theirs->reconciled_term = 10;
+    check_row(row->name, fc_cluster_update_reconciled(cluster) == (row->ours_reconciled && row->theirs_reconciled));
+    check_row(row->name, (job->slices.resolved & 1) == row->resolved);
+    check_reread_job(cluster, job, row);
     fc_cluster_free(cluster);
   }
 }
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -183,6 +183,19 @@
   check_row(name, (r->status != 503 && r->status != 429) || r->retry_after > 0);
 }
 
+/* A submission with that field missing, null or of another type; `value` NULL: missing. Returns whether
+ * the reply was 400. */
+static bool check_malformed_field(const char *when, const char *id, unsigned node, size_t field, const char *value,
+                                  bool unavailable_allowed, double within_s) {
+  char *body = body_with(id, k_fields[field].field, value), name[160];
+  g_snprintf(name, sizeof name, "%s: %s %s", when, k_fields[field].field, value ? value : "missing");
+  world_reply r = world_request(node, "POST", "/api/jobs", body);
+  check_reply(name, &r, r.status == 400 || (unavailable_allowed && r.status == 503), within_s);
+  g_free(body);
+  sim_run_until(sim_now() + (unavailable_allowed ? NEXT_REQUEST_S : ARCHIVE_LOOKUP_S));
+  return r.status == 400;
+}
+
 /* Each field missing, null and of other types. Returns the replies of 400; with
  * `unavailable_allowed` the controller may not know enough yet and answer 503. */
 static unsigned check_malformed(const char *when, const char *id, unsigned node, bool unavailable_allowed,
@@ -193,13 +206,7 @@
       const char *value = k == -2 ? NULL : k == -1 ? "null" : k_fields[i].wrong[k];
       if (k >= 0 && !value) break;
       if (k < 0 && k_fields[i].may_be_null) continue; /* valid: checked elsewhere */
-      char *body = body_with(id, k_fields[i].field, value), name[160];
-      g_snprintf(name, sizeof name, "%s: %s %s", when, k_fields[i].field, value ? value : "missing");
-      world_reply r = world_request(node, "POST", "/api/jobs", body);
-      check_reply(name, &r, r.status == 400 || (unavailable_allowed && r.status == 503), within_s);
-      refused += r.status == 400;
-      g_free(body);
-      sim_run_until(sim_now() + (unavailable_allowed ? NEXT_REQUEST_S : ARCHIVE_LOOKUP_S));
+      refused += check_malformed_field(when, id, node, i, value, unavailable_allowed, within_s);
     }
   }
   static const char *const bodies[] = {"", "hello", "[]", "null", "1", "\"job-000412\"", "{", "{}", "{}x", "\xff{}"};
