--- a/tests/small.h
+++ b/tests/small.h
@@ -5,7 +5,7 @@
 
 #include "check.h"
 
-#include "sim/world.h"
+#include "scene.h"
 
 #define SHARE 0.024        /* of a core */
 #define TIMERS_LATE_S 0.05 /* half a period of the limit on processor time */
@@ -13,13 +13,17 @@
 #define RECORDED_S 15.0 /* until all machines of a fleet that appears at once are on record */
 #define SETTLE_S 40.0
 
-/* Half the machines are filled with services of six tasks; nothing of them ends. */
+/* Services of six tasks that never end. */
 static inline unsigned services(unsigned first, unsigned count, double every_s) {
-  for (unsigned k = 0; k < count; k++) {
-    char id[32];
-    g_snprintf(id, sizeof id, "job-%06u", first + k);
-    world_submit(id, "service", "prod", JOB_TASKS, 1, 1e6, RECORDED_S + k * every_s);
-  }
+  scene_submit(&(scene_jobs){.first = first,
+                             .count = count,
+                             .kind = "service",
+                             .priority = "prod",
+                             .tasks = JOB_TASKS,
+                             .gpus = 1,
+                             .run_s = 1e6,
+                             .in_s = RECORDED_S,
+                             .every_s = every_s});
   return count * JOB_TASKS;
 }
 
@@ -39,7 +43,7 @@
   if (r.broken) fail_msg("%s: %u broken, first %s", name, r.broken, r.first);
 }
 
-/* Where a scene stands: what has been counted so far. */
+/* The counters at a moment of a scene. */
 typedef struct mark {
   world_result r;
   double at, used_s;
@@ -51,7 +55,7 @@
   return (mark){world_so_far(), sim_now(), sim_load_of(WORLD_NODE_IP(0)).busy_s, world_terms()};
 }
 
-/* What has happened since; also the part of its share that the first controller used. */
+/* What has happened since, and the processor time of the first controller. */
 static inline void print_since(const char *name, const char *phase, const mark *m) {
   world_result r = world_so_far();
   print_message(
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,9 +1,8 @@
-/* The state service lowers its limits while controllers serve: sizes keep to the lower ones
- * from the start, the rate follows the refusals. Whole controllers over the simulated
- * transport; the stand-in breaks a rule when it is sent something too large. */
+/* The key-value store lowers its limits while controllers serve: sizes keep to the announced limits
+ * from the start, the write rate adapts to refusals. The stand-in reports anything too large. */
 #include "check.h"
 
-#include "sim/world.h"
+#include "scene.h"
 
 #define LATER_VALUE_KB 2
 #define LATER_TXN_OPS 4
@@ -29,22 +28,26 @@
 
 /* Ten small arrays a second, and a wide one. */
 static void submit_jobs(void) {
-  for (unsigned k = 0; k < JOBS; k++) world_submit(world_id(k), "sweep", "standard", 2, 0.25, 5, 20 + 0.1 * k);
+  scene_submit(&(scene_jobs){.count = JOBS,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 2,
+                             .gpus = 0.25,
+                             .run_s = 5,
+                             .in_s = 20,
+                             .every_s = 0.1});
   world_submit(world_id(JOBS), "sweep", "standard", 150, 0.25, 5, 10);
 }
 
-static void limits_are_lowered(void **state) {
+static void kv_store_limits_are_lowered(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_rows); i++) {
     const limits_row *row = &k_rows[i];
-    world_set_up(40 + (uint32_t)i, 0);
-    world_capacity(12, 0);
-    world_keep_idle();
-    world_images_there();
+    const scene_setup setup = {
+        .seed = 40 + (uint32_t)i, .capacity = 12, .keep_idle = true, .images_cached = true, .machines = {6, 6}};
+    scene_prepare(&setup);
     world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
-    world_start_nodes();
-    world_machines_up(0, 6);
-    world_machines_up(1, 6);
+    scene_start(&setup);
     submit_jobs();
     sim_run_until(sim_now() + row->lowered_s);
     world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
@@ -58,26 +61,23 @@
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     check_row(row->name, r.accepted == JOBS + 1);
     check_row(row->name, r.finished == JOBS + 1);
-    /* Each of three needs a few refusals to come down to the later rate, and while there is
-     * more to write each tries every thirteen seconds whether more is taken again (commit.c). */
+    /* Each of three needs a few refusals to adapt, and while writes are pending each probes for a
+     * higher rate every thirteen seconds (bookkeeping/write_rate.c). */
     check_row(row->name, early <= row->refused && r.over_rate - early <= LATER_S * WORLD_NODES / 13);
   }
 }
 
-/* Many arrays whose tasks end one by one: their ends, which nobody waits for before the last
- * one, leave the write rate to what is submitted meanwhile. */
-static void ends_leave_room_for_submissions(void **state) {
+/* Many arrays whose tasks complete one by one: those writes, which are not urgent before the last one,
+ * leave the write rate to submissions. */
+static void completions_leave_write_rate_for_submissions(void **state) {
   (void)state;
   enum { ARRAYS = 45, SUBMITTED = 60 };
-  world_set_up(60, 0);
-  world_capacity(40, 0);
-  world_keep_idle();
-  world_images_there();
+  const scene_setup setup = {
+      .seed = 60, .capacity = 40, .keep_idle = true, .images_cached = true, .machines = {40, 40}};
+  scene_prepare(&setup);
   world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, 15);
   world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, 15);
-  world_start_nodes();
-  world_machines_up(0, 40);
-  world_machines_up(1, 40);
+  scene_start(&setup);
   for (unsigned k = 0; k < ARRAYS; k++)
     world_submit_job(&(world_job){.id = world_id(k),
                                   .kind = "sweep",
@@ -87,8 +87,15 @@
                                   .later_s = 2.5,
                                   .in_s = 8 + 0.5 * k});
   double from = sim_now() + 75;
-  for (unsigned k = 0; k < SUBMITTED; k++)
-    world_submit(world_id(100 + k), "sweep", "standard", 1, 0.25, 3, 75 + 0.5 * k);
+  scene_submit(&(scene_jobs){.first = 100,
+                             .count = SUBMITTED,
+                             .kind = "sweep",
+                             .priority = "standard",
+                             .tasks = 1,
+                             .gpus = 0.25,
+                             .run_s = 3,
+                             .in_s = 75,
+                             .every_s = 0.5});
   sim_run_until(from + 120);
   unsigned at_once = 0;
   for (unsigned k = 0; k < SUBMITTED; k++) {
@@ -104,7 +111,7 @@
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(limits_are_lowered),
-                                     cmocka_unit_test(ends_leave_room_for_submissions)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(kv_store_limits_are_lowered),
+                                     cmocka_unit_test(completions_leave_write_rate_for_submissions)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
