--- a/src/bookkeeping/cluster.c
+++ b/src/bookkeeping/cluster.c
@@ -13,7 +13,7 @@
 /* Where nothing changes, a read takes half a heartbeat interval and counts from when it was sent:
  * just before the next one ends, the last is a whole interval old. With that as the bound a quiet
  * store counted as out of reach for a moment each second, and submissions were refused (scene
- * users_get_of_jobs_put_away). */
+ * replies_about_archived_jobs). */
 #define REACHABLE_HEARTBEATS 1.5
 
 static void incomplete_job_free(gpointer freed) {
--- a/src/controller/cancellation_deadline.h
+++ b/src/controller/cancellation_deadline.h
@@ -2,7 +2,7 @@
  * that is not proved in time, the machine is returned to the cloud. A stop may not get through, and
  * a start that was held up in a network partition is carried out when the partition ends, however
  * late, as long as fencing token and epoch are the same: a task of a job cancelled 43 s before
- * began (scene commands_held_up). */
+ * began (scene commands_delayed_past_a_cancellation). */
 #ifndef FC_CONTROLLER_CANCELLATION_DEADLINE_H
 #define FC_CONTROLLER_CANCELLATION_DEADLINE_H
 
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -97,8 +97,8 @@
  * not reconciled the machine yet, or not heard of it lately, calls it all the time, and tells us
  * when it gets through. Until then another attempt there only takes from the worker's lease, and
  * from the time after which its owner takes it for lost; with a third member gone it took more than
- * there was (scene out_of_reach). Where the owner never gets through though heartbeats do, the
- * worker is sent there in the end. */
+ * there was (scene unreachable_machines_at_a_leader_change). Where the owner never gets through
+ * though heartbeats do, the worker is sent there in the end. */
 static bool owner_out_of_touch(const fc_heartbeats *heartbeats, const fc_machine *machine, double now) {
   const fc_settings *settings = heartbeats->cluster->settings;
   const fc_machine_reachability *reach = &machine->reachability;
--- a/src/controller/machine_disposal.c
+++ b/src/controller/machine_disposal.c
@@ -48,7 +48,7 @@
 
 /* Has the worker just come to another member, having tried us in vain? Only its next heartbeat
  * there shows whether answers reach it: cut off from its owner alone, a machine full of work was
- * returned within the second (scene out_of_reach). */
+ * returned within the second (scene unreachable_machines_at_a_leader_change). */
 static bool just_redirected(const fc_machine_disposal *disposal, const fc_machine *machine) {
   const fc_machine_reachability *reach = &machine->reachability;
   double redirection_s = disposal->cluster->settings->heartbeat_s * REDIRECTION_HEARTBEATS;
@@ -64,10 +64,10 @@
    * the worker's next heartbeat takes up to 1.25 intervals, and each member that it tries in vain
    * its timeout and a second: with two of three, about its lease. A machine full of work was
    * returned as lost on that way, seconds after the member that had renewed its lease was back
-   * (scenes ten_in_two_minutes, out_of_reach). No shorter time is safe; so every member probes such
-   * a machine directly, and it stays if one reaches it or has not tried. While its lease was waited
-   * for instead, hung machines blocked a team's freed share for up to 14 s (scene
-   * a_limit_and_a_cancellation). */
+   * (scenes ten_leader_changes_in_two_minutes, unreachable_machines_at_a_leader_change). No shorter
+   * time is safe; so every member probes such a machine directly, and it stays if one reaches it or
+   * has not tried. While its lease was waited for instead, hung machines blocked a team's freed
+   * share for up to 14 s (scene team_limit_after_a_cancellation). */
   if (fc_leadership_peer_left_at(disposal->leadership) > since &&
       !fc_reachability_probed_in_vain(disposal->cluster, disposal->leadership, machine))
     return false;
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -210,7 +210,7 @@
     batch.count = 0;
     fc_write_compare(batch.write, FC_KEY_TERM, term_version);
     /* A late copy of this write finds no record of a machine also when it has been returned since;
-     * the intent is gone by then, for good (scene writes_about_what_is_gone: a returned machine
+     * the intent is gone by then, for good (scene delayed_transactions_about_removed_records: a returned machine
      * was on record again). */
     fc_write_compare(batch.write, key, rental->record.version);
     i = fill_batch(execution, &batch, i);
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -53,7 +53,7 @@
 /* The worker has stopped its tasks and is in a later epoch, or will be when it goes on. A
  * heartbeat of the epoch before may still come, newer than any that we have received: tasks that
  * had been started elsewhere were once said to run here as well (scene
- * reports_of_a_lease_that_is_over). */
+ * heartbeats_after_lease_expiry). */
 static void end_epoch(fc_machine *machine) {
   if (!machine->agent.reported) return; /* its epoch is not known */
   machine->agent.epoch++;
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -87,11 +87,12 @@
 } slice_knowledge;
 
 /* Does `peer` know of every task of the slice that may be on a machine? After a change of term some
- * tasks of a job may be on machines of other members; while that prevented the slice from being handed
- * over, a replica that was lost or never started stayed pending beside free room for as long as the
- * other ran (scene ten_in_two_minutes). What is on a machine of the peer we know from its own views. What
- * was started before the term on a third member's machine it sees before that machine is reconciled
- * for it; only news of what was started there in this term could come too late. */
+ * tasks of a job may be on machines of other members; while that prevented the slice from being
+ * handed over, a replica that was lost or never started stayed pending beside free room for as long
+ * as the other ran (scene ten_leader_changes_in_two_minutes). What is on a machine of the peer we
+ * know from its own views. What was started before the term on a third member's machine it sees
+ * before that machine is reconciled for it; only news of what was started there in this term could
+ * come too late. */
 static slice_knowledge peer_knowledge(const fc_cluster *cluster, const fc_peer_progress *peers, const fc_job *job,
                                       unsigned slice, int peer) {
   slice_knowledge knowledge = KNOWLEDGE_COMPLETE;
