--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -71,6 +71,16 @@
   while (g_hash_table_iter_next(&iter, NULL, &value)) fc_cluster_assign_slices(cluster, value);
 }
 
+/* Term 1 of that many members. */
+static inline fc_term fixture_term(size_t count) {
+  fc_term term = {.number = 1, .seed = 42, .count = count};
+  for (size_t i = 0; i < count; i++) {
+    g_snprintf(term.members[i].name, sizeof term.members[i].name, "paddock-%zu", i);
+    term.members[i].incarnation = 10 + i;
+  }
+  return term;
+}
+
 /* Term 1 of two members, of which this one is the first. */
 static inline void fixture_two_members(fc_cluster *cluster) {
   fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
