--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -63,7 +63,7 @@
            k_duty_names[i], usage->busy_s, (guint64)usage->switches, (guint64)usage->system_calls,
            (guint64)usage->bytes_in, (guint64)usage->bytes_out);
   }
-  g_info("usage loop turns=%u lag_s=%.3f", fc_loop_turns(), fc_loop_lag());
+  g_info("usage loop turns=%u lag_s=%.3f", fc_loop_iterations(), fc_loop_lag());
 }
 
 static void append_usage(const fc_usage *usage, const char *duty, GString *out) {
--- a/src/controller/metrics_page.c
+++ b/src/controller/metrics_page.c
@@ -21,7 +21,7 @@
       {"state_write_rate", fc_group_commit_rate(sources->commit)},
       {"machines", g_hash_table_size(cluster->machines)},
       {"routines", (double)fc_routine_count()},
-      {"loop_turns_total", (double)fc_loop_turns()},
+      {"loop_turns_total", (double)fc_loop_iterations()},
       {"loop_lag_seconds", fc_loop_lag()},
       {"rounds_total", (double)counters->rounds},
       {"state_reads_total", (double)counters->reads},
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -80,7 +80,7 @@
   return cluster->quota.record.term == cluster->membership.term.number;
 }
 
-void fc_quota_allowance(const fc_quota_shares *shares, fc_allowance *allowance) {
+void fc_quota_shares_allowance(const fc_quota_shares *shares, fc_team_allowance *allowance) {
   const fc_cluster *cluster = shares->cluster;
   const fc_settings *settings = cluster->settings;
   const fc_quota_record *quota = &cluster->quota.record;
--- a/src/controller/quota_shares.h
+++ b/src/controller/quota_shares.h
@@ -25,6 +25,6 @@
 bool fc_quota_shares_start(fc_quota_shares *shares);
 
 /* Sets *allowance to what our shard may start now for each team. */
-void fc_quota_allowance(const fc_quota_shares *shares, fc_allowance *allowance);
+void fc_quota_shares_allowance(const fc_quota_shares *shares, fc_team_allowance *allowance);
 
 #endif
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -55,7 +55,7 @@
   return fc_attempt(loop->deps.cluster->membership.term.number, ++loop->attempts);
 }
 
-static void place_task(fc_scheduling_loop *loop, const fc_decision *decision, uint64_t attempt, double now) {
+static void place_task(fc_scheduling_loop *loop, const fc_placement_decision *decision, uint64_t attempt, double now) {
   const fc_job_spec *spec = &decision->job->spec;
   (void)fc_cluster_add_placement(loop->deps.cluster, decision->machine, spec->id, decision->index, attempt, now);
   fc_machine_touch_image(decision->machine, spec->image);
@@ -68,32 +68,32 @@
 static void place_tasks(fc_scheduling_loop *loop, GPtrArray *to_call) {
   fc_cluster *cluster = loop->deps.cluster;
   double now = fc_now();
-  fc_allowance allowance;
-  fc_quota_allowance(loop->deps.quota, &allowance);
-  GArray *plan = fc_place_round(cluster, &allowance, now);
-  fc_image_search *search = fc_image_search_new(cluster, now);
+  fc_team_allowance allowance;
+  fc_quota_shares_allowance(loop->deps.quota, &allowance);
+  GArray *plan = fc_bin_packing_plan(cluster, &allowance, now);
+  fc_image_preemption *search = fc_image_preemption_new(cluster, now);
   GPtrArray *stops = g_ptr_array_new();
   const fc_job *gang = NULL; /* whose tasks share one attempt */
   uint64_t attempt = 0;
   for (guint i = 0; i < plan->len; i++) {
-    const fc_decision *decision = &g_array_index(plan, fc_decision, i);
-    if (fc_preempt_for_image(search, decision, stops)) continue;
+    const fc_placement_decision *decision = &g_array_index(plan, fc_placement_decision, i);
+    if (fc_image_preemption_defer(search, decision, stops)) continue;
     bool same_gang = decision->job->spec.kind == FC_JOB_GANG && decision->job == gang;
     if (!same_gang) attempt = next_attempt(loop);
     gang = decision->job;
     place_task(loop, decision, attempt, now);
   }
   if (plan->len > 0) fc_wakeups_raise(loop->deps.wakeups, FC_WAKEUP_REPLICATE);
-  fc_image_search_free(search);
+  fc_image_preemption_free(search);
   g_array_free(plan, TRUE);
   preempt_placements(loop, stops, to_call);
 }
 
 static void preempt_tasks(fc_scheduling_loop *loop, GPtrArray *to_call) {
-  fc_allowance allowance;
-  fc_quota_allowance(loop->deps.quota, &allowance);
-  GPtrArray *stops = fc_preempt_round(loop->deps.cluster, &allowance, fc_now());
-  fc_preempt_for_limit(loop->deps.cluster, stops, fc_now());
+  fc_team_allowance allowance;
+  fc_quota_shares_allowance(loop->deps.quota, &allowance);
+  GPtrArray *stops = fc_preemption_plan(loop->deps.cluster, &allowance, fc_now());
+  fc_limit_preemption_plan(loop->deps.cluster, stops, fc_now());
   preempt_placements(loop, stops, to_call);
 }
 
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -30,10 +30,10 @@
 
 void fc_shard_balancer_run(fc_shard_balancer *balancer) {
   fc_peer_progress progress = progress_of_peers(balancer);
-  GArray *handovers = fc_plan_handovers(balancer->cluster, &progress, fc_now());
+  GArray *handovers = fc_handovers_plan(balancer->cluster, &progress, fc_now());
   fc_handover_execution_begin(balancer->handovers, handovers);
   g_array_free(handovers, TRUE);
-  GArray *transfers = fc_plan_machine_transfers(balancer->cluster, &progress, fc_now());
+  GArray *transfers = fc_machine_transfers_plan(balancer->cluster, &progress, fc_now());
   fc_transfer_execution_begin(balancer->transfers, transfers);
   g_array_free(transfers, TRUE);
 }
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -36,7 +36,7 @@
   GArray *targets;       /* target: those with room, by machine id */
   GPtrArray *candidates; /* candidate, by fc_job_compare_priority() */
   GQueue *by_team;       /* for each team its candidates of the priority being placed */
-  fc_allowance allowance;
+  fc_team_allowance allowance;
   const fc_job *preceding_gangs[FC_TEAMS_MAX];
   fc_team_usage usage;
   GArray *decisions;
@@ -110,7 +110,7 @@
 
 static void place_task(placing_round *round, target *machine_target, candidate *placed, uint32_t index) {
   fc_job *job = placed->job;
-  fc_decision decision = {.job = job, .index = index, .machine = machine_target->machine};
+  fc_placement_decision decision = {.job = job, .index = index, .machine = machine_target->machine};
   g_array_append_val(round->decisions, decision);
   fc_resources_subtract(&machine_target->room, &job->spec);
   if (!machine_target->planned_images) machine_target->planned_images = g_ptr_array_new();
@@ -298,12 +298,12 @@
   g_free(round->by_team);
 }
 
-GArray *fc_place_round(const fc_cluster *cluster, const fc_allowance *allowance, double now) {
+GArray *fc_bin_packing_plan(const fc_cluster *cluster, const fc_team_allowance *allowance, double now) {
   placing_round round = {.cluster = cluster, .now = now, .allowance = *allowance};
   round.targets = g_array_new(FALSE, TRUE, sizeof(target));
   g_array_set_clear_func(round.targets, target_clear);
   round.candidates = g_ptr_array_new_with_free_func(candidate_free);
-  round.decisions = g_array_new(FALSE, TRUE, sizeof(fc_decision));
+  round.decisions = g_array_new(FALSE, TRUE, sizeof(fc_placement_decision));
   fc_job_spec least;
   gather_candidates(&round, &least);
   if (round.candidates->len > 0) gather_targets(&round, &least);
--- a/src/scheduler/bin_packing.h
+++ b/src/scheduler/bin_packing.h
@@ -8,16 +8,16 @@
 #include "scheduler/team_quota.h"
 
 /* One task to be started; job and machine are the cluster's. */
-typedef struct fc_decision {
+typedef struct fc_placement_decision {
   fc_job *job;
   uint32_t index; /* of the task */
   fc_machine *machine;
-} fc_decision;
+} fc_placement_decision;
 
 /* One scheduling round of this shard: fills the free room of its usable machines. The highest
- * priority goes first, then the team that uses the least of its guarantee. Returns fc_decision in
+ * priority goes first, then the team that uses the least of its guarantee. Returns fc_placement_decision in
  * the order made, never more than `allowance`; the decisions of one gang follow each other and are
  * complete. The caller frees the array. */
-GArray *fc_place_round(const fc_cluster *cluster, const fc_allowance *allowance, double now);
+GArray *fc_bin_packing_plan(const fc_cluster *cluster, const fc_team_allowance *allowance, double now);
 
 #endif
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -225,7 +225,7 @@
   return !job->slices.handover_pending && now >= job->queue.blocked_until;
 }
 
-GArray *fc_plan_handovers(const fc_cluster *cluster, const fc_peer_progress *peers, double now) {
+GArray *fc_handovers_plan(const fc_cluster *cluster, const fc_peer_progress *peers, double now) {
   GArray *handovers = g_array_new(FALSE, TRUE, sizeof(fc_handover));
   if (cluster->membership.self < 0 || cluster->membership.term.count < 2) return handovers;
   GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable_by_owner, now);
--- a/src/scheduler/handover_planning.h
+++ b/src/scheduler/handover_planning.h
@@ -18,6 +18,6 @@
 
 /* The slices (fc_handover) of this shard to hand over now: pending for a while, with room only in
  * another shard whose owner is available. The caller frees the array. */
-GArray *fc_plan_handovers(const fc_cluster *cluster, const fc_peer_progress *peers, double now);
+GArray *fc_handovers_plan(const fc_cluster *cluster, const fc_peer_progress *peers, double now);
 
 #endif
--- a/src/scheduler/image_preemption.c
+++ b/src/scheduler/image_preemption.c
@@ -8,7 +8,7 @@
 #define FETCH_SHARE_TO_WAIT 0.5
 #define HEARTBEATS_TO_PREEMPT 3
 
-struct fc_image_search {
+struct fc_image_preemption {
   const fc_cluster *cluster;
   double now;
   fc_team_usage usage;
@@ -16,15 +16,15 @@
   GHashTable *by_image; /* image -> GArray of fc_free_capacity, less what this round has taken */
 };
 
-fc_image_search *fc_image_search_new(const fc_cluster *cluster, double now) {
-  fc_image_search *search = g_new0(fc_image_search, 1);
+fc_image_preemption *fc_image_preemption_new(const fc_cluster *cluster, double now) {
+  fc_image_preemption *search = g_new0(fc_image_preemption, 1);
   search->cluster = cluster;
   search->now = now;
   search->by_image = g_hash_table_new_full(NULL, NULL, NULL, (GDestroyNotify)g_array_unref);
   return search;
 }
 
-void fc_image_search_free(fc_image_search *search) {
+void fc_image_preemption_free(fc_image_preemption *search) {
   if (search->capacity) g_array_free(search->capacity, TRUE);
   g_hash_table_destroy(search->by_image);
   g_free(search);
@@ -32,7 +32,7 @@
 
 /* The machines that have the image. Room that one job of the round has taken there is taken for the
  * next job with the same image; a job with another image sees the machine as it was gathered. */
-static GArray *machines_with_image(fc_image_search *search, GRefString *image) {
+static GArray *machines_with_image(fc_image_preemption *search, GRefString *image) {
   GArray *found = g_hash_table_lookup(search->by_image, image);
   if (found) return found;
   if (!search->capacity) {
@@ -48,7 +48,7 @@
   return found;
 }
 
-bool fc_preempt_for_image(fc_image_search *search, const fc_decision *decision, GPtrArray *stops) {
+bool fc_image_preemption_defer(fc_image_preemption *search, const fc_placement_decision *decision, GPtrArray *stops) {
   const fc_cluster *cluster = search->cluster;
   const fc_job *job = decision->job;
   const fc_machine *machine = decision->machine;
@@ -60,5 +60,5 @@
   if (wait_s < cluster->settings->heartbeat_s * HEARTBEATS_TO_PREEMPT || search->now > job->queue.entered_at + wait_s)
     return false;
   GArray *candidates = machines_with_image(search, job->spec.image);
-  return fc_preempt_for_task(cluster, &search->usage, candidates, job, search->now, stops);
+  return fc_victims_select(cluster, &search->usage, candidates, job, search->now, stops);
 }
--- a/src/scheduler/limit_preemption.c
+++ b/src/scheduler/limit_preemption.c
@@ -50,7 +50,7 @@
   g_ptr_array_free(preemptible, TRUE);
 }
 
-void fc_preempt_for_limit(const fc_cluster *cluster, GPtrArray *stops, double now) {
+void fc_limit_preemption_plan(const fc_cluster *cluster, GPtrArray *stops, double now) {
   const fc_job *preceding[FC_TEAMS_MAX];
   fc_gang_precedence(cluster, preceding);
   for (size_t team = 0; team < cluster->settings->team_count; team++) {
--- a/src/scheduler/limit_preemption.h
+++ b/src/scheduler/limit_preemption.h
@@ -10,6 +10,6 @@
 /* Appends to `stops` the tasks of this shard (fc_placement pointers, the cluster's) to preempt so
  * that each gang with precedence fits its team's limit. All members choose the same tasks of all
  * shards, and each preempts its own. Tasks already being stopped are left out. */
-void fc_preempt_for_limit(const fc_cluster *cluster, GPtrArray *stops, double now);
+void fc_limit_preemption_plan(const fc_cluster *cluster, GPtrArray *stops, double now);
 
 #endif
--- a/src/scheduler/machine_transfer.c
+++ b/src/scheduler/machine_transfer.c
@@ -166,7 +166,7 @@
   g_array_free(capacity, TRUE);
 }
 
-GArray *fc_plan_machine_transfers(const fc_cluster *cluster, const fc_peer_progress *peers, double now) {
+GArray *fc_machine_transfers_plan(const fc_cluster *cluster, const fc_peer_progress *peers, double now) {
   GArray *transfers = g_array_new(FALSE, TRUE, sizeof(fc_machine_transfer));
   if (cluster->membership.self < 0 || cluster->membership.term.count < 2) return transfers;
   GPtrArray *gangs = pending_gangs(cluster, now);
--- a/src/scheduler/machine_transfer.h
+++ b/src/scheduler/machine_transfer.h
@@ -20,6 +20,6 @@
 /* The machines (fc_machine_transfer) of this shard that a pending gang of any shard needs: idle
  * ones, or where those don't suffice, ones that hold nothing but arrays of lower priority. The
  * caller frees the array. */
-GArray *fc_plan_machine_transfers(const fc_cluster *cluster, const fc_peer_progress *peers, double now);
+GArray *fc_machine_transfers_plan(const fc_cluster *cluster, const fc_peer_progress *peers, double now);
 
 #endif
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -13,7 +13,7 @@
 typedef struct preemption_round {
   const fc_cluster *cluster;
   double now;
-  fc_allowance allowance;
+  fc_team_allowance allowance;
   fc_team_usage usage;
   GArray *capacity; /* fc_free_capacity */
   GArray *failures; /* search_failure */
@@ -80,7 +80,7 @@
     unsigned slice = fc_job_slice_of(job, g_array_index(pending, uint32_t, i));
     if (!(job->slices.resolved >> slice & 1)) continue;
     if (!within_allowance(round, job)) break;
-    if (!fc_preempt_for_task(cluster, &round->usage, round->capacity, job, round->now, round->stops)) {
+    if (!fc_victims_select(cluster, &round->usage, round->capacity, job, round->now, round->stops)) {
       search_failure failure = {.job = job, .zones = allowed_zones(job)};
       g_array_append_val(round->failures, failure);
       break;
@@ -92,7 +92,7 @@
   g_array_free(pending, TRUE);
 }
 
-GPtrArray *fc_preempt_round(const fc_cluster *cluster, const fc_allowance *allowance, double now) {
+GPtrArray *fc_preemption_plan(const fc_cluster *cluster, const fc_team_allowance *allowance, double now) {
   preemption_round round = {.cluster = cluster, .now = now, .allowance = *allowance};
   round.usage = fc_cluster_team_usage(cluster);
   round.capacity = fc_preemption_capacity(cluster, now);
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -11,6 +11,6 @@
  * that have been pending for a while and found no room, within `allowance`. Marks them as
  * stop.requested and changes nothing else of the cluster state; the caller sends the stops and frees
  * the array. */
-GPtrArray *fc_preempt_round(const fc_cluster *cluster, const fc_allowance *allowance, double now);
+GPtrArray *fc_preemption_plan(const fc_cluster *cluster, const fc_team_allowance *allowance, double now);
 
 #endif
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -9,9 +9,9 @@
 #define FC_QUOTA_TOLERANCE 1e-6
 
 /* What this shard may still start for each team; INFINITY: no limit. */
-typedef struct fc_allowance {
+typedef struct fc_team_allowance {
   double cpus[FC_TEAMS_MAX], gpus[FC_TEAMS_MAX];
-} fc_allowance;
+} fc_team_allowance;
 
 /* What the tasks of each team use. */
 typedef struct fc_team_usage {
--- a/src/scheduler/victim_selection.c
+++ b/src/scheduler/victim_selection.c
@@ -127,8 +127,8 @@
   return best;
 }
 
-bool fc_preempt_for_task(const fc_cluster *cluster, const fc_team_usage *usage, GArray *capacity, const fc_job *job,
-                         double now, GPtrArray *stops) {
+bool fc_victims_select(const fc_cluster *cluster, const fc_team_usage *usage, GArray *capacity, const fc_job *job,
+                       double now, GPtrArray *stops) {
   const victim_query query = {.cluster = cluster, .usage = usage, .job = job, .now = now};
   victim_set best = cheapest_set(&query, capacity);
   if (!best.entry) return false;
--- a/src/scheduler/victim_selection.h
+++ b/src/scheduler/victim_selection.h
@@ -16,7 +16,7 @@
  * cheapest victims of one machine (fc_placement pointers) to `stops` and marks them as
  * stop.requested, so that they are chosen once: the caller sends the stops. Takes the task's room
  * from `capacity`. Returns false, with nothing changed, when no machine can make enough room. */
-bool fc_preempt_for_task(const fc_cluster *cluster, const fc_team_usage *usage, GArray *capacity, const fc_job *job,
-                         double now, GPtrArray *stops);
+bool fc_victims_select(const fc_cluster *cluster, const fc_team_usage *usage, GArray *capacity, const fc_job *job,
+                       double now, GPtrArray *stops);
 
 #endif
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -103,7 +103,7 @@
 fc_usage *fc_routine_usage(void) {
   return g_self ? g_self->usage : &g_unaccounted;
 }
-unsigned fc_loop_turns(void) {
+unsigned fc_loop_iterations(void) {
   return ev_iteration(g_loop);
 }
 
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -53,7 +53,7 @@
 fc_usage *fc_routine_usage(void);
 
 /* How many iterations the loop has made. */
-unsigned fc_loop_turns(void);
+unsigned fc_loop_iterations(void);
 /* How late timers fire, in seconds: the recent maximum, which halves every second. It grows when the
  * process gets less processor time than it needs. */
 double fc_loop_lag(void);
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -120,8 +120,8 @@
   return placement;
 }
 
-static inline fc_allowance fixture_unlimited_allowance(void) {
-  fc_allowance allowance;
+static inline fc_team_allowance fixture_unlimited_allowance(void) {
+  fc_team_allowance allowance;
   for (int i = 0; i < FC_TEAMS_MAX; i++) allowance.cpus[i] = allowance.gpus[i] = INFINITY;
   return allowance;
 }
--- a/tests/sim/events.c
+++ b/tests/sim/events.c
@@ -166,7 +166,7 @@
   static fc_usage unaccounted;
   return &unaccounted;
 }
-unsigned fc_loop_turns(void) {
+unsigned fc_loop_iterations(void) {
   return 0;
 }
 /* As the real one: how late timers were, lately. */
--- a/tests/test_bin_packing.c
+++ b/tests/test_bin_packing.c
@@ -8,7 +8,7 @@
 static unsigned count_decisions(const GArray *plan, const char *job, const char *machine, const char *zone) {
   unsigned count = 0;
   for (guint i = 0; i < plan->len; i++) {
-    const fc_decision *decision = &g_array_index(plan, fc_decision, i);
+    const fc_placement_decision *decision = &g_array_index(plan, fc_placement_decision, i);
     count += (!job || strcmp(decision->job->spec.id, job) == 0) &&
              (!machine || strcmp(decision->machine->id, machine) == 0) &&
              (!zone || strcmp(decision->machine->record.zone, zone) == 0);
@@ -17,8 +17,8 @@
 }
 
 static GArray *place_round(fc_cluster *cluster) {
-  fc_allowance allowance = fixture_unlimited_allowance();
-  return fc_place_round(cluster, &allowance, 1);
+  fc_team_allowance allowance = fixture_unlimited_allowance();
+  return fc_bin_packing_plan(cluster, &allowance, 1);
 }
 
 static void highest_priority_then_least_used_guarantee(void **state) {
@@ -31,7 +31,7 @@
   fixture_job(cluster, "job-000003", "service", "prod", "red", 1, 1, "");
   GArray *plan = place_round(cluster);
   assert_int_equal(plan->len, 4);
-  assert_string_equal(g_array_index(plan, fc_decision, 0).job->spec.id, "job-000003");
+  assert_string_equal(g_array_index(plan, fc_placement_decision, 0).job->spec.id, "job-000003");
   /* The service is the first of the red team, so blue gets two of the three places left. */
   assert_int_equal(count_decisions(plan, "job-000002", NULL, NULL), 2);
   assert_int_equal(count_decisions(plan, "job-000001", NULL, NULL), 1);
@@ -138,7 +138,7 @@
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", k_obstacles[i].obstacle == SPOT);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1,
                               k_obstacles[i].obstacle == SPOT ? "\"loaners\":false" : "");
-    fc_allowance allowance = fixture_unlimited_allowance();
+    fc_team_allowance allowance = fixture_unlimited_allowance();
     double now = 1;
     switch (k_obstacles[i].obstacle) {
       case CORDONED:
@@ -174,7 +174,7 @@
       default:
         break;
     }
-    GArray *plan = fc_place_round(cluster, &allowance, now);
+    GArray *plan = fc_bin_packing_plan(cluster, &allowance, now);
     check_row(k_obstacles[i].name, (plan->len == 1) == (k_obstacles[i].obstacle == NONE));
     g_array_free(plan, TRUE);
     fc_cluster_free(cluster);
--- a/tests/test_cost.c
+++ b/tests/test_cost.c
@@ -160,7 +160,7 @@
   (void)state;
   fc_usage usage = {0};
   duty d = {.usage = &usage};
-  unsigned turns = fc_loop_turns();
+  unsigned turns = fc_loop_iterations();
   assert_non_null(fc_routine_spawn(duty_main, &d));
   fc_loop_run();
   assert_true(d.child && d.parent);
@@ -168,7 +168,7 @@
   assert_int_equal(usage.switches, CHAINS + 1);
   assert_true(usage.busy_s > 0);
   assert_int_equal(usage.system_calls, 0);
-  assert_true(fc_loop_turns() - turns >= CHAINS);
+  assert_true(fc_loop_iterations() - turns >= CHAINS);
 }
 
 int main(void) {
--- a/tests/test_dependencies.c
+++ b/tests/test_dependencies.c
@@ -306,12 +306,12 @@
   pipeline_fixture *pipeline = pipeline_new();
   fixture_machine(pipeline->cluster, "vm-1", "a", false);
   for (unsigned k = 0; k < DIAMOND; k++) apply_record(pipeline, &k_diamond[k], FC_PHASE_ACCEPTED);
-  fc_allowance allowance = fixture_unlimited_allowance();
-  GArray *plan = fc_place_round(pipeline->cluster, &allowance, 1);
+  fc_team_allowance allowance = fixture_unlimited_allowance();
+  GArray *plan = fc_bin_packing_plan(pipeline->cluster, &allowance, 1);
   assert_int_equal(plan->len, 2);
   /* Job 1 inherits the priority of the last of its pipeline. */
-  assert_string_equal(g_array_index(plan, fc_decision, 0).job->spec.id, "job-000001");
-  assert_string_equal(g_array_index(plan, fc_decision, 1).job->spec.id, "job-000006");
+  assert_string_equal(g_array_index(plan, fc_placement_decision, 0).job->spec.id, "job-000001");
+  assert_string_equal(g_array_index(plan, fc_placement_decision, 1).job->spec.id, "job-000006");
   g_array_free(plan, TRUE);
   GPtrArray *open = fc_cluster_open_jobs(pipeline->cluster);
   assert_int_equal(open->len, 2);
--- a/tests/test_gang_precedence.c
+++ b/tests/test_gang_precedence.c
@@ -50,9 +50,9 @@
               !fc_gang_precedes(cluster, preceding, service, 10) && !fc_gang_precedes(cluster, preceding, other, 10));
     /* As many tasks of the array are preempted as it needs, once it has been pending for a while. */
     GPtrArray *stops = g_ptr_array_new();
-    fc_preempt_for_limit(cluster, stops, 1);
+    fc_limit_preemption_plan(cluster, stops, 1);
     check_row(rows[i].name, stops->len == 0);
-    fc_preempt_for_limit(cluster, stops, 30);
+    fc_limit_preemption_plan(cluster, stops, 30);
     check_row(rows[i].name, stops->len == (rows[i].arrays ? 8 : 0)); /* 12 + 12 - 16 */
     g_ptr_array_free(stops, TRUE);
     fc_cluster_free(cluster);
--- a/tests/test_handover_planning.c
+++ b/tests/test_handover_planning.c
@@ -61,7 +61,7 @@
       progress.acked_view[1] = 100;
       progress.acked_revision[1] = 100;
     }
-    GArray *plan = fc_plan_handovers(cluster, &progress, 90);
+    GArray *plan = fc_handovers_plan(cluster, &progress, 90);
     check_row(row->name, plan->len == row->expect);
     if (plan->len) {
       const fc_handover *handover = &g_array_index(plan, fc_handover, 0);
@@ -103,7 +103,7 @@
     fixture_assign_slices(cluster);
     ours->slices.resolved = 1;
     fc_peer_progress progress = {.available = {true, true}};
-    GArray *plan = fc_plan_handovers(cluster, &progress, 90);
+    GArray *plan = fc_handovers_plan(cluster, &progress, 90);
     check_row(rows[i].name, plan->len == rows[i].expect);
     if (plan->len) check_row(rows[i].name, g_array_index(plan, fc_handover, 0).job == ours);
     g_array_free(plan, TRUE);
@@ -179,7 +179,7 @@
     fc_machine *spare = fixture_machine(cluster, "vm-4", "a", false); /* room at the receiver in any case */
     spare->owner = 1;
     fc_peer_progress progress = {.available = {true, true, true}};
-    GArray *plan = fc_plan_handovers(cluster, &progress, 90);
+    GArray *plan = fc_handovers_plan(cluster, &progress, 90);
     check_row(k_running_tasks[i].name, plan->len == k_running_tasks[i].expect);
     if (plan->len) {
       check_row(k_running_tasks[i].name, g_array_index(plan, fc_handover, 0).to == 1);
--- a/tests/test_machine_transfer.c
+++ b/tests/test_machine_transfer.c
@@ -39,7 +39,7 @@
     gang->record.handed_to[0] = g_strdup(rows[i].gang_ours ? "paddock-0" : "paddock-1");
     fc_cluster_assign_slices(cluster, gang);
     fc_peer_progress progress = {.available = {true, true}};
-    GArray *transfers = fc_plan_machine_transfers(cluster, &progress, 90);
+    GArray *transfers = fc_machine_transfers_plan(cluster, &progress, 90);
     check_row(rows[i].name, transfers->len == rows[i].transfers);
     if (transfers->len)
       check_row(rows[i].name, g_array_index(transfers, fc_machine_transfer, 0).preempt == rows[i].preempt);
--- a/tests/test_preemption.c
+++ b/tests/test_preemption.c
@@ -30,13 +30,13 @@
     /* The first has run for the shortest time. */
     for (uint32_t k = 0; k < 4; k++) fixture_run_task(cluster, machine, victim, k, 1)->status.running_since = 50 - k;
     fixture_job(cluster, "job-000002", rows[i].kind, rows[i].priority, "red", 1, 1, "");
-    fc_allowance allowance = fixture_unlimited_allowance();
-    GPtrArray *stops = fc_preempt_round(cluster, &allowance, 90);
+    fc_team_allowance allowance = fixture_unlimited_allowance();
+    GPtrArray *stops = fc_preemption_plan(cluster, &allowance, 90);
     check_row(rows[i].name, stops->len == rows[i].expect);
     if (stops->len) check_row(rows[i].name, ((fc_placement *)stops->pdata[0])->index == 0);
     g_ptr_array_free(stops, TRUE);
     /* Tasks already being stopped count as room. */
-    stops = fc_preempt_round(cluster, &allowance, 90);
+    stops = fc_preemption_plan(cluster, &allowance, 90);
     check_row(rows[i].name, stops->len == 0);
     g_ptr_array_free(stops, TRUE);
     fc_cluster_free(cluster);
