--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -160,7 +160,7 @@
 static void link_dependencies(fc_cluster *cluster, fc_job *job, double now) {
   job->dependencies.list = g_ptr_array_new();
   bool cancelled = false;
-  for (char **id = job->spec.awaits; *id; id++) {
+  for (char **id = job->spec.dependencies; *id; id++) {
     fc_dependency *dependency = ensure_dependency(cluster, *id);
     g_ptr_array_add(dependency->dependents, job);
     g_ptr_array_add(job->dependencies.list, dependency);
@@ -195,7 +195,7 @@
 
 void fc_dependencies_apply(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
   bool was_blocked = job->dependencies.unmet > 0;
-  if (job->record.phase != FC_PHASE_ACCEPTED || !job->spec.awaits) {
+  if (job->record.phase != FC_PHASE_ACCEPTED || !job->spec.dependencies) {
     /* Its own record decides: it has ended, or was written when all dependencies were done. */
     unlink_dependencies(cluster, job);
     g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -45,8 +45,8 @@
 /* A record is written without the job's dependencies once all of them are done. */
 static void apply_dependencies(fc_job *job, const fc_job_record *record) {
   if (record->awaiting) return;
-  g_strfreev(job->spec.awaits);
-  job->spec.awaits = NULL;
+  g_strfreev(job->spec.dependencies);
+  job->spec.dependencies = NULL;
 }
 
 static void apply_completion(fc_job *job, const char *id, const char *ranges) {
@@ -70,14 +70,14 @@
 /* Takes over to whom slices were handed over. */
 static void apply_handovers(const fc_cluster *cluster, fc_job *job, const fc_job_record *record, bool is_new) {
   for (unsigned i = 0; i < job->slices.count; i++) {
-    if (g_strcmp0(job->record.handed_to[i], record->handed[i]) == 0) continue;
+    if (g_strcmp0(job->record.handed_to[i], record->handed_to[i]) == 0) continue;
     bool was_ours = !is_new && fc_job_slice_owner(job, i) == cluster->membership.self;
     g_free(job->record.handed_to[i]);
-    job->record.handed_to[i] = g_strdup(record->handed[i]);
+    job->record.handed_to[i] = g_strdup(record->handed_to[i]);
     /* Whoever hands a slice over knows all of it, and does so only after we have acknowledged a
      * view that shows whatever of it is on a machine; or the record says that some of it is on
      * other members' machines, which are reconciled for us one by one. */
-    bool fully_known = !(record->origin.unseen >> i & 1);
+    bool fully_known = !(record->origin.partly_known >> i & 1);
     if (!was_ours && !is_new && fully_known) job->slices.resolved |= 1u << i;
   }
 }
--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -12,10 +12,10 @@
  * all of it. */
 static unsigned possible_locations(const fc_cluster *cluster, const fc_job *job, unsigned slice) {
   const fc_job_origin *origin = &job->record.origin;
-  bool moved = origin->moved >> slice & 1;
-  uint64_t known_since = moved ? origin->last_move[slice].term : origin->term;
+  bool moved = origin->transferred >> slice & 1;
+  uint64_t known_since = moved ? origin->last_transfer[slice].term : origin->term;
   if (!known_since || known_since < cluster->membership.term.names_since) return 0;
-  return moved ? origin->last_move[slice].members : 1u << cluster->membership.self;
+  return moved ? origin->last_transfer[slice].members : 1u << cluster->membership.self;
 }
 
 /* Slices of ours whose possible locations have all been reconciled. */
--- a/src/bookkeeping/record_writes.c
+++ b/src/bookkeeping/record_writes.c
@@ -14,7 +14,7 @@
   char *ranges = fc_ranges_encode(completed, job->spec.tasks);
   fc_job_record record = {
       .spec = job->spec, .origin = *origin, .phase = phase, .done = ranges, .slices = job->slices.count};
-  memcpy(record.handed, handed_to, sizeof record.handed);
+  memcpy(record.handed_to, handed_to, sizeof record.handed_to);
   record.parts = job->record.description;
   /* Dependencies that were met once stay met. */
   record.awaiting = !fc_job_dependencies_met(job);
--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -120,7 +120,7 @@
 
 /* May the jobs that it depends on be named, and can it be stored? */
 static bool check_dependencies(fc_admission *admission, fc_http_response *response, submission *submitted) {
-  switch (fc_dependency_resolver_admit(admission->resolver, submitted->spec->awaits, submitted->deadline,
+  switch (fc_dependency_resolver_admit(admission->resolver, submitted->spec->dependencies, submitted->deadline,
                                        &submitted->open)) {
     case FC_DEPENDENCIES_CANCELLED:
       submitted->phase = FC_PHASE_CANCELLED;
@@ -152,7 +152,7 @@
   bool fit[FC_MEMBERS_MAX];
   for (size_t member = 0; member < term->count; member++)
     fit[member] = fc_peers_member_fit(admission->peers, (int)member);
-  fc_assign_new_job_slices(cluster, fit, submitted->spec, record.slices, record.handed);
+  fc_assign_new_job_slices(cluster, fit, submitted->spec, record.slices, record.handed_to);
   return record;
 }
 
@@ -167,7 +167,7 @@
 static bool make_record(fc_admission *admission, fc_http_response *response, submission *submitted) {
   fc_job_record record = new_record(admission, submitted);
   record.spec = *submitted->spec;
-  record.spec.awaits = submitted->open;
+  record.spec.dependencies = submitted->open;
   submitted->record = fc_job_record_encode(&record);
   if (fits_a_value(admission, submitted->record)) return true;
   json_decref(submitted->record);
--- a/src/controller/handover_execution.c
+++ b/src/controller/handover_execution.c
@@ -20,7 +20,7 @@
   uint64_t version;                       /* of the job's record, on which the write is conditional */
   uint64_t term_version, term_number;     /* of the present term, likewise */
   unsigned slices;                        /* a bit a slice */
-  unsigned unseen;                        /* a bit a slice, as in fc_handover */
+  unsigned partly_known;                  /* a bit a slice, as in fc_handover */
   unsigned machine_owners[FC_SLICES_MAX]; /* as in fc_handover */
   char to[FC_SLICES_MAX][64];             /* names of members */
 } job_handover;
@@ -39,14 +39,14 @@
   if (!job || job->record.version != handover->version) return NULL;
   char *handed_to[FC_SLICES_MAX];
   fc_job_origin origin = job->record.origin;
-  origin.moved |= handover->slices;
-  origin.unseen = (origin.unseen & ~handover->slices) | handover->unseen;
+  origin.transferred |= handover->slices;
+  origin.partly_known = (origin.partly_known & ~handover->slices) | handover->partly_known;
   for (unsigned i = 0; i < FC_SLICES_MAX; i++) {
     handed_to[i] = job->record.handed_to[i];
     if (!(handover->slices >> i & 1)) continue;
     handed_to[i] = (char *)handover->to[i];
-    origin.last_move[i].term = handover->term_number;
-    origin.last_move[i].members = handover->machine_owners[i];
+    origin.last_transfer[i].term = handover->term_number;
+    origin.last_transfer[i].members = handover->machine_owners[i];
   }
   fc_write *write =
       fc_job_record_write(cluster, job, handover->version, job->phase, job->completion.bitmap, handed_to, &origin);
@@ -68,7 +68,7 @@
 static void add_slice(job_handover *handover, const fc_term *term, const fc_handover *planned) {
   unsigned slice = planned->slice;
   handover->slices |= 1u << slice;
-  handover->unseen |= (unsigned)planned->unseen << slice;
+  handover->partly_known |= (unsigned)planned->partly_known << slice;
   handover->machine_owners[slice] = planned->machine_owners;
   g_strlcpy(handover->to[slice], term->members[planned->to].name, sizeof handover->to[slice]);
   g_debug("hand over job=%s slice=%u to=%s", handover->id, slice, handover->to[slice]);
--- a/src/protocol/job.c
+++ b/src/protocol/job.c
@@ -108,12 +108,12 @@
     }
     g_ptr_array_add(ids, g_strdup(id));
   }
-  spec->awaits = sorted_without_repeats(ids);
+  spec->dependencies = sorted_without_repeats(ids);
 }
 
-char *fc_job_dependencies_text(char *const *awaits) {
+char *fc_job_dependencies_text(char *const *dependencies) {
   GString *text = g_string_new(NULL);
-  for (char *const *id = awaits; *id; id++)
+  for (char *const *id = dependencies; *id; id++)
     g_string_append_printf(text, "%s%s", text->len ? "," : "", *id + strlen(ID_PREFIX));
   return g_string_free(text, FALSE);
 }
@@ -128,7 +128,7 @@
     if (!fc_job_id_valid(id)) fc_reader_fail(reader, field, FC_FIELD_ELEMENT_NOT_JOB_ID);
     g_ptr_array_add(ids, id);
   }
-  spec->awaits = sorted_without_repeats(ids);
+  spec->dependencies = sorted_without_repeats(ids);
 }
 
 /* ---- descriptions ---- */
@@ -256,7 +256,7 @@
   copy.image = acquire(spec->image);
   copy.zone = acquire(spec->zone);
   copy.types = g_strdupv(spec->types);
-  copy.awaits = g_strdupv(spec->awaits);
+  copy.dependencies = g_strdupv(spec->dependencies);
   return copy;
 }
 
@@ -267,7 +267,7 @@
   release(spec->image);
   release(spec->zone);
   g_strfreev(spec->types);
-  g_strfreev(spec->awaits);
+  g_strfreev(spec->dependencies);
   memset(spec, 0, sizeof *spec);
 }
 
--- a/src/protocol/job.h
+++ b/src/protocol/job.h
@@ -38,9 +38,9 @@
   bool spread;      /* at most half of the tasks, rounded up, in one zone */
   bool spot;        /* may run on spot instances */
   double estimate_s, checkpoint_s, save_s;
-  double deadline_s; /* < 0: none */
-  char **awaits;     /* ids of the jobs that it depends on, sorted and without repeats; NULL-terminated;
-                      * NULL: none */
+  double deadline_s;   /* < 0: none */
+  char **dependencies; /* ids of the jobs that it depends on, sorted and without repeats; NULL-terminated;
+                        * NULL: none */
 } fc_job_spec;
 
 /* The description without its dependencies, as JSON; the reference is the caller's. */
@@ -49,8 +49,8 @@
  * caller's to clear, also after an error. */
 void fc_job_spec_read(fc_reader *reader, fc_job_spec *spec);
 /* The ids of dependencies as "000398,000405", without their common prefix; the caller frees it. */
-char *fc_job_dependencies_text(char *const *awaits);
-/* Reads such a text into spec->awaits. */
+char *fc_job_dependencies_text(char *const *dependencies);
+/* Reads such a text into spec->dependencies. */
 void fc_job_dependencies_read(fc_reader *reader, const char *field, fc_job_spec *spec);
 
 /* Whether this is an id of a job, such as "job-000412". */
--- a/src/protocol/job_description.c
+++ b/src/protocol/job_description.c
@@ -19,8 +19,8 @@
 
 char *fc_job_description_text(const fc_job_spec *spec) {
   json_auto_t *object = json_pack("{so}", FIELD_SPEC, fc_job_spec_encode(spec));
-  if (spec->awaits) {
-    g_autofree char *dependencies = fc_job_dependencies_text(spec->awaits);
+  if (spec->dependencies) {
+    g_autofree char *dependencies = fc_job_dependencies_text(spec->dependencies);
     json_object_set_new(object, FIELD_DEPENDENCIES, json_string(dependencies));
   }
   char *dumped = json_dumps(object, JSON_COMPACT | JSON_ENSURE_ASCII);
--- a/src/protocol/job_record.c
+++ b/src/protocol/job_record.c
@@ -59,9 +59,9 @@
 static json_t *encode_last_moves(const fc_job_origin *origin, unsigned slices) {
   json_t *moves = NULL;
   for (unsigned i = 0; i < slices; i++) {
-    if (!(origin->moved >> i & 1) || !origin->last_move[i].term) continue;
-    json_int_t term = (json_int_t)origin->last_move[i].term;
-    json_int_t members = (json_int_t)origin->last_move[i].members;
+    if (!(origin->transferred >> i & 1) || !origin->last_transfer[i].term) continue;
+    json_int_t term = (json_int_t)origin->last_transfer[i].term;
+    json_int_t members = (json_int_t)origin->last_transfer[i].members;
     set_slice(&moves, i, json_pack("[II]", term, members));
   }
   return moves;
@@ -71,8 +71,8 @@
   json_int_t term = json_integer_value(json_array_get(value, 0));
   json_int_t members = json_integer_value(json_array_get(value, 1));
   if (term <= 0 || members <= 0 || members > UINT32_MAX) return false;
-  out->origin.last_move[slice].term = (uint64_t)term;
-  out->origin.last_move[slice].members = (unsigned)members;
+  out->origin.last_transfer[slice].term = (uint64_t)term;
+  out->origin.last_transfer[slice].members = (unsigned)members;
   return true;
 }
 
@@ -80,14 +80,14 @@
 static json_t *encode_handed(const fc_job_record *record) {
   json_t *handed = NULL;
   for (unsigned i = 0; i < record->slices; i++)
-    if (record->handed[i]) set_slice(&handed, i, json_string(record->handed[i]));
+    if (record->handed_to[i]) set_slice(&handed, i, json_string(record->handed_to[i]));
   return handed;
 }
 
 static bool read_handed(const json_t *value, unsigned slice, fc_job_record *out) {
   if (!json_is_string(value)) return false;
-  g_free(out->handed[slice]);
-  out->handed[slice] = g_strdup(json_string_value(value));
+  g_free(out->handed_to[slice]);
+  out->handed_to[slice] = g_strdup(json_string_value(value));
   return true;
 }
 
@@ -102,10 +102,10 @@
   if (origin->submitted_at > 0 && awaits_dependencies(record))
     json_object_set_new(object, FIELD_SUBMITTED, json_real(origin->submitted_at));
   if (origin->term) json_object_set_new(object, FIELD_TERM, json_integer((json_int_t)origin->term));
-  if (origin->moved) json_object_set_new(object, FIELD_MOVED, json_integer((json_int_t)origin->moved));
+  if (origin->transferred) json_object_set_new(object, FIELD_MOVED, json_integer((json_int_t)origin->transferred));
   json_t *moves = encode_last_moves(origin, record->slices);
   if (moves) json_object_set_new(object, FIELD_LAST_MOVE, moves);
-  if (origin->unseen) json_object_set_new(object, FIELD_UNSEEN, json_integer((json_int_t)origin->unseen));
+  if (origin->partly_known) json_object_set_new(object, FIELD_UNSEEN, json_integer((json_int_t)origin->partly_known));
 }
 
 /* The job's description, or the reference to its parts. Older versions cannot read a description
@@ -118,7 +118,7 @@
   int format = awaiting ? FC_JOB_FORMAT_AWAITING : FC_JOB_FORMAT_PLAIN;
   json_t *object = json_pack("{si so}", FIELD_FORMAT, format, FIELD_SPEC, fc_job_spec_encode(&record->spec));
   if (awaiting) {
-    g_autofree char *dependencies = fc_job_dependencies_text(record->spec.awaits);
+    g_autofree char *dependencies = fc_job_dependencies_text(record->spec.dependencies);
     json_object_set_new(object, FIELD_DEPENDENCIES, json_string(dependencies));
   }
   return object;
@@ -161,7 +161,7 @@
   if (!fc_reader_ok(&spec_reader)) fc_reader_fail(reader, FIELD_SPEC, FC_FIELD_NOT_DESCRIPTION);
   if (format != FC_JOB_FORMAT_AWAITING) return;
   fc_job_dependencies_read(reader, FIELD_DEPENDENCIES, &out->spec);
-  out->awaiting = out->spec.awaits != NULL;
+  out->awaiting = out->spec.dependencies != NULL;
 }
 
 bool fc_job_record_decode(const json_t *value, fc_job_record *out) {
@@ -174,8 +174,8 @@
   const char *done = fc_read_string_or_null(&reader, FIELD_DONE, DONE_LENGTH_MAX);
   out->slices = (unsigned)fc_read_count_or(&reader, FIELD_SLICES, 1, FC_SLICES_MAX, 1);
   out->origin.term = fc_read_count_or(&reader, FIELD_TERM, 0, FC_COUNT_MAX, 0);
-  out->origin.moved = (unsigned)fc_read_count_or(&reader, FIELD_MOVED, 0, UINT32_MAX, 0);
-  out->origin.unseen = (unsigned)fc_read_count_or(&reader, FIELD_UNSEEN, 0, UINT32_MAX, 0);
+  out->origin.transferred = (unsigned)fc_read_count_or(&reader, FIELD_MOVED, 0, UINT32_MAX, 0);
+  out->origin.partly_known = (unsigned)fc_read_count_or(&reader, FIELD_UNSEEN, 0, UINT32_MAX, 0);
   if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_HANDED, read_handed, FC_FIELD_NOT_SLICE, out);
   if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_LAST_MOVE, read_last_move, FC_FIELD_NOT_TRANSFER, out);
   out->origin.submitted_at = fc_read_amount_or(&reader, FIELD_SUBMITTED, 0, TIME_OF_DAY_MAX, 0);
@@ -191,7 +191,7 @@
 void fc_job_record_clear(fc_job_record *record) {
   fc_job_spec_clear(&record->spec);
   g_free(record->done);
-  for (unsigned i = 0; i < FC_SLICES_MAX; i++) g_free(record->handed[i]);
+  for (unsigned i = 0; i < FC_SLICES_MAX; i++) g_free(record->handed_to[i]);
   memset(record, 0, sizeof *record);
 }
 
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -12,30 +12,30 @@
 
 /* When the record was first written, and the transfers of slices to other controllers since. */
 typedef struct fc_job_origin {
-  double submitted_at; /* time of day, in seconds; 0: not known. Stored while dependencies are unfinished */
-  uint64_t term;       /* it was accepted in this term or later; 0: not known */
-  unsigned moved;      /* one bit for each slice: it has been transferred */
+  double submitted_at;  /* time of day, in seconds; 0: not known. Stored while dependencies are unfinished */
+  uint64_t term;        /* it was accepted in this term or later; 0: not known */
+  unsigned transferred; /* one bit for each slice: it has been transferred */
   /* Of a transferred slice: the term of the last transfer, and one bit for each member of that
    * term on whose machines its tasks were then, or could be started since. 0, 0: not known. */
   struct {
     uint64_t term;
     unsigned members;
-  } last_move[FC_SLICES_MAX];
+  } last_transfer[FC_SLICES_MAX];
   /* One bit for each slice: its owner since the last transfer may not have seen all of its tasks.
    * They are older than the term of the transfer and on machines that were reconciled, so the
    * owner has seen them once it has reconciled all machines too. */
-  unsigned unseen;
+  unsigned partly_known;
 } fc_job_origin;
 
 typedef struct fc_job_record {
   fc_job_spec spec;
   fc_job_origin origin;
   fc_job_phase phase;
-  char *done;                  /* finished tasks as ranges, "0-3,7" */
-  unsigned slices;             /* that an array is split into */
-  char *handed[FC_SLICES_MAX]; /* the controllers that slices were transferred to; NULL: as assigned */
-  fc_description_ref parts;    /* to the description, when it is not in the record */
-  bool awaiting;               /* its dependencies are unfinished */
+  char *done;                     /* finished tasks as ranges, "0-3,7" */
+  unsigned slices;                /* that an array is split into */
+  char *handed_to[FC_SLICES_MAX]; /* the controllers that slices were transferred to; NULL: as assigned */
+  fc_description_ref parts;       /* to the description, when it is not in the record */
+  bool awaiting;                  /* its dependencies are unfinished */
 } fc_job_record;
 
 /* The record's value; the reference is the caller's. */
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -211,7 +211,7 @@
     (void)tasks_fitting(capacity, cluster, job, peer, pending, true);
     fc_handover handover = {
         .job = job, .slice = slice, .to = peer, .machine_owners = machine_owners_of_slice(job, slice) | 1u << peer};
-    handover.unseen = peer_knowledge(cluster, peers, job, slice, peer) != KNOWLEDGE_COMPLETE;
+    handover.partly_known = peer_knowledge(cluster, peers, job, slice, peer) != KNOWLEDGE_COMPLETE;
     g_array_append_val(handovers, handover);
   }
 }
--- a/src/scheduler/handover_planning.h
+++ b/src/scheduler/handover_planning.h
@@ -13,7 +13,7 @@
   unsigned slice;
   int to;                  /* member */
   unsigned machine_owners; /* a bit a member: on whose machines its tasks are, or may be started from then on */
-  bool unseen;             /* `to` may not know yet of tasks on machines of other members */
+  bool partly_known;       /* `to` may not know yet of tasks on machines of other members */
 } fc_handover;
 
 /* The slices (fc_handover) of this shard to hand over now: pending for a while, with room only in
--- a/tests/test_compat.c
+++ b/tests/test_compat.c
@@ -78,11 +78,11 @@
   json_t *v = stored("job moved");
   fc_job_record record;
   assert_true(fc_job_record_decode(v, &record));
-  assert_string_equal(record.handed[2], "paddock-2");
-  assert_string_equal(record.handed[7], "paddock-0");
-  assert_null(record.handed[0]);
-  assert_true(record.origin.moved == 0x84 && record.origin.unseen == 4);
-  assert_true(record.origin.last_move[2].term == 9 && record.origin.last_move[2].members == 6);
+  assert_string_equal(record.handed_to[2], "paddock-2");
+  assert_string_equal(record.handed_to[7], "paddock-0");
+  assert_null(record.handed_to[0]);
+  assert_true(record.origin.transferred == 0x84 && record.origin.partly_known == 4);
+  assert_true(record.origin.last_transfer[2].term == 9 && record.origin.last_transfer[2].members == 6);
   const fc_job_spec *spec = &record.spec;
   assert_true(spec->kind == FC_JOB_ARRAY && spec->priority == FC_PRIORITY_HIGH && spec->tasks == 16 &&
               spec->gpus == 1.5);
--- a/tests/test_dependencies.c
+++ b/tests/test_dependencies.c
@@ -42,16 +42,16 @@
   unsigned number; /* of the job */
   fc_priority priority;
   double estimate_s, deadline_s; /* 0: no deadline */
-  unsigned awaits[4];            /* 0: no more */
+  unsigned dependencies[4];      /* 0: no more */
 } stage;
 
 /* The job's record is read in that phase; `fresh`: as a change, not from a full read. */
 static fc_job *apply_record_at(pipeline_fixture *pipeline, const stage *job, fc_job_phase phase, bool fresh,
                                double now) {
-  char *awaits[5] = {NULL};
-  for (unsigned i = 0; i < 4 && job->awaits[i]; i++) awaits[i] = g_strdup(job_id(job->awaits[i]));
+  char *dependencies[5] = {NULL};
+  for (unsigned i = 0; i < 4 && job->dependencies[i]; i++) dependencies[i] = g_strdup(job_id(job->dependencies[i]));
   fc_job_record record = {.phase = phase, .done = "", .slices = 1};
-  record.awaiting = job->awaits[0] && phase == FC_PHASE_ACCEPTED;
+  record.awaiting = job->dependencies[0] && phase == FC_PHASE_ACCEPTED;
   record.spec = (fc_job_spec){.id = (char *)job_id(job->number),
                               .class_name = g_ref_string_new_intern("c"),
                               .team = g_ref_string_new_intern("red"),
@@ -61,12 +61,12 @@
                               .cpus = 1,
                               .estimate_s = job->estimate_s,
                               .deadline_s = job->deadline_s > 0 ? job->deadline_s : -1,
-                              .awaits = record.awaiting ? awaits : NULL};
+                              .dependencies = record.awaiting ? dependencies : NULL};
   fc_job *applied = fc_cluster_apply_job(pipeline->cluster, record.spec.id, &record, ++pipeline->version, fresh, now);
   g_ref_string_release(record.spec.class_name);
   g_ref_string_release(record.spec.team);
   g_ref_string_release(record.spec.image);
-  for (char **id = awaits; *id; id++) g_free(*id);
+  for (char **id = dependencies; *id; id++) g_free(*id);
   return applied;
 }
 
@@ -296,7 +296,7 @@
   static const stage plain = {2, FC_PRIORITY_BEST_EFFORT, 20, 0, {0}};
   apply_record_at(pipeline, &plain, FC_PHASE_ACCEPTED, true, 7); /* read before the end of the first job */
   assert_true(fc_job_dependencies_met(find_job(pipeline, 2)) && find_job(pipeline, 2)->queue.entered_at == 7);
-  assert_null(find_job(pipeline, 2)->spec.awaits);
+  assert_null(find_job(pipeline, 2)->spec.dependencies);
   assert_false(fc_dependencies_has_dependents(pipeline->cluster, job_id(1)));
   pipeline_free(pipeline);
 }
--- a/tests/test_handover_planning.c
+++ b/tests/test_handover_planning.c
@@ -117,7 +117,7 @@
   uint64_t started_in; /* term */
   bool reconciled;
   unsigned expect;
-  bool unseen, gang;
+  bool partly_known, gang;
 } running_task_row;
 
 static const running_task_row k_running_tasks[] = {
@@ -138,13 +138,13 @@
   thirds->reconciled_term = 4;
   job->slices.resolved = 0;
   fc_job_record record = {.spec = job->spec,
-                          .origin = {.moved = 1, .unseen = row->unseen},
+                          .origin = {.transferred = 1, .partly_known = row->partly_known},
                           .phase = FC_PHASE_ACCEPTED,
                           .done = (char *)"",
                           .slices = 1};
-  record.handed[0] = (char *)"paddock-1";
+  record.handed_to[0] = (char *)"paddock-1";
   (void)fc_cluster_apply_job(cluster, "job-000002", &record, 30, true, 91);
-  check_row(row->name, (job->slices.resolved & 1) == !row->unseen);
+  check_row(row->name, (job->slices.resolved & 1) == !row->partly_known);
   receivers->reconciled_term = thirds->reconciled_term = 5;
   check_row(row->name, fc_cluster_update_reconciled(cluster) && (job->slices.resolved & 1));
 }
@@ -183,7 +183,8 @@
     check_row(k_running_tasks[i].name, plan->len == k_running_tasks[i].expect);
     if (plan->len) {
       check_row(k_running_tasks[i].name, g_array_index(plan, fc_handover, 0).to == 1);
-      check_row(k_running_tasks[i].name, g_array_index(plan, fc_handover, 0).unseen == k_running_tasks[i].unseen);
+      check_row(k_running_tasks[i].name,
+                g_array_index(plan, fc_handover, 0).partly_known == k_running_tasks[i].partly_known);
     }
     g_array_free(plan, TRUE);
     check_resolution_at_receiver(cluster, job, &k_running_tasks[i]);
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -129,30 +129,30 @@
   char error[200];
   assert_true(fc_job_spec_parse(k_submission, strlen(k_submission), &spec, error, sizeof error));
   const fc_job_record written = {.spec = spec,
-                                 .origin = {.term = 6, .moved = 5, .last_move = {[2] = {9, 6}}},
+                                 .origin = {.term = 6, .transferred = 5, .last_transfer = {[2] = {9, 6}}},
                                  .phase = FC_PHASE_CANCELLED,
                                  .done = (char *)"0-3,7",
                                  .slices = 4,
-                                 .handed = {[2] = (char *)"paddock-2"}};
+                                 .handed_to = {[2] = (char *)"paddock-2"}};
   json_t *encoded = fc_job_record_encode(&written);
   fc_job_record record;
   assert_true(fc_job_record_decode(encoded, &record));
   assert_int_equal(record.phase, FC_PHASE_CANCELLED);
   assert_string_equal(record.done, "0-3,7");
   assert_int_equal(record.slices, 4);
-  assert_string_equal(record.handed[2], "paddock-2");
-  assert_null(record.handed[0]);
-  assert_true(record.origin.term == 6 && record.origin.moved == 5);
-  assert_true(record.origin.last_move[2].term == 9 && record.origin.last_move[2].members == 6);
-  assert_true(record.origin.last_move[0].term == 0 && record.origin.last_move[0].members == 0);
+  assert_string_equal(record.handed_to[2], "paddock-2");
+  assert_null(record.handed_to[0]);
+  assert_true(record.origin.term == 6 && record.origin.transferred == 5);
+  assert_true(record.origin.last_transfer[2].term == 9 && record.origin.last_transfer[2].members == 6);
+  assert_true(record.origin.last_transfer[0].term == 0 && record.origin.last_transfer[0].members == 0);
   assert_int_equal(record.spec.tasks, 16);
   assert_true(record.spec.deadline_s == 900.0 && record.spec.zone == NULL && strcmp(record.spec.types[0], "g8") == 0);
   fc_job_record_clear(&record);
   json_t *moves = json_incref(json_object_get(encoded, "lastMove"));
   json_object_del(encoded, "lastMove"); /* a record written before the field existed */
   assert_true(fc_job_record_decode(encoded, &record));
-  assert_true(record.origin.moved == 5 && record.origin.last_move[2].term == 0 &&
-              record.origin.last_move[2].members == 0);
+  assert_true(record.origin.transferred == 5 && record.origin.last_transfer[2].term == 0 &&
+              record.origin.last_transfer[2].members == 0);
   fc_job_record_clear(&record);
   json_object_set_new(moves, "4", json_pack("[ii]", 9, 6)); /* the job has no such slice */
   json_object_set_new(encoded, "lastMove", moves);
--- a/tests/test_job_record.c
+++ b/tests/test_job_record.c
@@ -7,18 +7,18 @@
 #include "protocol/records.h"
 
 /* A submission whose field of dependencies is that JSON; "": without the field. */
-static char *submission(const char *awaits) {
+static char *submission(const char *dependencies) {
   return g_strdup_printf(
       "{\"id\":\"job-000412\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":2,"
       "\"cpus\":1,\"gpus\":1,\"memGb\":1,\"kit\":\"i\",\"pullGb\":1,\"samePlace\":false,\"scatter\":false,"
       "\"loaners\":true,\"expectS\":10,\"markS\":0,\"stowS\":0%s%s}",
-      *awaits ? ",\"awaits\":" : "", awaits);
+      *dependencies ? ",\"awaits\":" : "", dependencies);
 }
 
 static void dependencies_of_a_submission(void **state) {
   (void)state;
   static const struct {
-    const char *name, *awaits;
+    const char *name, *dependencies;
     const char *ids;   /* as parsed; NULL: refused */
     const char *error; /* its start; NULL: the field's name */
   } rows[] = {
@@ -43,15 +43,15 @@
       {"with a NUL", "[\"job-000398\\u0000\"]", NULL, "body: not JSON"},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    char *text = submission(rows[i].awaits);
+    char *text = submission(rows[i].dependencies);
     fc_job_spec spec;
     char error[200] = "";
     bool accepted = fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error);
     check_row(rows[i].name, accepted == (rows[i].ids != NULL));
     if (accepted) {
-      char *ids = spec.awaits ? g_strjoinv(" ", spec.awaits) : g_strdup("");
+      char *ids = spec.dependencies ? g_strjoinv(" ", spec.dependencies) : g_strdup("");
       check_row(rows[i].name, strcmp(ids, rows[i].ids) == 0);
-      check_row(rows[i].name, (spec.awaits == NULL) == (*rows[i].ids == '\0'));
+      check_row(rows[i].name, (spec.dependencies == NULL) == (*rows[i].ids == '\0'));
       g_free(ids);
       fc_job_spec_clear(&spec);
     } else {
@@ -65,7 +65,7 @@
 static void format_by_pending_dependencies(void **state) {
   (void)state;
   static const struct {
-    const char *name, *awaits;
+    const char *name, *dependencies;
     fc_job_phase phase;
     int format;
   } rows[] = {
@@ -75,21 +75,21 @@
       {"done", "[\"job-000398\"]", FC_PHASE_DONE, FC_JOB_FORMAT_PLAIN},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    char *text = submission(rows[i].awaits);
+    char *text = submission(rows[i].dependencies);
     fc_job_spec spec;
     char error[200];
     assert_true(fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error));
     const fc_job_origin origin = {.term = 3, .submitted_at = 1.8e9 + 0.5};
     json_t *encoded = fc_job_record_encode(&(fc_job_record){
-        .spec = spec, .origin = origin, .phase = rows[i].phase, .slices = 1, .awaiting = spec.awaits != NULL});
+        .spec = spec, .origin = origin, .phase = rows[i].phase, .slices = 1, .awaiting = spec.dependencies != NULL});
     check_row(rows[i].name, json_integer_value(json_object_get(encoded, "f")) == rows[i].format);
     bool awaiting = rows[i].format == FC_JOB_FORMAT_AWAITING;
     fc_job_record record;
     check_row(rows[i].name, fc_job_record_decode(encoded, &record));
-    check_row(rows[i].name, record.phase == rows[i].phase && (record.spec.awaits != NULL) == awaiting);
+    check_row(rows[i].name, record.phase == rows[i].phase && (record.spec.dependencies != NULL) == awaiting);
     if (awaiting) {
-      check_row(rows[i].name, strcmp(record.spec.awaits[0], "job-0000405") == 0);
-      check_row(rows[i].name, strcmp(record.spec.awaits[1], "job-000398") == 0 && !record.spec.awaits[2]);
+      check_row(rows[i].name, strcmp(record.spec.dependencies[0], "job-0000405") == 0);
+      check_row(rows[i].name, strcmp(record.spec.dependencies[1], "job-000398") == 0 && !record.spec.dependencies[2]);
       check_row(rows[i].name, record.origin.submitted_at == origin.submitted_at);
     }
     fc_job_record_clear(&record);
@@ -173,7 +173,7 @@
       g_ptr_array_free(parts, TRUE);
     }
     assert_true(fc_job_description_read(description, &again));
-    assert_int_equal(again.awaits ? g_strv_length(again.awaits) : 0, id_counts[i]);
+    assert_int_equal(again.dependencies ? g_strv_length(again.dependencies) : 0, id_counts[i]);
     assert_true(again.tasks == spec.tasks && again.deadline_s == spec.deadline_s);
     fc_job_spec_clear(&again);
     description[strlen(description) / 2] = '\0'; /* a part is missing */
--- a/tests/test_reconciliation_progress.c
+++ b/tests/test_reconciliation_progress.c
@@ -104,7 +104,7 @@
       "\"samePlace\":false,\"scatter\":false,\"loaners\":true,\"expectS\":1,\"markS\":0,\"stowS\":0,\"whistleS\":"
       "null}";
   assert_true(fc_job_spec_parse(text, strlen(text), &record.spec, error, sizeof error));
-  record.handed[0] = job->record.handed_to[0];
+  record.handed_to[0] = job->record.handed_to[0];
   check_row(row->name,
             (fc_cluster_apply_job(cluster, "job-000002", &record, 8, false, 6)->slices.resolved & 1) == row->resolved);
   fc_job_spec_clear(&record.spec);
@@ -122,7 +122,7 @@
     fc_machine *theirs = fixture_machine(cluster, "vm-2", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     job->record.origin = (fc_job_origin){
-        .term = row->accepted, .moved = row->moved, .last_move = {{row->moved_in, row->machine_owners}}};
+        .term = row->accepted, .transferred = row->moved, .last_transfer = {{row->moved_in, row->machine_owners}}};
     job->record.handed_to[0] = g_strdup(row->other_owner ? "paddock-1" : "paddock-0");
     g_strlcpy(theirs->record.owner, "paddock-1", sizeof theirs->record.owner);
     fc_term term = {
