--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -68,7 +68,7 @@
 tight memory|"memory_mb":56.0|"memory_mb":6|settings.limits.memory_mb
 tight sockets|"fd_limit":900|"fd_limit":48|settings.limits.fd_limit
 R
-# Limits that the state service will have: all of them, some, none, and unknown ones.
+# Limits that the key-value store will have: all of them, some, none, and unknown ones.
 while IFS='|' read -r name to; do
   sed "s/\"txn_ops\":8/\"txn_ops\":8,\"next\":$to/" "$dir/good.json" > "$dir/next.json"
   expect "$name" 0 "settings are good" "$bin" --check --config "$dir/next.json"
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -75,7 +75,7 @@
       {"one that may exist by now", "GET", "/api/jobs/job-000003", "", 503},
       {"a new job", "POST", "/api/jobs", JOB("job-000003", "red", "1"), 503},
       {"a cancellation", "POST", "/api/jobs/job-000002/withdraw", "", 503},
-      {"health: nobody reaches the state service", "GET", "/ready", "", 200},
+      {"health: nobody reaches the key-value store", "GET", "/ready", "", 200},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_reply r = world_request(1, rows[i].method, rows[i].path, rows[i].body);
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -285,9 +285,9 @@
     {"the last comes when the others are over", 0, 45, CALM, 30},
     {"a controller ends", 0, 0, CRASH, 25},
     {"all end", 0, 0, CRASH_ALL, 35},
-    {"the state service refuses one for 25 s", 0, 0, REFUSED, 30},
+    {"the key-value store refuses one for 25 s", 0, 0, REFUSED, 30},
     {"controllers are restarted one after the other", 0, 0, ROLLING, 45},
-    {"the state service is down for a while", 0, 0, STATE_DOWN, 40},
+    {"the key-value store is down for a while", 0, 0, STATE_DOWN, 40},
 };
 
 enum { STAGE_S = 6, STAGES = 4 };
@@ -418,7 +418,7 @@
 static const cancel_row k_cancels[] = {
     {"nothing happens", NONE, true},
     {"the writer ends right after its answer", WRITER_ENDS, true},
-    {"the state service goes out", STATE_OUT, false},
+    {"the key-value store goes out", STATE_OUT, false},
     {"the others end", OTHERS_END, false},
     {"the writer is refused from then on", WRITER_REFUSED, false},
     {"a zone is cut off", ZONE_CUT, false},
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,5 +1,5 @@
 /* The bytes of requests and answers, as recorded in fixtures/golden.txt: what users, workers,
- * the cloud and the state service see must not change with names inside the program. */
+ * the cloud and the key-value store see must not change with names inside the program. */
 #include "golden.h"
 
 #include <arpa/inet.h>
--- a/tests/test_golden_process.c
+++ b/tests/test_golden_process.c
@@ -1,5 +1,5 @@
 /* Whole messages and log lines of the program itself, over sockets, as recorded in
- * fixtures/golden.txt. The state service and the cloud are a thread with fixed answers. */
+ * fixtures/golden.txt. The key-value store and the cloud are a thread with fixed answers. */
 #include "golden.h"
 
 #include <arpa/inet.h>
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -148,7 +148,7 @@
       {"the others long after the first", {60, 22, 60}, false, false, true},
       {"starts held up meanwhile", {25, 25, 25}, true, false, true},
       {"starts held up, one after the other", {40, 20, 30}, true, false, true},
-      {"the state service too", {25, 25, 25}, false, true, true},
+      {"the key-value store too", {25, 25, 25}, false, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     start_long_jobs(200 + (uint32_t)i);
@@ -382,11 +382,11 @@
     {"hung, for longer", 501, HUNG, 0, 4, 25, 2, 4, false, false},
     {"hung, all controllers end", 502, HUNG, 2, 6, 12, 1, 2, true, false},
     {"one hung, its owner back at once", 503, HUNG, 1, 2, 13, 5, 0.2, false, false},
-    {"mute, for less than a lease", 504, OUTBOUND_CUT, 0, 4, 9, 1, 4, false, false},
-    {"mute, for longer", 505, OUTBOUND_CUT, 4, 8, 30, 4, 4, false, false},
-    {"deaf, for less than a lease", 506, INBOUND_CUT, 0, 4, 9, 1, 4, false, false},
-    {"deaf, for longer", 507, INBOUND_CUT, 5, 9, 30, 5, 11, false, false},
-    {"deaf, all controllers end", 508, INBOUND_CUT, 0, 3, 11, 1, 1, true, false},
+    {"outbound cut, for less than a lease", 504, OUTBOUND_CUT, 0, 4, 9, 1, 4, false, false},
+    {"outbound cut, for longer", 505, OUTBOUND_CUT, 4, 8, 30, 4, 4, false, false},
+    {"inbound cut, for less than a lease", 506, INBOUND_CUT, 0, 4, 9, 1, 4, false, false},
+    {"inbound cut, for longer", 507, INBOUND_CUT, 5, 9, 30, 5, 11, false, false},
+    {"inbound cut, all controllers end", 508, INBOUND_CUT, 0, 3, 11, 1, 1, true, false},
     {"cut from its owner, held", 509, PAIR_HELD, 0, 6, 20, 3, 4, false, true},
     {"cut from its owner, reset", 510, PAIR_RESET, 6, 12, 40, 3, 0.3, false, true},
     {"cut from the others, held", 511, NEXT_HELD, 0, 5, 12, 1, 40, false, true},
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -72,8 +72,8 @@
       {"hung, and two controllers are replaced", HUNG, 20, 2, 3},
       {"cut off for less than a lease", CUT_OFF, 10, 1, 4},
       {"cut off for longer", CUT_OFF, 30, 1, 8},
-      {"mute, and two controllers are replaced", OUTBOUND_CUT, 25, 2, 2},
-      {"deaf, and a controller is replaced", INBOUND_CUT, 25, 1, 5},
+      {"outbound cut, and two controllers are replaced", OUTBOUND_CUT, 25, 2, 2},
+      {"inbound cut, and a controller is replaced", INBOUND_CUT, 25, 1, 5},
       {"taken with notice", SPOT_NOTICE, 0, 0, 0},
       {"taken with notice, all controllers are replaced", SPOT_NOTICE, 0, 3, 0.5},
   };
@@ -206,7 +206,7 @@
       {"for one lease", 15, 0, 0, false},    {"for three", 40, 0, 0, false},
       {"for almost five", 66, 0, 0, false},  {"a controller outside is replaced", 40, 1, 0, false},
       {"and both outside", 30, 2, 0, false}, {"the controller inside is replaced", 30, 0, 1, false},
-      {"all are", 30, 2, 1, false},          {"the state service is out when it comes back", 30, 1, 0, true},
+      {"all are", 30, 2, 1, false},          {"the key-value store is out when it comes back", 30, 1, 0, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){
@@ -265,10 +265,10 @@
     {"hung for longer, and all are", HUNG, 25, 3, 6},
     {"cut off for longer, and one is", CUT_OFF, 25, 1, 6},
     {"cut off for longer, and two are", CUT_OFF, 25, 2, 6},
-    {"deaf, and one is", INBOUND_CUT, 25, 1, 6},
-    {"deaf, and all are", INBOUND_CUT, 25, 3, 6},
-    {"mute, and one is", OUTBOUND_CUT, 25, 1, 6},
-    {"mute, and two are", OUTBOUND_CUT, 25, 2, 6},
+    {"inbound cut, and one is", INBOUND_CUT, 25, 1, 6},
+    {"inbound cut, and all are", INBOUND_CUT, 25, 3, 6},
+    {"outbound cut, and one is", OUTBOUND_CUT, 25, 1, 6},
+    {"outbound cut, and two are", OUTBOUND_CUT, 25, 2, 6},
     {"killed, and two are", KILLED, 0, 2, 14},
 };
 
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -99,9 +99,9 @@
       {"one task", "sweep", 1, 0},
       {"an array", "sweep", 6, 0},
       {"a gang", "gang", 3, 0},
-      {"one task, slow state service", "sweep", 1, 0.4},
-      {"an array, slow state service", "sweep", 6, 0.4},
-      {"a gang, slow state service", "gang", 3, 0.4},
+      {"one task, slow key-value store", "sweep", 1, 0.4},
+      {"an array, slow key-value store", "sweep", 6, 0.4},
+      {"a gang, slow key-value store", "gang", 3, 0.4},
   };
   /* After the last task's end; after its record is written, as measured without. */
   static const double after_end[] = {-0.4, -0.05, 0, 0.02, 0.1, 0.25};
