--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -148,7 +148,7 @@
   fc_job_record record = {.origin = {.term = term->number, .submitted_at = fc_time_of_day()},
                           .phase = submitted->phase,
                           .awaiting = submitted->open != NULL,
-                          .slices = fc_job_slices(submitted->spec, cluster->settings->op.split_limit)};
+                          .slices = fc_job_slices(submitted->spec, cluster->settings->operator_settings.split_limit)};
   bool fit[FC_MEMBERS_MAX];
   for (size_t member = 0; member < term->count; member++)
     fit[member] = fc_peers_member_fit(admission->peers, (int)member);
@@ -211,7 +211,7 @@
   const fc_job_spec *spec = submitted->spec;
   response->status = 201;
   g_debug("accepted job=%s class=%s tasks=%u slices=%u", spec->id, spec->class_name, spec->tasks,
-          fc_job_slices(spec, admission->cluster->settings->op.split_limit));
+          fc_job_slices(spec, admission->cluster->settings->operator_settings.split_limit));
   fc_job_status status = submitted->phase == FC_PHASE_CANCELLED ? FC_STATUS_CANCELLED : FC_STATUS_PENDING;
   fc_job_answer(response->body, spec->id, status, 0, 0, false);
 }
--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -67,7 +67,7 @@
 static GPtrArray *collect_jobs(const fc_archiver *archiver, guint max) {
   const fc_cluster *cluster = archiver->cluster;
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
-  double before = fc_now() - cluster->settings->op.over_keep_s;
+  double before = fc_now() - cluster->settings->operator_settings.over_keep_s;
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (const fc_job *job; ids->len < max && (job = fc_job_iter_next(&job_iter));)
     if (may_be_archived(cluster, job, before)) g_ptr_array_add(ids, g_strdup(job->spec.id));
@@ -93,7 +93,7 @@
 static void run(void *arg) {
   fc_archiver *archiver = arg;
   fc_metrics_enter_duty(archiver->metrics, FC_DUTY_COMMITS);
-  double pause_s = archiver->cluster->settings->op.round_s * PAUSE_ROUNDS;
+  double pause_s = archiver->cluster->settings->operator_settings.round_s * PAUSE_ROUNDS;
   while (!fc_routine_cancelled()) {
     if (fc_routine_sleep(pause_s) == FC_WAKE_CANCELLED) break;
     if (fc_leadership_held(archiver->leadership) && fc_cluster_store_reachable(archiver->cluster, fc_now()))
--- a/src/controller/description_cleanup.c
+++ b/src/controller/description_cleanup.c
@@ -114,7 +114,7 @@
 static void run(void *arg) {
   fc_description_cleanup *cleanup = arg;
   fc_metrics_enter_duty(cleanup->metrics, FC_DUTY_COMMITS);
-  while (fc_routine_sleep(cleanup->cluster->settings->op.round_s * PAUSE_ROUNDS) != FC_WAKE_CANCELLED) {
+  while (fc_routine_sleep(cleanup->cluster->settings->operator_settings.round_s * PAUSE_ROUNDS) != FC_WAKE_CANCELLED) {
     if (fc_leadership_held(cleanup->leadership) && fc_cluster_store_reachable(cleanup->cluster, fc_now()) &&
         fc_group_commit_backlog(cleanup->commit) == 0)
       run_pass(cleanup);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -20,8 +20,8 @@
   const fc_settings *settings = cluster->settings;
   fc_leadership *leadership = g_new0(fc_leadership, 1);
   leadership->cluster = cluster;
-  fc_leader_lease_init(&leadership->lease, settings->lease_s * settings->op.member_lease_share, settings->lease_s,
-                       settings->cancel_s, settings->heartbeat_s, settings->peer_count);
+  fc_leader_lease_init(&leadership->lease, settings->lease_s * settings->operator_settings.member_lease_share,
+                       settings->lease_s, settings->cancel_s, settings->heartbeat_s, settings->peer_count);
   return leadership;
 }
 
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -107,7 +107,8 @@
   const fc_settings *settings = cluster->settings;
   double term_since = fc_leadership_term_since(shares->leadership);
   /* Any member may write them; the first of the term does so at once. */
-  if (now < term_since + settings->op.round_s * FIRST_WRITE_ROUNDS * cluster->membership.self) return false;
+  if (now < term_since + settings->operator_settings.round_s * FIRST_WRITE_ROUNDS * cluster->membership.self)
+    return false;
   /* A hung machine of a dead owner would block everybody for a lease: after a while it counts as
    * full instead. What is reconciled by then can only have become less since; members that have
    * not acknowledged the term are waited for. */
@@ -135,7 +136,8 @@
   double now = fc_now();
   memset(shares->next, 0, sizeof *shares->next);
   if (!recorded_in_term(shares->cluster)) return plan_first(shares, now);
-  if (now < shares->adjusted_at + shares->cluster->settings->op.round_s * ADJUST_INTERVAL_ROUNDS) return false;
+  if (now < shares->adjusted_at + shares->cluster->settings->operator_settings.round_s * ADJUST_INTERVAL_ROUNDS)
+    return false;
   shares->adjusted_at = now;
   return plan_change(shares);
 }
@@ -172,7 +174,7 @@
   shares->next = g_new0(fc_quota_record, 1);
   shares->tally = g_new0(fc_quota_tally, 1);
   while (!fc_routine_cancelled()) {
-    (void)fc_routine_sleep(cluster->settings->op.round_s * CHECK_INTERVAL_ROUNDS);
+    (void)fc_routine_sleep(cluster->settings->operator_settings.round_s * CHECK_INTERVAL_ROUNDS);
     /* A write of unknown outcome can be applied until the record has moved past the version that it
      * compares; so long the caps stay. */
     if (cluster->quota.version != shares->caps.version) lift_caps(&shares->caps);
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -49,11 +49,12 @@
     fc_machine_type_catalog_refresh(scaling->catalog);
     if (fc_machine_type_catalog_known(scaling->catalog) && fc_leadership_held(scaling->leadership) &&
         fc_cluster_store_reachable(cluster, fc_now())) {
-      if (cluster->membership.self == 0 && cluster->settings->op.rent) scale_out(scaling);
+      if (cluster->membership.self == 0 && cluster->settings->operator_settings.rent) scale_out(scaling);
       if (fc_leadership_held(scaling->leadership)) fc_machine_disposal_run(scaling->disposal);
     }
     bool types_known = fc_machine_type_catalog_known(scaling->catalog);
-    (void)fc_routine_sleep(cluster->settings->op.round_s * (types_known ? PAUSE_ROUNDS : PAUSE_WITHOUT_TYPES_ROUNDS));
+    (void)fc_routine_sleep(cluster->settings->operator_settings.round_s *
+                           (types_known ? PAUSE_ROUNDS : PAUSE_WITHOUT_TYPES_ROUNDS));
   }
 }
 
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -112,7 +112,7 @@
 /* Looks for places beyond free resources: by preemption, and in other shards. */
 static void search_further(fc_scheduling_loop *loop, double now, GPtrArray *to_call) {
   fc_cluster *cluster = loop->deps.cluster;
-  if (now < loop->searched_at + cluster->settings->op.round_s * SEARCH_ROUNDS) return;
+  if (now < loop->searched_at + cluster->settings->operator_settings.round_s * SEARCH_ROUNDS) return;
   cluster->tasks_pending = any_tasks_pending(cluster);
   if (!cluster->tasks_pending) return;
   loop->searched_at = now;
@@ -177,7 +177,7 @@
 static void run(void *arg) {
   fc_scheduling_loop *loop = arg;
   fc_wakeups *wakeups = loop->deps.wakeups;
-  double round_s = loop->deps.cluster->settings->op.round_s;
+  double round_s = loop->deps.cluster->settings->operator_settings.round_s;
   fc_metrics_enter_duty(loop->deps.metrics, FC_DUTY_ROUNDS);
   loop->logged_at = fc_now();
   while (!fc_routine_cancelled()) {
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -100,7 +100,7 @@
   const fc_settings *settings = completion->cluster->settings;
   double jobs = g_hash_table_size(completion->recording);
   double spacing_s = jobs / (fc_group_commit_rate(completion->commit) * WRITE_RATE_SHARE);
-  return CLAMP(spacing_s, settings->op.round_s, settings->lease_s * GATHER_LEASES_MAX);
+  return CLAMP(spacing_s, settings->operator_settings.round_s, settings->lease_s * GATHER_LEASES_MAX);
 }
 
 /* Waits for more ends of the job: an array of 150 would be written 150 times. The last ones are
--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -89,7 +89,7 @@
 
 void fc_transfer_execution_begin(fc_transfer_execution *execution, const GArray *plan) {
   const fc_cluster *cluster = execution->cluster;
-  double reserved_s = cluster->settings->op.round_s * RESERVATION_ROUNDS;
+  double reserved_s = cluster->settings->operator_settings.round_s * RESERVATION_ROUNDS;
   for (guint i = 0; i < plan->len; i++) {
     const fc_machine_transfer *planned = &g_array_index(plan, fc_machine_transfer, i);
     fc_machine *machine = planned->machine;
--- a/src/main.c
+++ b/src/main.c
@@ -86,7 +86,7 @@
     return false;
   }
   if (!fc_settings_load(given->config, out, error, sizeof error) ||
-      (given->operator_file && !fc_operator_load(given->operator_file, &out->op, error, sizeof error))) {
+      (given->operator_file && !fc_operator_load(given->operator_file, &out->operator_settings, error, sizeof error))) {
     fprintf(stderr, "fieldcleat: %s\n", error);
     return false;
   }
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -317,7 +317,7 @@
 bool fc_settings_load(const char *path, fc_settings *out, char *error, size_t error_size) {
   const fault_line fault = {.text = error, .size = error_size};
   memset(out, 0, sizeof *out);
-  fc_operator_defaults(&out->op);
+  fc_operator_defaults(&out->operator_settings);
   g_autofree gchar *text = NULL;
   gsize length = 0;
   g_autoptr(GError) file_error = NULL;
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -67,7 +67,7 @@
   double cpu; /* share of one core */
   double memory_mb;
   unsigned fd_limit;
-  fc_operator_settings op;
+  fc_operator_settings operator_settings;
 } fc_settings;
 
 /* False with one line that names the faulty field in `error`. */
--- a/src/scheduler/gang_precedence.c
+++ b/src/scheduler/gang_precedence.c
@@ -70,5 +70,5 @@
    * job. While such an array went on, some of the limit stayed in a shard that had no room for the
    * gang, and both were pending forever (fault test with upgrades and meetings, seed 149). */
   return job->spec.kind == FC_JOB_ARRAY && job->queue.priority <= gang->queue.priority &&
-         now > gang->queue.entered_at + cluster->settings->op.handover_wait_s;
+         now > gang->queue.entered_at + cluster->settings->operator_settings.handover_wait_s;
 }
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -219,8 +219,10 @@
 /* Has the job been pending, and its last handover been made, long enough ago? */
 static bool handover_allowed(const fc_cluster *cluster, const fc_job *job, double now) {
   /* Where all shards are full, the job would be handed over again and again. */
-  double pause = cluster->settings->op.round_s * (1 + MIN(job->slices.handover_count, HANDOVER_BACKOFF_MAX));
-  if (now < job->queue.entered_at + cluster->settings->op.handover_wait_s || now < job->slices.handover_at + pause)
+  double pause =
+      cluster->settings->operator_settings.round_s * (1 + MIN(job->slices.handover_count, HANDOVER_BACKOFF_MAX));
+  if (now < job->queue.entered_at + cluster->settings->operator_settings.handover_wait_s ||
+      now < job->slices.handover_at + pause)
     return false;
   return !job->slices.handover_pending && now >= job->queue.blocked_until;
 }
--- a/src/scheduler/machine_transfer.c
+++ b/src/scheduler/machine_transfer.c
@@ -123,7 +123,7 @@
   unsigned on_own = 0;
   bool preempt = !find_zone(cluster, capacity, &need, false, &on_own);
   if (preempt) {
-    if (now < job->queue.entered_at + ROUNDS_BEFORE_PREEMPTION * cluster->settings->op.round_s) return;
+    if (now < job->queue.entered_at + ROUNDS_BEFORE_PREEMPTION * cluster->settings->operator_settings.round_s) return;
     if (!find_zone(cluster, capacity, &need, true, &on_own)) return;
   } else if (on_own >= need.tasks_left) {
     return; /* its owner places it alone */
@@ -144,7 +144,8 @@
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->spec.kind != FC_JOB_GANG || !fc_job_runnable(job) || job->team < 0) continue;
     if (job->placements->len > 0 || job->completion.count == job->spec.tasks) continue;
-    if (now >= job->queue.entered_at + cluster->settings->op.handover_wait_s) g_ptr_array_add(gangs, job);
+    if (now >= job->queue.entered_at + cluster->settings->operator_settings.handover_wait_s)
+      g_ptr_array_add(gangs, job);
   }
   g_ptr_array_sort(gangs, fc_job_compare_priority_and_id);
   return gangs;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -61,8 +61,8 @@
       job->slices.handover_pending)
     return false;
   /* Idle room in another shard is cheaper: the handover needs time to find it. */
-  if (round->now <
-      job->queue.entered_at + settings->op.handover_wait_s + settings->op.round_s * ROUND_SHARE_BEFORE_PREEMPTION)
+  if (round->now < job->queue.entered_at + settings->operator_settings.handover_wait_s +
+                       settings->operator_settings.round_s * ROUND_SHARE_BEFORE_PREEMPTION)
     return false;
   return !must_fail(round->failures, job);
 }
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -194,10 +194,10 @@
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const fc_arrival_class *job_class = value;
     if (job_class->kind == FC_JOB_GANG) continue; /* its machines are sized by the job */
-    double deviations =
-        cluster->settings->op.warm_deviations * (job_class->priority == FC_PRIORITY_PROD ? PROD_DEVIATION_FACTOR : 1);
-    unsigned tasks = fc_arrival_stats_headroom(&cluster->arrivals, job_class, startup_s + cluster->settings->op.round_s,
-                                               deviations, now);
+    double deviations = cluster->settings->operator_settings.warm_deviations *
+                        (job_class->priority == FC_PRIORITY_PROD ? PROD_DEVIATION_FACTOR : 1);
+    unsigned tasks = fc_arrival_stats_headroom(
+        &cluster->arrivals, job_class, startup_s + cluster->settings->operator_settings.round_s, deviations, now);
     pack_expected_tasks(model, job_class, tasks);
   }
 }
--- a/src/scheduler/scale_in.c
+++ b/src/scheduler/scale_in.c
@@ -20,6 +20,6 @@
   if (!fc_machine_vacant(machine) || !machine->idle_since || machine->type < 0) return false;
   const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
   /* Renting again costs the startup and the least charge; keeping the machine costs time. */
-  double keep_s = (machine_type->boot_s + MINIMUM_CHARGE_S) * cluster->settings->op.idle_keep_share;
+  double keep_s = (machine_type->boot_s + MINIMUM_CHARGE_S) * cluster->settings->operator_settings.idle_keep_share;
   return now - machine->idle_since > keep_s;
 }
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -14,7 +14,7 @@
 
 static inline fc_settings fixture_settings(void) {
   fc_settings settings = {.name = "paddock-0", .zone = "a", .zone_count = 2, .team_count = 2};
-  fc_operator_defaults(&settings.op);
+  fc_operator_defaults(&settings.operator_settings);
   settings.zones[0] = "a";
   settings.zones[1] = "b";
   settings.teams[0] = (fc_team_settings){.name = "red", .gpus = 8};
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -239,11 +239,11 @@
 }
 
 void world_keep_idle(void) {
-  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].op.idle_keep_share = 1e6;
+  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].operator_settings.idle_keep_share = 1e6;
 }
 
 void world_keep_over(double for_s) {
-  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].op.over_keep_s = for_s;
+  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].operator_settings.over_keep_s = for_s;
 }
 
 void world_limit(double cpus, double gpus) {
@@ -254,7 +254,7 @@
 }
 
 void world_return_idle(void) {
-  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].op.idle_keep_share = 0.01;
+  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].operator_settings.idle_keep_share = 0.01;
 }
 
 void world_large(unsigned machines) {
@@ -271,7 +271,7 @@
     settings->cloud_rps = 6;
     settings->teams[0].gpus = machines;
     settings->teams[1].gpus = settings->teams[1].gpus_max = 0;
-    settings->op.rent = false; /* what there is */
+    settings->operator_settings.rent = false; /* what there is */
   }
 }
 
@@ -287,7 +287,7 @@
     settings->fd_limit = 900;
     fc_operator_settings usual;
     fc_operator_defaults(&usual);
-    settings->op.over_keep_s = usual.over_keep_s;
+    settings->operator_settings.over_keep_s = usual.over_keep_s;
   }
 }
 
@@ -607,8 +607,8 @@
   settings->memory_mb = 56;
   settings->cpu = 0.08;
   settings->fd_limit = 900;
-  fc_operator_defaults(&settings->op);
-  settings->op.over_keep_s = 20; /* jobs are archived in the middle of the troubles */
+  fc_operator_defaults(&settings->operator_settings);
+  settings->operator_settings.over_keep_s = 20; /* jobs are archived in the middle of the troubles */
 }
 
 void world_notice(unsigned at, double in_s) {
