--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -1,162 +1,165 @@
 /* What must hold at the end of a day, job by job, and what must hold all through the
  * quiet part of it. */
-#include "parts.h"
+#include "stand_ins.h"
 
 #define SAMPLE_S 3.0
 #define LEFT_S 90.0      /* a job that could run waits no longer */
 #define LARGEST_S 240.0  /* the largest begin within, once the troubles are over */
 #define LARGEST_SHARE 5u /* the largest: one job in so many of its class */
 
-static bool live(const task *t) {
-  return t->state != T_EXITED;
+static bool live(const sim_task *task) {
+  return task->state != TASK_EXITED;
 }
 
 /* As controllers may use it: there, and not about to go. */
-static bool usable(const worker *w) {
+static bool usable(const sim_worker *worker) {
   double now = sim_now();
-  return w->up && !w->gone && w->notice_at <= 0 && now >= w->hang_until && now >= w->deaf_until && now >= w->mute_until;
+  return worker->up && !worker->terminated && worker->preemption_notice_at <= 0 && now >= worker->hung_until &&
+         now >= worker->inbound_lost_until && now >= worker->outbound_lost_until;
 }
 
 /* How many more tasks of the job the machine has room for. */
-static unsigned places_on(const worker *w, const job *j) {
-  if (!usable(w) || (w->spot && !j->spot)) return 0;
-  if (j->zone && strcmp(j->zone, world_zones[w->zone]) != 0) return 0;
+static unsigned places_on(const sim_worker *worker, const sim_job *job) {
+  if (!usable(worker) || (worker->spot && !job->spot)) return 0;
+  if (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0) return 0;
   double cpus = MACHINE_CPUS, gpus = MACHINE_GPUS;
-  for (guint i = 0; i < w->tasks->len; i++) {
-    const task *t = w->tasks->pdata[i];
-    if (!live(t) || !t->job) continue;
-    cpus -= t->job->cpus;
-    gpus -= t->job->gpus;
+  for (guint i = 0; i < worker->tasks->len; i++) {
+    const sim_task *task = worker->tasks->pdata[i];
+    if (!live(task) || !task->job) continue;
+    cpus -= task->job->cpus;
+    gpus -= task->job->gpus;
   }
-  unsigned n = 0;
-  while (n < j->tasks && cpus >= j->cpus - 1e-6 && gpus >= j->gpus - 1e-6) {
-    n++;
-    cpus -= j->cpus;
-    gpus -= j->gpus;
+  unsigned count = 0;
+  while (count < job->tasks && cpus >= job->cpus - 1e-6 && gpus >= job->gpus - 1e-6) {
+    count++;
+    cpus -= job->cpus;
+    gpus -= job->gpus;
   }
-  return n;
+  return count;
 }
 
-typedef struct standing {
+typedef struct job_progress {
   unsigned missing; /* tasks that are neither done nor on a machine */
   unsigned running;
   unsigned in_zone[2]; /* its tasks that are on machines */
   unsigned room[2];    /* for more of them */
-} standing;
-
-static standing stand_of(const job *j) {
-  standing s = {0};
-  bool *there = g_new0(bool, j->tasks);
-  for (guint i = 0; i < g_order->len; i++) {
-    const worker *w = g_order->pdata[i];
-    if (w->gone) continue;
-    for (guint k = 0; k < w->tasks->len; k++) {
-      const task *t = w->tasks->pdata[k];
-      if (t->job != j || !live(t)) continue;
-      there[t->index] = true;
-      s.in_zone[w->zone]++;
-      s.running += t->state == T_RUNNING;
+} job_progress;
+
+static job_progress stand_of(const sim_job *job) {
+  job_progress progress = {0};
+  bool *there = g_new0(bool, job->tasks);
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    if (worker->terminated) continue;
+    for (guint k = 0; k < worker->tasks->len; k++) {
+      const sim_task *task = worker->tasks->pdata[k];
+      if (task->job != job || !live(task)) continue;
+      there[task->index] = true;
+      progress.in_zone[worker->zone]++;
+      progress.running += task->state == TASK_RUNNING;
     }
-    s.room[w->zone] += places_on(w, j);
+    progress.room[worker->zone] += places_on(worker, job);
   }
   /* Done, and nobody has learned of it: it takes another start. */
-  bool all = j->done_count == j->tasks;
-  for (unsigned i = 0; i < j->tasks; i++) s.missing += !there[i] && (all || !j->done[i]);
+  bool all = job->done_count == job->tasks;
+  for (unsigned i = 0; i < job->tasks; i++) progress.missing += !there[i] && (all || !job->done[i]);
   g_free(there);
-  return s;
+  return progress;
 }
 
 static double team_gpus(const char *team) {
   double gpus = 0;
-  for (guint i = 0; i < g_order->len; i++) {
-    const worker *w = g_order->pdata[i];
-    for (guint k = 0; !w->gone && k < w->tasks->len; k++) {
-      const task *t = w->tasks->pdata[k];
-      if (live(t) && t->job && strcmp(t->job->team, team) == 0) gpus += t->job->gpus;
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    for (guint k = 0; !worker->terminated && k < worker->tasks->len; k++) {
+      const sim_task *task = worker->tasks->pdata[k];
+      if (live(task) && task->job && strcmp(task->job->team, team) == 0) gpus += task->job->gpus;
     }
   }
   return gpus;
 }
 
 /* Room for all of a gang, or for one more task, where the job may be. */
-static bool has_room(const job *j, const standing *s, unsigned need) {
-  if (strcmp(j->team, "blue") == 0 && team_gpus("blue") + need * j->gpus > BLUE_GPUS_MAX + 1e-6) return false;
+static bool has_room(const sim_job *job, const job_progress *progress, unsigned need) {
+  if (strcmp(job->team, "blue") == 0 && team_gpus("blue") + need * job->gpus > BLUE_GPUS_MAX + 1e-6) return false;
   unsigned all = 0, one = 0;
   for (int z = 0; z < 2; z++) {
-    unsigned room = s->room[z], half = (j->tasks + 1) / 2;
-    if (j->spread) room = s->in_zone[z] >= half ? 0 : MIN(room, half - s->in_zone[z]);
+    unsigned room = progress->room[z], half = (job->tasks + 1) / 2;
+    if (job->spread) room = progress->in_zone[z] >= half ? 0 : MIN(room, half - progress->in_zone[z]);
     all += room;
-    if (s->in_zone[!z] == 0) one = MAX(one, room);
+    if (progress->in_zone[!z] == 0) one = MAX(one, room);
   }
-  return (j->one_zone ? one : all) >= need;
+  return (job->one_zone ? one : all) >= need;
 }
 
 /* Since when the job has been left waiting beside room; 0: it isn't. */
-static double left_since(const job *j) {
-  if (!j->told_accepted || j->over || j->cancel_asked || job_called_off(j) || isinf(job_ready_at(j))) return 0;
-  bool gang = strcmp(j->kind, "gang") == 0;
-  standing s = stand_of(j);
-  if (gang ? s.running > 0 : s.missing == 0) return 0;
-  if (!has_room(j, &s, gang ? s.missing : 1)) return 0;
-  double since = j->left_since > 0 ? j->left_since : sim_now(); /* it is ready then */
-  return gang ? since : MAX(since, j->last_start);
-}
-
-static void each_job(void (*fn)(job *j)) {
-  GHashTableIter it;
+static double starved_since(const sim_job *job) {
+  if (!job->seen_accepted || job->terminal || job->cancel_requested || job_dependency_cancelled(job) ||
+      isinf(job_ready_at(job)))
+    return 0;
+  bool gang = strcmp(job->kind, "gang") == 0;
+  job_progress progress = stand_of(job);
+  if (gang ? progress.running > 0 : progress.missing == 0) return 0;
+  if (!has_room(job, &progress, gang ? progress.missing : 1)) return 0;
+  double since = job->starved_since > 0 ? job->starved_since : sim_now(); /* it is ready then */
+  return gang ? since : MAX(since, job->last_started_at);
+}
+
+static void each_job(void (*fn)(sim_job *job)) {
+  GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init(&it, g_jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) fn(value);
+  g_hash_table_iter_init(&iter, g_jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) fn(value);
 }
 
-static void broke_of(const char *rule, const job *j, double since) {
+static void broke_of(const char *rule, const sim_job *job, double since) {
   char detail[160];
-  g_snprintf(detail, sizeof detail, "%s %s of %u tasks, %.0f GPUs each, since %.1f", j->kind, j->id, j->tasks, j->gpus,
-             since);
+  g_snprintf(detail, sizeof detail, "%s %s of %u tasks, %.0f GPUs each, since %.1f", job->kind, job->id, job->tasks,
+             job->gpus, since);
   world_broke(rule, detail);
 }
 
-static void sample_job(job *j) {
-  j->left_since = left_since(j);
-  if (j->left_since <= 0 || sim_now() <= j->left_since + LEFT_S) return;
-  broke_of("left waiting beside room", j, j->left_since);
-  j->left_since = sim_now(); /* once in so long */
+static void sample_job(sim_job *job) {
+  job->starved_since = starved_since(job);
+  if (job->starved_since <= 0 || sim_now() <= job->starved_since + LEFT_S) return;
+  broke_of("left waiting beside room", job, job->starved_since);
+  job->starved_since = sim_now(); /* once in so long */
 }
 
 static void sample(void *arg) {
   (void)arg;
-  if (sim_now() > g_quiet_from) each_job(sample_job);
+  if (sim_now() > g_faults_end_at) each_job(sample_job);
   sim_after(SAMPLE_S, sample, NULL);
 }
 
 /* ---- the end ---- */
 
-static void check_known(job *j) {
-  double since = MAX(g_quiet_from, MAX(j->accepted_at, j->answered_at));
-  if (j->told_accepted && sim_now() > since + FORGOTTEN_S) broke_of("forgotten (nothing answered)", j, since);
+static void check_known(sim_job *job) {
+  double since = MAX(g_faults_end_at, MAX(job->seen_accepted_at, job->last_answer_at));
+  if (job->seen_accepted && sim_now() > since + ANSWER_DEADLINE_S) broke_of("forgotten (nothing answered)", job, since);
 }
 
-static double size_of(const job *j) {
-  return j->tasks * j->gpus;
+static double size_of(const sim_job *job) {
+  return job->tasks * job->gpus;
 }
 
-static gint by_size(gconstpointer a, gconstpointer b) {
-  double x = size_of(*(job *const *)a), y = size_of(*(job *const *)b);
-  return x > y ? -1 : x < y;
+static gint compare_sizes(gconstpointer left, gconstpointer right) {
+  double left_size = size_of(*(sim_job *const *)left), right_size = size_of(*(sim_job *const *)right);
+  return left_size > right_size ? -1 : left_size < right_size;
 }
 
 /* What is cancelled before it has waited for long asks for nothing. */
-static bool counts(const job *j) {
-  if (j->began_at <= 0 && (job_called_off(j) || isinf(job_ready_at(j)))) return false;
-  return j->began_at > 0 || !j->cancel_asked || j->cancel_asked_at > j->accepted_at + LEFT_S;
+static bool counts(const sim_job *job) {
+  if (job->began_at <= 0 && (job_dependency_cancelled(job) || isinf(job_ready_at(job)))) return false;
+  return job->began_at > 0 || !job->cancel_requested || job->cancel_requested_at > job->seen_accepted_at + LEFT_S;
 }
 
 static void check_served(const char *what, const char *name, GPtrArray *jobs, guint first) {
   unsigned all = 0, served = 0;
   for (guint i = 0; i < first; i++) {
-    const job *j = jobs->pdata[i];
-    all += counts(j);
-    served += counts(j) && j->began_at > 0;
+    const sim_job *job = jobs->pdata[i];
+    all += counts(job);
+    served += counts(job) && job->began_at > 0;
   }
   if (all > 0) g_result.served_least = MIN(g_result.served_least, 100 * served / all);
   if (served * 2 >= all) return;
@@ -167,22 +170,22 @@
 
 static GPtrArray *jobs_of(const char *kind, const char *team) {
   GPtrArray *out = g_ptr_array_new();
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init(&it, g_jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const job *j = value;
-    if ((!kind || strcmp(j->kind, kind) == 0) && (!team || strcmp(j->team, team) == 0)) g_ptr_array_add(out, value);
+  g_hash_table_iter_init(&iter, g_jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const sim_job *job = value;
+    if ((!kind || strcmp(job->kind, kind) == 0) && (!team || strcmp(job->team, team) == 0)) g_ptr_array_add(out, value);
   }
-  g_ptr_array_sort(out, by_size);
+  g_ptr_array_sort(out, compare_sizes);
   return out;
 }
 
 /* Every job as large as the last of the share counts with them. */
 static guint largest_of(const GPtrArray *jobs) {
-  guint n = (jobs->len + LARGEST_SHARE - 1) / LARGEST_SHARE;
-  while (n < jobs->len && n > 0 && size_of(jobs->pdata[n]) >= size_of(jobs->pdata[n - 1])) n++;
-  return n;
+  guint count = (jobs->len + LARGEST_SHARE - 1) / LARGEST_SHARE;
+  while (count < jobs->len && count > 0 && size_of(jobs->pdata[count]) >= size_of(jobs->pdata[count - 1])) count++;
+  return count;
 }
 
 static void check_class(const char *kind) {
@@ -191,11 +194,11 @@
   check_served("class", kind, jobs, jobs->len);
   check_served("largest of", kind, jobs, largest);
   for (guint i = 0; i < largest; i++) {
-    const job *j = jobs->pdata[i];
-    if (job_called_off(j) || isinf(job_ready_at(j))) continue;
-    double from = MAX(MAX(j->entered_at + j->submit_at, job_ready_at(j)), g_quiet_from);
-    double began = j->began_at > 0 ? j->began_at : sim_now();
-    if (!j->cancel_asked && began > from + LARGEST_S) broke_of("one of the largest began late", j, from);
+    const sim_job *job = jobs->pdata[i];
+    if (job_dependency_cancelled(job) || isinf(job_ready_at(job))) continue;
+    double from = MAX(MAX(job->created_at + job->submit_delay_s, job_ready_at(job)), g_faults_end_at);
+    double began = job->began_at > 0 ? job->began_at : sim_now();
+    if (!job->cancel_requested && began > from + LARGEST_S) broke_of("one of the largest began late", job, from);
   }
   g_ptr_array_free(jobs, TRUE);
 }
@@ -209,8 +212,8 @@
   sim_after(SAMPLE_S, sample, NULL);
 }
 
-double checks_day_ends(void) {
-  return g_quiet_from + LARGEST_S + SAMPLE_S;
+double checks_end_time(void) {
+  return g_faults_end_at + LARGEST_S + SAMPLE_S;
 }
 
 void checks_end(void) {
--- a/tests/sim/events.c
+++ b/tests/sim/events.c
@@ -7,7 +7,7 @@
 #ifdef __SANITIZE_ADDRESS__
 #include <sanitizer/asan_interface.h>
 #else
-#define ASAN_UNPOISON_MEMORY_REGION(p, n) ((void)0)
+#define ASAN_UNPOISON_MEMORY_REGION(address, size) ((void)0)
 #endif
 
 #include "network.h"
@@ -25,12 +25,12 @@
 #define STACK ((size_t)512 * 1024)
 #define LAG_HALF_LIFE_S 1.0
 
-typedef struct event {
+typedef struct sim_event {
   double at;
   uint64_t order;
   sim_fn fn;
   void *arg;
-} event;
+} sim_event;
 
 struct fc_routine {
   fcontext_t context;
@@ -52,7 +52,7 @@
 };
 
 static double g_now;
-static uint64_t g_order;
+static uint64_t g_worker_list;
 static GSequence *g_events;
 static GRand *g_rand;
 static GHashTable *g_processes; /* ip -> the newest process there */
@@ -61,16 +61,16 @@
 static sim_process *g_process; /* whose routine or handler runs */
 static GPtrArray *g_spare;
 
-static gint by_time(gconstpointer a, gconstpointer b, gpointer data) {
+static gint compare_events(gconstpointer left, gconstpointer right, gpointer data) {
   (void)data;
-  const event *x = a, *y = b;
-  if (x->at != y->at) return x->at < y->at ? -1 : 1;
-  return x->order < y->order ? -1 : x->order > y->order;
+  const sim_event *first = left, *second = right;
+  if (first->at != second->at) return first->at < second->at ? -1 : 1;
+  return first->order < second->order ? -1 : first->order > second->order;
 }
 
 void sim_init(uint32_t seed) {
   g_now = 100;
-  g_order = 0;
+  g_worker_list = 0;
   g_events = g_sequence_new(g_free);
   g_rand = g_rand_new_with_seed(seed);
   g_random_set_seed(seed);
@@ -92,15 +92,15 @@
 double sim_draw(double least, double most) {
   return g_rand_double_range(g_rand, least, most);
 }
-bool sim_chance(double p) {
-  return g_rand_double(g_rand) < p;
+bool sim_chance(double probability) {
+  return g_rand_double(g_rand) < probability;
 }
 
-void sim_at(double t, sim_fn fn, void *arg) {
+void sim_at(double time, sim_fn fn, void *arg) {
   sim_own_work_begin();
-  event *e = g_new(event, 1);
-  *e = (event){.at = t, .order = g_order++, .fn = fn, .arg = arg};
-  g_sequence_insert_sorted(g_events, e, by_time, NULL);
+  sim_event *event = g_new(sim_event, 1);
+  *event = (sim_event){.at = time, .order = g_worker_list++, .fn = fn, .arg = arg};
+  g_sequence_insert_sorted(g_events, event, compare_events, NULL);
   sim_own_work_end();
 }
 
@@ -108,16 +108,16 @@
   sim_at(g_now + dt, fn, arg);
 }
 
-void sim_run_until(double t) {
+void sim_run_until(double time) {
   while (!g_sequence_is_empty(g_events)) {
     GSequenceIter *first = g_sequence_get_begin_iter(g_events);
-    event e = *(event *)g_sequence_get(first);
-    if (e.at > t) break;
+    sim_event event = *(sim_event *)g_sequence_get(first);
+    if (event.at > time) break;
     g_sequence_remove(first);
-    if (e.at > g_now) g_now = e.at;
-    e.fn(e.arg);
+    if (event.at > g_now) g_now = event.at;
+    event.fn(event.arg);
   }
-  g_now = t;
+  g_now = time;
 }
 
 /* ---- routines ---- */
@@ -170,26 +170,26 @@
   return 0;
 }
 /* As the real one: how late timers were, lately. */
-static double lag_of(const sim_process *p) {
-  return p->lag_s * exp2((p->lag_at - g_now) / LAG_HALF_LIFE_S);
+static double lag_of(const sim_process *process) {
+  return process->lag_s * exp2((process->lag_at - g_now) / LAG_HALF_LIFE_S);
 }
 
 double fc_loop_lag(void) {
   return g_process ? lag_of(g_process) : 0;
 }
 
-static void note_lag(sim_process *p, double late_s) {
-  p->lag_s = MAX(late_s, lag_of(p));
-  p->lag_at = g_now;
+static void note_lag(sim_process *process, double late_s) {
+  process->lag_s = MAX(late_s, lag_of(process));
+  process->lag_at = g_now;
 }
 
 void sim_routine_owes(fc_routine *routine, double cost_s) {
   routine->owed_s += cost_s;
 }
 
-static void entry(transfer_t t) {
-  g_main = t.fctx;
-  fc_routine *routine = t.data;
+static void entry(transfer_t transfer) {
+  g_main = transfer.fctx;
+  fc_routine *routine = transfer.data;
   routine->fn(routine->arg);
   routine->finished = true;
   jump_fcontext(g_main, NULL);
@@ -217,8 +217,8 @@
   sim_process *process_before = g_process;
   g_self = routine;
   g_process = routine->process;
-  transfer_t t = jump_fcontext(routine->context, routine);
-  routine->context = t.fctx;
+  transfer_t transfer = jump_fcontext(routine->context, routine);
+  routine->context = transfer.fctx;
   sim_charge_work(routine->process);
   g_self = self_before;
   g_process = process_before;
@@ -227,26 +227,26 @@
 
 static void turn(void *arg);
 
-static void next_turn(sim_process *p) {
-  if (p->turn_due || g_queue_is_empty(&p->ready)) return;
-  p->turn_due = true;
-  sim_at(MAX(g_now, MAX(p->busy_until, p->still_until)), turn, p);
+static void next_turn(sim_process *process) {
+  if (process->turn_due || g_queue_is_empty(&process->ready)) return;
+  process->turn_due = true;
+  sim_at(MAX(g_now, MAX(process->busy_until, process->still_until)), turn, process);
 }
 
 /* The first that is ready runs once all before it, and what it reads, has been paid for. */
 static void turn(void *arg) {
-  sim_process *p = arg;
-  p->turn_due = false;
-  fc_routine *routine = g_queue_peek_head(&p->ready);
-  if (g_now >= p->busy_until && g_now >= p->still_until && p->alive && routine) {
-    sim_charge(p, routine->owed_s);
+  sim_process *process = arg;
+  process->turn_due = false;
+  fc_routine *routine = g_queue_peek_head(&process->ready);
+  if (g_now >= process->busy_until && g_now >= process->still_until && process->alive && routine) {
+    sim_charge(process, routine->owed_s);
     routine->owed_s = 0;
-    if (p->busy_until <= g_now || routine->dead) {
-      (void)g_queue_pop_head(&p->ready);
+    if (process->busy_until <= g_now || routine->dead) {
+      (void)g_queue_pop_head(&process->ready);
       run(routine);
     }
   }
-  if (p->alive) next_turn(p);
+  if (process->alive) next_turn(process);
 }
 
 static void enqueue(fc_routine *routine) {
@@ -260,12 +260,12 @@
   }
 }
 
-fc_routine *sim_spawn_in(sim_process *p, fc_routine_fn fn, void *arg) {
+fc_routine *sim_spawn_in(sim_process *process, fc_routine_fn fn, void *arg) {
   sim_own_work_begin();
   fc_routine *routine = g_new0(fc_routine, 1);
   routine->fn = fn;
   routine->arg = arg;
-  routine->process = p;
+  routine->process = process;
   if (g_spare->len > 0) {
     routine->stack = g_ptr_array_steal_index_fast(g_spare, g_spare->len - 1);
   } else {
@@ -274,7 +274,7 @@
   }
   ASAN_UNPOISON_MEMORY_REGION(routine->stack, STACK); /* frames of one that was killed */
   routine->context = make_fcontext(routine->stack + STACK, STACK, entry);
-  g_ptr_array_add(p->routines, routine);
+  g_ptr_array_add(process->routines, routine);
   enqueue(routine);
   sim_own_work_end();
   return routine;
@@ -284,20 +284,20 @@
   return sim_spawn_in(g_process, fn, arg);
 }
 
-typedef struct timer {
+typedef struct park_timer {
   fc_routine *routine;
   uint64_t wait;
-} timer;
+} park_timer;
 
 static void on_timer(void *arg) {
-  timer *t = arg;
-  fc_routine *routine = t->routine;
-  if (!routine->dead && routine->parked && routine->waits == t->wait) {
+  park_timer *timer = arg;
+  fc_routine *routine = timer->routine;
+  if (!routine->dead && routine->parked && routine->waits == timer->wait) {
     routine->parked = false;
     routine->reason = FC_WAKE_TIMEOUT;
     enqueue(routine);
   }
-  g_free(t);
+  g_free(timer);
 }
 
 fc_wake fc_routine_park(double deadline) {
@@ -307,11 +307,11 @@
   routine->parked = true;
   routine->reason = FC_WAKE_OK;
   sim_own_work_begin();
-  timer *t = g_new(timer, 1);
-  *t = (timer){.routine = routine, .wait = ++routine->waits};
+  park_timer *timer = g_new(park_timer, 1);
+  *timer = (park_timer){.routine = routine, .wait = ++routine->waits};
   routine->deadline = when;
   if (routine->process->late_s > 0) when += sim_draw(0, routine->process->late_s);
-  sim_at(when, on_timer, t);
+  sim_at(when, on_timer, timer);
   sim_own_work_end();
   transfer_t tr = jump_fcontext(g_main, NULL);
   g_main = tr.fctx;
@@ -332,59 +332,59 @@
   return FC_WAKE_OK;
 }
 
-fc_wake fc_cond_wait(fc_cond *c, double deadline) {
-  struct fc_waiter self = {.routine = g_self, .next = c->first};
-  c->first = &self;
+fc_wake fc_cond_wait(fc_cond *cond, double deadline) {
+  struct fc_waiter self = {.routine = g_self, .next = cond->first};
+  cond->first = &self;
   for (;;) {
-    fc_wake w = fc_routine_park(deadline);
+    fc_wake wake = fc_routine_park(deadline);
     if (self.signalled) return FC_WAKE_OK;
-    if (w == FC_WAKE_OK) continue;
-    for (struct fc_waiter **p = &c->first; *p; p = &(*p)->next) {
-      if (*p != &self) continue;
-      *p = self.next;
+    if (wake == FC_WAKE_OK) continue;
+    for (struct fc_waiter **link = &cond->first; *link; link = &(*link)->next) {
+      if (*link != &self) continue;
+      *link = self.next;
       break;
     }
-    return w;
+    return wake;
   }
 }
 
-void fc_cond_broadcast(fc_cond *c) {
-  struct fc_waiter *w = c->first;
-  c->first = NULL;
-  while (w) {
-    struct fc_waiter *next = w->next;
-    w->signalled = true;
-    fc_routine_wake(w->routine);
-    w = next;
+void fc_cond_broadcast(fc_cond *cond) {
+  struct fc_waiter *waiter = cond->first;
+  cond->first = NULL;
+  while (waiter) {
+    struct fc_waiter *next = waiter->next;
+    waiter->signalled = true;
+    fc_routine_wake(waiter->routine);
+    waiter = next;
   }
 }
 
 /* ---- processes ---- */
 
 void sim_process_start(uint32_t ip, sim_fn fn, void *arg) {
-  sim_process *p = g_new0(sim_process, 1);
-  p->ip = ip;
-  p->alive = true;
-  p->routines = g_ptr_array_new();
-  g_queue_init(&p->ready);
-  sim_load_apply(p);
-  g_hash_table_insert(g_processes, GUINT_TO_POINTER(ip), p);
+  sim_process *process = g_new0(sim_process, 1);
+  process->ip = ip;
+  process->alive = true;
+  process->routines = g_ptr_array_new();
+  g_queue_init(&process->ready);
+  sim_load_apply(process);
+  g_hash_table_insert(g_processes, GUINT_TO_POINTER(ip), process);
   sim_process *before = g_process;
-  g_process = p;
+  g_process = process;
   fn(arg);
   g_process = before;
 }
 
 void sim_process_kill(uint32_t ip) {
-  sim_process *p = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
-  if (!p || !p->alive) return;
-  p->alive = false;
-  while (p->routines->len > 0) release(p->routines->pdata[0]);
+  sim_process *process = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
+  if (!process || !process->alive) return;
+  process->alive = false;
+  while (process->routines->len > 0) release(process->routines->pdata[0]);
 }
 
 void sim_process_still(uint32_t ip, double for_s) {
-  sim_process *p = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
-  if (p) p->still_until = g_now + for_s;
+  sim_process *process = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
+  if (process) process->still_until = g_now + for_s;
 }
 
 sim_process *sim_process_here(void) {
@@ -392,8 +392,8 @@
 }
 
 size_t sim_process_routines(uint32_t ip) {
-  const sim_process *p = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
-  return p ? p->routines->len : 0;
+  const sim_process *process = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
+  return process ? process->routines->len : 0;
 }
 
 uint32_t sim_here(void) {
@@ -401,6 +401,6 @@
 }
 
 bool sim_process_alive(uint32_t ip) {
-  sim_process *p = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
-  return p && p->alive;
+  sim_process *process = g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
+  return process && process->alive;
 }
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -42,16 +42,16 @@
 
 /* ---- exchanges ---- */
 
-typedef struct server {
+typedef struct sim_server {
   fc_http_handler handler;
   void *arg;
   sim_process *process;
-} server;
+} sim_server;
 
-typedef struct stub {
+typedef struct sim_stub {
   sim_server_fn fn;
   void *arg;
-} stub;
+} sim_stub;
 
 typedef struct sim_exchange {
   uint32_t from, to;
@@ -78,30 +78,30 @@
 }
 
 static void deliver_reply(void *arg) {
-  sim_exchange *x = arg;
-  if (x->given_up) return;
-  x->answered = true;
-  if (x->waiter) {
-    sim_routine_owes(x->waiter, sim_message_cost(strlen(x->reply)));
-    fc_routine_wake(x->waiter);
-  } else if (x->fn) {
-    sim_reply_fn fn = x->fn;
-    x->fn = NULL;
-    g_retry_after_s = x->retry_after_s;
-    fn(x->status, x->reply, x->fn_arg);
+  sim_exchange *exchange = arg;
+  if (exchange->given_up) return;
+  exchange->answered = true;
+  if (exchange->waiter) {
+    sim_routine_owes(exchange->waiter, sim_message_cost(strlen(exchange->reply)));
+    fc_routine_wake(exchange->waiter);
+  } else if (exchange->fn) {
+    sim_reply_fn fn = exchange->fn;
+    exchange->fn = NULL;
+    g_retry_after_s = exchange->retry_after_s;
+    fn(exchange->status, exchange->reply, exchange->fn_arg);
     g_retry_after_s = 0;
   }
 }
 
 static void reply_when_clear(void *arg) {
-  sim_exchange *x = arg;
-  sim_link l = sim_link_now(x->to, x->from);
-  if (l == SIM_RESET) return;
-  if (l == SIM_HELD) {
-    sim_after(0.25, reply_when_clear, x);
+  sim_exchange *exchange = arg;
+  sim_link link = sim_link_now(exchange->to, exchange->from);
+  if (link == SIM_RESET) return;
+  if (link == SIM_HELD) {
+    sim_after(0.25, reply_when_clear, exchange);
     return;
   }
-  deliver_reply(x);
+  deliver_reply(exchange);
 }
 
 /* The process that runs now, if it is the one at the address; else NULL. */
@@ -110,76 +110,77 @@
   return here && here->ip == ip ? here : NULL;
 }
 
-void sim_answer(sim_exchange *x, int status, const char *body) {
-  if (x->reply) return;
-  x->status = status;
+void sim_answer(sim_exchange *exchange, int status, const char *body) {
+  if (exchange->reply) return;
+  exchange->status = status;
   sim_own_work_begin();
-  x->reply = g_strdup(body);
+  exchange->reply = g_strdup(body);
   sim_own_work_end();
-  size_t bytes = strlen(x->reply) + SIM_HTTP_HEAD_BYTES;
-  sim_count_message(x->to, x->from, bytes);
-  sim_process *sender = sender_at(x->to);
+  size_t bytes = strlen(exchange->reply) + SIM_HTTP_HEAD_BYTES;
+  sim_count_message(exchange->to, exchange->from, bytes);
+  sim_process *sender = sender_at(exchange->to);
   sim_charge(sender, sim_message_cost(bytes));
   if (sim_chance(g_lose_reply)) return;
-  sim_after(sim_draw(0.0003, 0.004) + sim_slowness() + sim_departs_in(sender), reply_when_clear, x);
+  sim_after(sim_draw(0.0003, 0.004) + sim_slowness() + sim_departs_in(sender), reply_when_clear, exchange);
 }
 
 static void handler_main(void *arg) {
-  sim_exchange *x = arg;
-  char *key = sim_place_key(x->to, x->port);
-  server *s = g_hash_table_lookup(g_servers, key);
+  sim_exchange *exchange = arg;
+  char *key = sim_place_key(exchange->to, exchange->port);
+  sim_server *server = g_hash_table_lookup(g_servers, key);
   g_free(key);
-  if (!s) return;
-  char *path = g_strdup(x->path);
+  if (!server) return;
+  char *path = g_strdup(exchange->path);
   char *query = strchr(path, '?');
   if (query) *query++ = '\0';
-  fc_http_request req = {.method = x->method,
+  fc_http_request req = {.method = exchange->method,
                          .path = path,
                          .query = query ? query : "",
-                         .body = x->body,
-                         .body_len = strlen(x->body),
-                         .connection = x->connection};
+                         .body = exchange->body,
+                         .body_len = strlen(exchange->body),
+                         .connection = exchange->connection};
   fc_http_response res = {.status = 500, .body = g_string_new(NULL)};
-  s->handler(&req, &res, s->arg);
-  x->retry_after_s = res.retry_after_s;
-  sim_answer(x, res.status, res.body->str);
+  server->handler(&req, &res, server->arg);
+  exchange->retry_after_s = res.retry_after_s;
+  sim_answer(exchange, res.status, res.body->str);
   g_string_free(res.body, TRUE);
   g_free(path);
 }
 
 static void deliver_request(void *arg) {
-  sim_exchange *x = arg;
-  sim_link l = sim_link_now(x->from, x->to);
-  if (l == SIM_RESET) return;
-  if (l == SIM_HELD) {
-    sim_after(0.25, deliver_request, x); /* delivered late, even when given up */
+  sim_exchange *exchange = arg;
+  sim_link link = sim_link_now(exchange->from, exchange->to);
+  if (link == SIM_RESET) return;
+  if (link == SIM_HELD) {
+    sim_after(0.25, deliver_request, exchange); /* delivered late, even when given up */
     return;
   }
-  stub *st = g_hash_table_lookup(g_stubs, GUINT_TO_POINTER(x->to));
-  if (st) {
-    sim_request r = {.method = x->method, .path = x->path, .body = x->body, .exchange = x};
-    st->fn(&r, st->arg);
+  sim_stub *stub = g_hash_table_lookup(g_stubs, GUINT_TO_POINTER(exchange->to));
+  if (stub) {
+    sim_request request = {
+        .method = exchange->method, .path = exchange->path, .body = exchange->body, .exchange = exchange};
+    stub->fn(&request, stub->arg);
     return;
   }
-  char *key = sim_place_key(x->to, x->port);
-  server *s = g_hash_table_lookup(g_servers, key);
+  char *key = sim_place_key(exchange->to, exchange->port);
+  sim_server *server = g_hash_table_lookup(g_servers, key);
   g_free(key);
-  if (!s || !s->process->alive) return;
-  size_t bytes = strlen(x->path) + strlen(x->body) + SIM_HTTP_HEAD_BYTES;
-  sim_count_message(x->from, x->to, bytes);
-  sim_routine_owes(sim_spawn_in(s->process, handler_main, x), sim_message_cost(bytes));
+  if (!server || !server->process->alive) return;
+  size_t bytes = strlen(exchange->path) + strlen(exchange->body) + SIM_HTTP_HEAD_BYTES;
+  sim_count_message(exchange->from, exchange->to, bytes);
+  sim_routine_owes(sim_spawn_in(server->process, handler_main, exchange), sim_message_cost(bytes));
 }
 
 static sim_exchange *send_request(uint32_t from, uint32_t to, uint16_t port, const char *method, const char *path,
                                   const char *body, size_t len) {
   sim_own_work_begin();
-  sim_exchange *x = g_new0(sim_exchange, 1);
-  x->from = from;
-  x->to = to;
-  x->port = port;
-  x->method = g_strdup(method);
-  x->path = g_strdup(path);
-  x->body = body ? g_strndup(body, len) : g_strdup("");
+  sim_exchange *exchange = g_new0(sim_exchange, 1);
+  exchange->from = from;
+  exchange->to = to;
+  exchange->port = port;
+  exchange->method = g_strdup(method);
+  exchange->path = g_strdup(path);
+  exchange->body = body ? g_strndup(body, len) : g_strdup("");
   sim_own_work_end();
   sim_process *sender = sender_at(from);
   if (sender) {
@@ -190,26 +191,26 @@
   if (!sim_chance(g_lose_request)) {
     /* Now and then slow, and now and then so late that the sender has given up
      * long ago: it is carried out all the same. */
-    double k = g_lose_request > 0 ? sim_draw(0, 1) : 1; /* a good network */
-    double delay = k < 0.006 ? sim_draw(1, 40) : k < 0.016 ? sim_draw(0.1, 0.5) : sim_draw(0.0003, 0.004);
-    sim_after(delay + sim_slowness() + sim_departs_in(sender), deliver_request, x);
+    double choice = g_lose_request > 0 ? sim_draw(0, 1) : 1; /* a good network */
+    double delay = choice < 0.006 ? sim_draw(1, 40) : choice < 0.016 ? sim_draw(0.1, 0.5) : sim_draw(0.0003, 0.004);
+    sim_after(delay + sim_slowness() + sim_departs_in(sender), deliver_request, exchange);
   }
-  return x;
+  return exchange;
 }
 
 void sim_serve(uint32_t ip, sim_server_fn fn, void *arg) {
-  stub *s = g_new(stub, 1);
-  *s = (stub){fn, arg};
-  g_hash_table_insert(g_stubs, GUINT_TO_POINTER(ip), s);
+  sim_stub *stub = g_new(sim_stub, 1);
+  *stub = (sim_stub){fn, arg};
+  g_hash_table_insert(g_stubs, GUINT_TO_POINTER(ip), stub);
 }
 
 static void call_timeout(void *arg) {
-  sim_exchange *x = arg;
-  if (x->answered || x->given_up) return;
-  x->given_up = true;
-  sim_reply_fn fn = x->fn;
-  x->fn = NULL;
-  if (fn) fn(0, "", x->fn_arg);
+  sim_exchange *exchange = arg;
+  if (exchange->answered || exchange->given_up) return;
+  exchange->given_up = true;
+  sim_reply_fn fn = exchange->fn;
+  exchange->fn = NULL;
+  if (fn) fn(0, "", exchange->fn_arg);
 }
 
 uint64_t sim_connection(void) {
@@ -219,19 +220,19 @@
 
 void sim_call_on(uint64_t connection, uint32_t from, uint32_t to, const char *path, const char *body, double timeout,
                  sim_reply_fn fn, void *arg) {
-  sim_exchange *x = send_request(from, to, 8080, "POST", path, body, strlen(body));
-  x->connection = connection;
-  x->fn = fn;
-  x->fn_arg = arg;
-  sim_after(timeout, call_timeout, x);
+  sim_exchange *exchange = send_request(from, to, 8080, "POST", path, body, strlen(body));
+  exchange->connection = connection;
+  exchange->fn = fn;
+  exchange->fn_arg = arg;
+  sim_after(timeout, call_timeout, exchange);
 }
 
 void sim_call(uint32_t from, uint32_t to, const char *method, const char *path, const char *body, double timeout,
               sim_reply_fn fn, void *arg) {
-  sim_exchange *x = send_request(from, to, 8080, method, path, body, body ? strlen(body) : 0);
-  x->fn = fn;
-  x->fn_arg = arg;
-  sim_after(timeout, call_timeout, x);
+  sim_exchange *exchange = send_request(from, to, 8080, method, path, body, body ? strlen(body) : 0);
+  exchange->fn = fn;
+  exchange->fn_arg = arg;
+  sim_after(timeout, call_timeout, exchange);
 }
 
 /* ---- http.h ---- */
@@ -262,19 +263,19 @@
     reply->unsent = true;
     return false;
   }
-  sim_exchange *x = send_request(sim_here(), to, client->to.port, method, path, body, body_len);
-  x->waiter = fc_routine_self();
-  while (!x->answered)
+  sim_exchange *exchange = send_request(sim_here(), to, client->to.port, method, path, body, body_len);
+  exchange->waiter = fc_routine_self();
+  while (!exchange->answered)
     if (fc_routine_park(deadline) == FC_WAKE_TIMEOUT) break;
-  x->waiter = NULL;
-  if (!x->answered) {
-    x->given_up = true;
+  exchange->waiter = NULL;
+  if (!exchange->answered) {
+    exchange->given_up = true;
     /* Where the request was lost nothing holds the exchange any more; none is freed. */
     return false;  // NOLINT(clang-analyzer-unix.Malloc): exchanges live as long as the scene
   }
-  reply->status = x->status;
-  reply->retry_after_s = x->retry_after_s;
-  g_string_assign(reply->body, x->reply);
+  reply->status = exchange->status;
+  reply->retry_after_s = exchange->retry_after_s;
+  g_string_assign(reply->body, exchange->reply);
   return true;
 }
 
@@ -285,9 +286,9 @@
 
 bool fc_http_serve(const fc_endpoint *where, const fc_http_server_options *opt, fc_http_handler handler, void *arg) {
   (void)opt;
-  server *s = g_new0(server, 1);
-  *s = (server){.handler = handler, .arg = arg, .process = sim_process_here()};
-  g_hash_table_replace(g_servers, sim_place_key(ntohl(where->ip), where->port), s);
+  sim_server *server = g_new0(sim_server, 1);
+  *server = (sim_server){.handler = handler, .arg = arg, .process = sim_process_here()};
+  g_hash_table_replace(g_servers, sim_place_key(ntohl(where->ip), where->port), server);
   return true;
 }
 
--- a/tests/sim/troubles.c
+++ b/tests/sim/incidents.c
@@ -1,6 +1,6 @@
 /* Days whose troubles meet: each draws one, two or three of them that begin within
  * seconds of each other. */
-#include "parts.h"
+#include "stand_ins.h"
 
 #define NEAR_S 4.0       /* troubles that meet begin within */
 #define TERM_CHANGES 10u /* in two minutes */
@@ -9,9 +9,9 @@
 
 /* For less than a worker's lease, for more, for more than a cancellation may take. */
 static double length(void) {
-  double k = sim_draw(0, 1);
-  if (k < 0.4) return sim_draw(1, LEASE_S * 0.8);
-  return k < 0.75 ? sim_draw(LEASE_S, LEASE_S * 2) : sim_draw(CANCEL_S, CANCEL_S * 1.4);
+  double choice = sim_draw(0, 1);
+  if (choice < 0.4) return sim_draw(1, LEASE_S * 0.8);
+  return choice < 0.75 ? sim_draw(LEASE_S, LEASE_S * 2) : sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4);
 }
 
 static unsigned any_node(void) {
@@ -20,7 +20,7 @@
 
 /* One, a few neighbours, or now and then all. */
 static void some_machines(unsigned *from, unsigned *to) {
-  unsigned all = g_order->len;
+  unsigned all = g_worker_list->len;
   *from = 0;
   *to = all;
   if (all == 0 || sim_chance(0.15)) return;
@@ -56,26 +56,26 @@
 }
 
 static void cancel_burst(void) {
-  users_cancel_some((unsigned)sim_draw(1, 5), 0.2, 0);
+  users_cancel_running((unsigned)sim_draw(1, 5), 0.2, 0);
 }
 
 /* Their machines hang for seconds, or until their leases are long over. */
 static void cancel_burst_hang(void) {
-  users_cancel_some((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : length());
+  users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : length());
 }
 
 static void outage(void *arg) {
   (void)arg;
-  world_state_down(sim_draw(CANCEL_S, CANCEL_S * 1.4));
+  world_state_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
 /* One is refused alone, users cancel, and a moment later nobody is served. */
 static void refused_then_outage(void) {
-  world_refuse(any_node(), sim_draw(2, CANCEL_S * 1.4));
+  world_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
   while (at < in_s) {
-    users_cancel_later(1 + sim_chance(0.5), at);
+    users_cancel_running_in(1 + sim_chance(0.5), at);
     at += sim_draw(0.1, 1);
   }
   sim_after(in_s, outage, NULL);
@@ -83,7 +83,7 @@
 
 static void refused(void) {
   world_refuse(any_node(), length());
-  if (sim_chance(0.5)) users_cancel_later(2, sim_draw(0, NEAR_S));
+  if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, NEAR_S));
 }
 
 static void cancel_at_end_over(void *arg) {
@@ -98,20 +98,20 @@
 
 /* One controller and one worker, packets held; now and then it has just cancelled tasks. */
 static void cut_pair(void) {
-  if (g_order->len == 0) return;
-  unsigned node = any_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_order->len);
+  if (g_worker_list->len == 0) return;
+  unsigned node = any_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
   world_cut_pair(node, at, length(), sim_chance(0.8) ? SIM_HELD : SIM_RESET);
-  if (sim_chance(0.6)) users_cancel_on(at, 2, sim_draw(0, NEAR_S));
+  if (sim_chance(0.6)) users_cancel_on_machine_in(at, 2, sim_draw(0, NEAR_S));
 }
 
 /* A controller is lost in one way or another: its part goes to the others. */
 static void lose_one(void) {
-  double k = sim_draw(0, 5);
-  if (k < 2) {
+  double choice = sim_draw(0, 5);
+  if (choice < 2) {
     world_crash(any_node(), sim_chance(0.3) ? sim_draw(0.05, 0.9) : sim_draw(2, 6));
-  } else if (k < 3) {
+  } else if (choice < 3) {
     world_alone(any_node(), sim_draw(5, 11));
-  } else if (k < 4) {
+  } else if (choice < 4) {
     world_refuse(any_node(), sim_draw(5, 11));
   } else {
     world_still(any_node(), sim_draw(5, 11));
@@ -135,8 +135,8 @@
 } crash_later;
 
 static void crash_now(void *arg) {
-  const crash_later *c = arg;
-  world_crash(c->node, c->back_in_s);
+  const crash_later *planned = arg;
+  world_crash(planned->node, planned->back_in_s);
   g_free(arg);
 }
 
@@ -144,25 +144,25 @@
 static void reports_held(void) {
   unsigned node = any_node(), from, to;
   some_machines(&from, &to);
-  crash_later *c = g_new(crash_later, 1);
-  *c = (crash_later){node, sim_draw(0.1, LEASE_S * 1.5)};
+  crash_later *planned = g_new(crash_later, 1);
+  *planned = (crash_later){node, sim_draw(0.1, LEASE_S * 1.5)};
   double crash_in = sim_draw(0.1, 2);
-  sim_after(crash_in, crash_now, c);
+  sim_after(crash_in, crash_now, planned);
   for (unsigned i = from; i < to; i++) {
-    const worker *w = g_order->pdata[i];
-    if (!w->up || w->gone) continue;
-    for (unsigned n = 0; n < WORLD_NODES; n++) world_report_later(i, n, crash_in + sim_draw(0.5, LEASE_S));
+    const sim_worker *worker = g_worker_list->pdata[i];
+    if (!worker->up || worker->terminated) continue;
+    for (unsigned node = 0; node < WORLD_NODES; node++) world_report_later(i, node, crash_in + sim_draw(0.5, LEASE_S));
   }
 }
 
 static void odd_requests(void) {
-  users_odd(sim_now() + length());
+  users_send_invalid(sim_now() + length());
 }
 
 /* With nobody but its workers and its users, and jobs are cancelled through the others. */
 static void alone(void) {
   world_alone(any_node(), length());
-  users_cancel_later(2, sim_draw(0, 12));
+  users_cancel_running_in(2, sim_draw(0, 12));
 }
 
 /* All away, one of them back within a second or all of them late. */
@@ -213,11 +213,11 @@
 };
 
 static void begin(void *arg) {
-  unsigned i = GPOINTER_TO_UINT(arg);
+  unsigned which = GPOINTER_TO_UINT(arg);
   if (sim_now() > g_end) return;
   g_result.faults++;
-  if (g_verbose) g_printerr("%.2f trouble: %s\n", sim_now(), k_troubles[i].name);
-  k_troubles[i].begin();
+  if (g_verbose) g_printerr("%.2f trouble: %s\n", sim_now(), k_troubles[which].name);
+  k_troubles[which].begin();
 }
 
 static void meet(void *arg) {
@@ -231,22 +231,22 @@
   sim_after(sim_draw(4, 40), meet, NULL);
 }
 
-void troubles_vary(job *j) {
-  bool sweep = strcmp(j->kind, "sweep") == 0, gang = strcmp(j->kind, "gang") == 0;
+void incidents_vary_job(sim_job *job) {
+  bool sweep = strcmp(job->kind, "sweep") == 0, gang = strcmp(job->kind, "gang") == 0;
   /* What meets it finds it with long to go. Not the widest gangs: four of a thousand
    * days had more work for the limited team than there was time. */
-  bool longer = j->gpus < 2 && sim_chance(0.3);
-  if (longer) j->run_s *= 3;
-  if (sim_chance(0.15)) j->zone = world_zones[g_rand_int_range(sim_rand(), 0, 2)];
-  if (j->zone) j->spread = false;
-  if (sweep && sim_chance(0.2)) j->one_zone = true;
-  if (sweep && !longer && sim_chance(0.2)) j->tasks += 12; /* in several virtual jobs */
-  if (gang && j->gpus < 2 && sim_chance(0.2)) j->tasks += 4;
+  bool longer = job->gpus < 2 && sim_chance(0.3);
+  if (longer) job->run_s *= 3;
+  if (sim_chance(0.15)) job->zone = world_zones[g_rand_int_range(sim_rand(), 0, 2)];
+  if (job->zone) job->spread = false;
+  if (sweep && sim_chance(0.2)) job->one_zone = true;
+  if (sweep && !longer && sim_chance(0.2)) job->tasks += 12; /* in several virtual jobs */
+  if (gang && job->gpus < 2 && sim_chance(0.2)) job->tasks += 4;
 }
 
-double troubles_start(double end) {
+double incidents_start(double end) {
   g_end = end;
   sim_after(sim_draw(8, 20), meet, NULL);
   /* The longest, with what is still held then. */
-  return end + NEAR_S + CANCEL_S * 1.6;
+  return end + NEAR_S + CANCEL_DEADLINE_S * 1.6;
 }
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -32,14 +32,14 @@
 }
 
 static sim_load *load_of(uint32_t ip) {
-  sim_load *l = g_hash_table_lookup(g_loads, GUINT_TO_POINTER(ip));
-  if (!l) {
+  sim_load *load = g_hash_table_lookup(g_loads, GUINT_TO_POINTER(ip));
+  if (!load) {
     g_own_work++;
-    l = g_new0(sim_load, 1);
-    g_hash_table_insert(g_loads, GUINT_TO_POINTER(ip), l);
+    load = g_new0(sim_load, 1);
+    g_hash_table_insert(g_loads, GUINT_TO_POINTER(ip), load);
     g_own_work--;
   }
-  return l;
+  return load;
 }
 
 sim_load sim_load_of(uint32_t ip) {
@@ -50,53 +50,53 @@
   return k_costs.message_s + k_costs.byte_s * (double)bytes;
 }
 
-void sim_charge(sim_process *p, double cost_s) {
-  if (!p || p->share <= 0) return;
-  load_of(p->ip)->busy_s += cost_s;
-  p->busy_until = MAX(p->busy_until, sim_now()) + cost_s / p->share;
+void sim_charge(sim_process *process, double cost_s) {
+  if (!process || process->share <= 0) return;
+  load_of(process->ip)->busy_s += cost_s;
+  process->busy_until = MAX(process->busy_until, sim_now()) + cost_s / process->share;
 }
 
-void sim_charge_wake(sim_process *p) {
-  load_of(p->ip)->wakes++;
-  sim_charge(p, k_costs.wake_s);
+void sim_charge_wake(sim_process *process) {
+  load_of(process->ip)->wakes++;
+  sim_charge(process, k_costs.wake_s);
 }
 
-void sim_charge_work(sim_process *p) {
-  if (g_work && p->share > 0) sim_charge(p, g_work(p->ip));
+void sim_charge_work(sim_process *process) {
+  if (g_work && process->share > 0) sim_charge(process, g_work(process->ip));
 }
 
-double sim_departs_in(const sim_process *p) {
-  return p && p->share > 0 ? MAX(0, p->busy_until - sim_now()) : 0;
+double sim_departs_in(const sim_process *process) {
+  return process && process->share > 0 ? MAX(0, process->busy_until - sim_now()) : 0;
 }
 
 static sim_traffic *traffic(uint32_t ip, uint32_t other, bool sent) {
-  sim_load *l = load_of(ip);
+  sim_load *load = load_of(ip);
   bool peer = other >> 16 == ip >> 16; /* the other controllers are in its network */
-  bool worker = other >> 16 == (10u << 8 | 1);
-  sim_way *w = peer ? &l->peers : worker ? &l->workers : &l->others;
-  return sent ? &w->sent : &w->got;
+  bool sim_worker = other >> 16 == (10u << 8 | 1);
+  sim_way *way = peer ? &load->peers : sim_worker ? &load->workers : &load->others;
+  return sent ? &way->sent : &way->got;
 }
 
 void sim_count_message(uint32_t from, uint32_t to, size_t bytes) {
-  sim_traffic *t[] = {traffic(from, to, true), traffic(to, from, false)};
-  for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
-    t[i]->messages++;
-    t[i]->bytes += bytes;
+  sim_traffic *ways[] = {traffic(from, to, true), traffic(to, from, false)};
+  for (size_t i = 0; i < G_N_ELEMENTS(ways); i++) {
+    ways[i]->messages++;
+    ways[i]->bytes += bytes;
   }
 }
 
 /* From its next start on. */
 void sim_process_share(uint32_t ip, double of_processor, double late_s) {
-  share *s = g_new(share, 1);
-  *s = (share){of_processor, late_s};
-  g_hash_table_insert(g_shares, GUINT_TO_POINTER(ip), s);
+  share *settings = g_new(share, 1);
+  *settings = (share){of_processor, late_s};
+  g_hash_table_insert(g_shares, GUINT_TO_POINTER(ip), settings);
 }
 
-void sim_load_apply(sim_process *p) {
-  const share *s = g_hash_table_lookup(g_shares, GUINT_TO_POINTER(p->ip));
-  if (!s) return;
-  p->share = s->of_processor;
-  p->late_s = s->late_s;
+void sim_load_apply(sim_process *process) {
+  const share *settings = g_hash_table_lookup(g_shares, GUINT_TO_POINTER(process->ip));
+  if (!settings) return;
+  process->share = settings->of_processor;
+  process->late_s = settings->late_s;
 }
 
 void sim_set_work(sim_work_fn fn) {
--- a/tests/sim/requests.c
+++ b/tests/sim/requests.c
@@ -7,29 +7,29 @@
 #define PATIENCE_S 8.0 /* longer than any user has */
 
 static void on_reply(int status, const char *body, void *arg) {
-  world_reply *r = arg;
-  r->status = status;
-  r->retry_after = sim_retry_after();
-  g_strlcpy(r->body, body, sizeof r->body);
-  r->took = sim_now() - r->took;
-  r->came = true;
+  world_reply *reply = arg;
+  reply->status = status;
+  reply->retry_after = sim_retry_after();
+  g_strlcpy(reply->body, body, sizeof reply->body);
+  reply->took = sim_now() - reply->took;
+  reply->came = true;
 }
 
-void world_send_to(world_reply *r, uint32_t ip, const char *method, const char *path, const char *body) {
-  memset(r, 0, sizeof *r);
-  r->took = sim_now();
-  sim_call(WORLD_USER_IP, ip, method, path, body, PATIENCE_S, on_reply, r);
+void world_send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body) {
+  memset(reply, 0, sizeof *reply);
+  reply->took = sim_now();
+  sim_call(WORLD_USER_IP, ip, method, path, body, PATIENCE_S, on_reply, reply);
 }
 
-void world_send(world_reply *r, unsigned node, const char *method, const char *path, const char *body) {
-  world_send_to(r, WORLD_NODE_IP(node), method, path, body);
+void world_send(world_reply *reply, unsigned node, const char *method, const char *path, const char *body) {
+  world_send_to(reply, WORLD_NODE_IP(node), method, path, body);
 }
 
 world_reply world_request_to(uint32_t ip, const char *method, const char *path, const char *body) {
-  static world_reply r;
-  world_send_to(&r, ip, method, path, body);
-  while (!r.came) sim_run_until(sim_now() + 0.01);
-  return r;
+  static world_reply reply;
+  world_send_to(&reply, ip, method, path, body);
+  while (!reply.came) sim_run_until(sim_now() + 0.01);
+  return reply;
 }
 
 world_reply world_request(unsigned node, const char *method, const char *path, const char *body) {
--- a/tests/sim/requests.h
+++ b/tests/sim/requests.h
@@ -14,9 +14,9 @@
 } world_reply;
 
 /* Sends a request to the address; *r, which has to live until it has come, gets the answer. */
-void world_send_to(world_reply *r, uint32_t ip, const char *method, const char *path, const char *body);
+void world_send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body);
 /* To a controller's address for users. */
-void world_send(world_reply *r, unsigned node, const char *method, const char *path, const char *body);
+void world_send(world_reply *reply, unsigned node, const char *method, const char *path, const char *body);
 /* Sends it and plays on until the answer has come. */
 world_reply world_request_to(uint32_t ip, const char *method, const char *path, const char *body);
 world_reply world_request(unsigned node, const char *method, const char *path, const char *body);
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -24,11 +24,11 @@
   double unpaid_s; /* for what has come and nobody has read yet */
 };
 
-typedef struct listener {
+typedef struct sim_listener {
   fc_conn_fn fn;
   void *arg;
   sim_process *process;
-} listener;
+} sim_listener;
 
 bool fc_endpoint_parse(const char *text, fc_endpoint *out) {
   const char *colon = strrchr(text, ':');
@@ -42,10 +42,10 @@
   return ok;
 }
 
-static fc_conn *conn_new(sim_process *p, uint32_t local, uint32_t remote) {
+static fc_conn *conn_new(sim_process *process, uint32_t local, uint32_t remote) {
   sim_own_work_begin();
   fc_conn *conn = g_new0(fc_conn, 1);
-  conn->process = p;
+  conn->process = process;
   conn->local = local;
   conn->remote = remote;
   conn->inbox = g_byte_array_new();
@@ -54,50 +54,50 @@
   return conn;
 }
 
-typedef struct accepted {
-  listener *l;
+typedef struct accepted_conn {
+  sim_listener *link;
   fc_conn *conn;
-} accepted;
+} accepted_conn;
 
 static void accepted_main(void *arg) {
-  accepted a = *(accepted *)arg;
+  accepted_conn accepted = *(accepted_conn *)arg;
   g_free(arg);
-  a.l->fn(a.conn, a.l->arg);
-  fc_conn_close(a.conn);
+  accepted.link->fn(accepted.conn, accepted.link->arg);
+  fc_conn_close(accepted.conn);
 }
 
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline) {
   uint32_t ip = ntohl(to->ip);
   char *key = sim_place_key(ip, to->port);
-  listener *l = g_hash_table_lookup(g_listeners, key);
+  sim_listener *listener = g_hash_table_lookup(g_listeners, key);
   g_free(key);
   (void)fc_routine_sleep(0.001);
-  if (!l || !l->process->alive || sim_link_now(sim_here(), ip) != SIM_CLEAR) {
+  if (!listener || !listener->process->alive || sim_link_now(sim_here(), ip) != SIM_CLEAR) {
     while (fc_routine_park(deadline) == FC_WAKE_OK) {
     }
     return NULL;
   }
   fc_conn *mine = conn_new(sim_process_here(), sim_here(), ip);
-  fc_conn *theirs = conn_new(l->process, ip, sim_here());
+  fc_conn *theirs = conn_new(listener->process, ip, sim_here());
   mine->other = theirs;
   theirs->other = mine;
-  accepted *a = g_new(accepted, 1);
-  *a = (accepted){l, theirs};
-  (void)sim_spawn_in(l->process, accepted_main, a);
+  accepted_conn *accepted = g_new(accepted_conn, 1);
+  *accepted = (accepted_conn){listener, theirs};
+  (void)sim_spawn_in(listener->process, accepted_main, accepted);
   return mine;
 }
 
-typedef struct segment {
+typedef struct sim_segment {
   GByteArray *data;
   double when;
   bool end;
-} segment;
+} sim_segment;
 
 /* Delivers in order what may arrive by now. */
-static void deliver(fc_conn *conn, const segment *s, sim_link l) {
-  if (s->end || l == SIM_RESET) conn->other = NULL;
-  if (!s->end && l == SIM_CLEAR) g_byte_array_append(conn->inbox, s->data->data, s->data->len);
-  conn->unpaid_s += sim_message_cost(s->data->len);
+static void deliver(fc_conn *conn, const sim_segment *segment, sim_link link) {
+  if (segment->end || link == SIM_RESET) conn->other = NULL;
+  if (!segment->end && link == SIM_CLEAR) g_byte_array_append(conn->inbox, segment->data->data, segment->data->len);
+  conn->unpaid_s += sim_message_cost(segment->data->len);
   if (!conn->waiter) return;
   sim_routine_owes(conn->waiter, conn->unpaid_s);
   conn->unpaid_s = 0;
@@ -106,50 +106,50 @@
 
 static void pump(void *arg) {
   fc_conn *conn = arg;
-  segment *s;
-  while ((s = g_queue_peek_head(&conn->arriving)) && s->when <= sim_now()) {
-    sim_link l = sim_link_now(conn->remote, conn->local);
-    if (l == SIM_HELD) {
+  sim_segment *segment;
+  while ((segment = g_queue_peek_head(&conn->arriving)) && segment->when <= sim_now()) {
+    sim_link link = sim_link_now(conn->remote, conn->local);
+    if (link == SIM_HELD) {
       sim_after(0.25, pump, conn);
       return;
     }
     (void)g_queue_pop_head(&conn->arriving);
-    if (!conn->closed && conn->process->alive) deliver(conn, s, l);
-    g_byte_array_free(s->data, TRUE);
-    g_free(s);
+    if (!conn->closed && conn->process->alive) deliver(conn, segment, link);
+    g_byte_array_free(segment->data, TRUE);
+    g_free(segment);
   }
 }
 
-static void send_segment(fc_conn *from, const void *buf, size_t n, bool end) {
+static void send_segment(fc_conn *from, const void *buf, size_t size, bool end) {
   if (!from->other) return;
   sim_own_work_begin();
-  segment *s = g_new0(segment, 1);
-  s->end = end;
-  s->data = g_byte_array_new();
-  g_byte_array_append(s->data, buf, (guint)n);
-  sim_count_message(from->local, from->remote, n);
-  sim_charge(from->process, sim_message_cost(n));
+  sim_segment *segment = g_new0(sim_segment, 1);
+  segment->end = end;
+  segment->data = g_byte_array_new();
+  g_byte_array_append(segment->data, buf, (guint)size);
+  sim_count_message(from->local, from->remote, size);
+  sim_charge(from->process, sim_message_cost(size));
   double leaves = sim_now() + sim_departs_in(from->process);
-  s->when = from->clear_at = MAX(leaves + sim_draw(0.0003, 0.003) + sim_slowness(), from->clear_at);
-  g_queue_push_tail(&from->other->arriving, s);
-  sim_at(s->when, pump, from->other);
+  segment->when = from->clear_at = MAX(leaves + sim_draw(0.0003, 0.003) + sim_slowness(), from->clear_at);
+  g_queue_push_tail(&from->other->arriving, segment);
+  sim_at(segment->when, pump, from->other);
   sim_own_work_end();
 }
 
-ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t size, double deadline) {
+ssize_t fc_conn_read(fc_conn *conn, void *buf, size_t capacity, double deadline) {
   while (conn->inbox->len == 0) {
     if (!conn->other || !conn->other->process->alive) return conn->other ? -1 : 0;
     conn->waiter = fc_routine_self();
-    fc_wake w = fc_routine_park(deadline);
+    fc_wake wake = fc_routine_park(deadline);
     conn->waiter = NULL;
-    if (w != FC_WAKE_OK) return -1;
+    if (wake != FC_WAKE_OK) return -1;
   }
   sim_charge(conn->process, conn->unpaid_s);
   conn->unpaid_s = 0;
-  size_t n = MIN(size, conn->inbox->len);
-  memcpy(buf, conn->inbox->data, n);
-  g_byte_array_remove_range(conn->inbox, 0, (guint)n);
-  return (ssize_t)n;
+  size_t size = MIN(capacity, conn->inbox->len);
+  memcpy(buf, conn->inbox->data, size);
+  g_byte_array_remove_range(conn->inbox, 0, (guint)size);
+  return (ssize_t)size;
 }
 
 bool fc_conn_write(fc_conn *conn, const void *buf, size_t size, double deadline) {
@@ -171,8 +171,8 @@
 
 bool fc_listen(const fc_endpoint *where, size_t most, fc_conn_fn on_conn, void *arg) {
   (void)most;
-  listener *l = g_new0(listener, 1);
-  *l = (listener){.fn = on_conn, .arg = arg, .process = sim_process_here()};
-  g_hash_table_replace(g_listeners, sim_place_key(ntohl(where->ip), where->port), l);
+  sim_listener *listener = g_new0(sim_listener, 1);
+  *listener = (sim_listener){.fn = on_conn, .arg = arg, .process = sim_process_here()};
+  g_hash_table_replace(g_listeners, sim_place_key(ntohl(where->ip), where->port), listener);
   return true;
 }
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -1,6 +1,6 @@
 /* Cloud, workers, users and faults; the rules are checked where they could break. */
-#include "parts.h"
 #include "requests.h"
+#include "stand_ins.h"
 
 #include <arpa/inet.h>
 
@@ -10,12 +10,12 @@
 static fc_controller *g_controllers[WORLD_NODES];
 static GArray *g_cuts;
 static double g_refuse_until[WORLD_NODES];
-GHashTable *g_jobs, *g_workers, *g_by_ip;
-GPtrArray *g_order;
+GHashTable *g_jobs, *g_workers, *g_workers_by_ip;
+GPtrArray *g_worker_list;
 world_result g_result;
-double g_copies, g_quiet_from;
+double g_duplicate_share, g_faults_end_at;
 bool g_verbose;
-unsigned g_capacity, g_capacity_spot;
+unsigned g_zone_capacity, g_zone_spot_capacity;
 
 const char *const world_zones[2] = {"a", "b"};
 
@@ -30,55 +30,56 @@
 
 static int zone_of(uint32_t ip) {
   if (ip >> 16 == (10u << 8 | 0)) return (ip & 0xff) == 2 ? 1 : 0; /* the second controller is in zone b */
-  worker *w = g_hash_table_lookup(g_by_ip, GUINT_TO_POINTER(ip));
-  return w ? w->zone : -1;
+  sim_worker *worker = g_hash_table_lookup(g_workers_by_ip, GUINT_TO_POINTER(ip));
+  return worker ? worker->zone : -1;
 }
 
 static int node_of(uint32_t ip) {
   return ip >> 16 == (10u << 8 | 0) ? (int)(ip & 0xff) - 1 : -1;
 }
 
-static bool cut_matches(const cut *c, uint32_t a, uint32_t b) {
-  bool a_node = node_of(a) == c->node && c->node >= 0;
-  switch (c->kind) {
-    case CUT_ZONES:
-      return zone_of(a) >= 0 && zone_of(b) >= 0 && zone_of(a) != zone_of(b);
-    case CUT_NODE:
-      return a_node;
-    case CUT_NODE_STATE:
-      return a_node && b == WORLD_STATE_IP;
-    case CUT_NODE_PEERS:
-      return a_node && node_of(b) >= 0;
-    case CUT_NODE_ALONE: /* with nobody but its workers */
-      return a_node && (b == WORLD_STATE_IP || node_of(b) >= 0);
-    case CUT_NODE_WORKERS:
-      return a_node && g_hash_table_contains(g_by_ip, GUINT_TO_POINTER(b));
-    case CUT_ZONE: /* from everything, what belongs to no zone included */
-      return zone_of(a) == c->node && zone_of(b) != c->node;
-    case CUT_PAIR:
-      return a_node && b == c->ip;
+static bool cut_matches(const link_fault *fault, uint32_t from, uint32_t to) {
+  bool from_controller = node_of(from) == fault->node && fault->node >= 0;
+  switch (fault->scope) {
+    case LINK_BETWEEN_ZONES:
+      return zone_of(from) >= 0 && zone_of(to) >= 0 && zone_of(from) != zone_of(to);
+    case LINK_CONTROLLER:
+      return from_controller;
+    case LINK_CONTROLLER_KV:
+      return from_controller && to == WORLD_STATE_IP;
+    case LINK_CONTROLLER_PEERS:
+      return from_controller && node_of(to) >= 0;
+    case LINK_CONTROLLER_KV_AND_PEERS: /* with nobody but its workers */
+      return from_controller && (to == WORLD_STATE_IP || node_of(to) >= 0);
+    case LINK_CONTROLLER_WORKERS:
+      return from_controller && g_hash_table_contains(g_workers_by_ip, GUINT_TO_POINTER(to));
+    case LINK_ZONE: /* from everything, what belongs to no zone included */
+      return zone_of(from) == fault->node && zone_of(to) != fault->node;
+    case LINK_CONTROLLER_WORKER:
+      return from_controller && to == fault->ip;
     default:
-      return a == c->ip;
+      return from == fault->ip;
   }
 }
 
 static sim_link link_now(uint32_t from, uint32_t to) {
-  worker *w = g_hash_table_lookup(g_by_ip, GUINT_TO_POINTER(to));
-  if (w && w->gone) return SIM_RESET;
-  if (w && (w->hang_until > sim_now() || !w->up)) return SIM_HELD;
-  if (w && w->deaf_until > sim_now()) return w->ip & 1 ? SIM_HELD : SIM_RESET;
+  sim_worker *worker = g_hash_table_lookup(g_workers_by_ip, GUINT_TO_POINTER(to));
+  if (worker && worker->terminated) return SIM_RESET;
+  if (worker && (worker->hung_until > sim_now() || !worker->up)) return SIM_HELD;
+  if (worker && worker->inbound_lost_until > sim_now()) return worker->ip & 1 ? SIM_HELD : SIM_RESET;
   if (node_of(to) >= 0 && !sim_process_alive(to)) return SIM_RESET;
   for (guint i = 0; i < g_cuts->len; i++) {
-    const cut *c = &g_array_index(g_cuts, cut, i);
-    if (sim_now() < c->until && (cut_matches(c, from, to) || cut_matches(c, to, from))) return c->mode;
+    const link_fault *fault = &g_array_index(g_cuts, link_fault, i);
+    if (sim_now() < fault->ends_at && (cut_matches(fault, from, to) || cut_matches(fault, to, from)))
+      return fault->mode;
   }
   return SIM_CLEAR;
 }
 
-bool world_state_refuses(const struct sim_exchange *x) {
-  uint32_t from = *(const uint32_t *)x; /* first field: the sender */
-  int n = node_of(from);
-  return n >= 0 && sim_now() < g_refuse_until[n];
+bool world_kv_refuses(const struct sim_exchange *exchange) {
+  uint32_t from = *(const uint32_t *)exchange; /* first field: the sender */
+  int node = node_of(from);
+  return node >= 0 && sim_now() < g_refuse_until[node];
 }
 
 /* ---- controllers and faults ---- */
@@ -126,19 +127,19 @@
 static unsigned g_terms;
 
 static void strike_now(void *arg) {
-  const strike *s = arg;
-  world_crash(s->node, s->back_in_s);
+  const strike *trigger = arg;
+  world_crash(trigger->node, trigger->back_in_s);
   g_free(arg);
 }
 
-void world_wrote(const struct sim_exchange *x, const char *key) {
+void world_key_written(const struct sim_exchange *exchange, const char *key) {
   g_terms += strcmp(key, FC_KEY_TERM) == 0;
-  int n = node_of(*(const uint32_t *)x); /* first field: the sender */
-  if (n < 0 || !g_strikes[n].prefix || !g_str_has_prefix(key, g_strikes[n].prefix)) return;
-  strike *s = g_new(strike, 1);
-  *s = g_strikes[n];
-  g_strikes[n].prefix = NULL;
-  sim_after(s->after_s, strike_now, s);
+  int node = node_of(*(const uint32_t *)exchange); /* first field: the sender */
+  if (node < 0 || !g_strikes[node].prefix || !g_str_has_prefix(key, g_strikes[node].prefix)) return;
+  strike *trigger = g_new(strike, 1);
+  *trigger = g_strikes[node];
+  g_strikes[node].prefix = NULL;
+  sim_after(trigger->after_s, strike_now, trigger);
 }
 
 void world_crash_at_write(unsigned node, const char *prefix, double after_s, double back_in_s) {
@@ -146,13 +147,14 @@
 }
 
 void world_alone(unsigned node, double for_s) {
-  cut c = {.kind = CUT_NODE_ALONE, .node = (int)node, .until = sim_now() + for_s, .mode = SIM_HELD};
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {
+      .scope = LINK_CONTROLLER_KV_AND_PEERS, .node = (int)node, .ends_at = sim_now() + for_s, .mode = SIM_HELD};
+  g_array_append_val(g_cuts, fault);
 }
 
 void world_cut_zone(unsigned zone, double for_s) {
-  cut c = {.kind = CUT_ZONE, .node = (int)zone, .until = sim_now() + for_s, .mode = SIM_HELD};
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {.scope = LINK_ZONE, .node = (int)zone, .ends_at = sim_now() + for_s, .mode = SIM_HELD};
+  g_array_append_val(g_cuts, fault);
 }
 
 void world_still(unsigned node, double for_s) {
@@ -160,39 +162,44 @@
 }
 
 void world_deaf(unsigned from, unsigned to, double for_s) {
-  for (unsigned i = from; i < to; i++) ((worker *)g_order->pdata[i])->deaf_until = sim_now() + for_s;
+  for (unsigned i = from; i < to; i++) ((sim_worker *)g_worker_list->pdata[i])->inbound_lost_until = sim_now() + for_s;
 }
 
-static worker *machine(unsigned i) {
-  return g_order->pdata[i];
+static sim_worker *machine(unsigned i) {
+  return g_worker_list->pdata[i];
 }
 
 void world_hang(unsigned from, unsigned to, double for_s) {
-  for (unsigned i = from; i < to; i++) machine(i)->hang_until = sim_now() + for_s;
+  for (unsigned i = from; i < to; i++) machine(i)->hung_until = sim_now() + for_s;
 }
 
 void world_mute(unsigned from, unsigned to, double for_s) {
-  for (unsigned i = from; i < to; i++) machine(i)->mute_until = sim_now() + for_s;
+  for (unsigned i = from; i < to; i++) machine(i)->outbound_lost_until = sim_now() + for_s;
 }
 
 void world_cut_pair(unsigned node, unsigned at, double for_s, sim_link mode) {
-  cut c = {.kind = CUT_PAIR, .node = (int)node, .ip = machine(at)->ip, .until = sim_now() + for_s, .mode = mode};
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {.scope = LINK_CONTROLLER_WORKER,
+                      .node = (int)node,
+                      .ip = machine(at)->ip,
+                      .ends_at = sim_now() + for_s,
+                      .mode = mode};
+  g_array_append_val(g_cuts, fault);
 }
 
 void world_cut_node(unsigned node, double for_s, sim_link mode) {
-  cut c = {.kind = CUT_NODE, .node = (int)node, .until = sim_now() + for_s, .mode = mode};
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {.scope = LINK_CONTROLLER, .node = (int)node, .ends_at = sim_now() + for_s, .mode = mode};
+  g_array_append_val(g_cuts, fault);
 }
 
 void world_cut_node_peers(unsigned node, double for_s) {
-  cut c = {.kind = CUT_NODE_PEERS, .node = (int)node, .until = sim_now() + for_s, .mode = SIM_HELD};
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {
+      .scope = LINK_CONTROLLER_PEERS, .node = (int)node, .ends_at = sim_now() + for_s, .mode = SIM_HELD};
+  g_array_append_val(g_cuts, fault);
 }
 
 void world_cut_node_workers(unsigned node, double for_s, sim_link mode) {
-  cut c = {.kind = CUT_NODE_WORKERS, .node = (int)node, .until = sim_now() + for_s, .mode = mode};
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {.scope = LINK_CONTROLLER_WORKERS, .node = (int)node, .ends_at = sim_now() + for_s, .mode = mode};
+  g_array_append_val(g_cuts, fault);
 }
 
 void world_refuse(unsigned node, double for_s) {
@@ -200,11 +207,11 @@
 }
 
 void world_state_slow(double for_s, double most_s) {
-  state_slow(sim_now() + for_s, most_s);
+  kv_slow(sim_now() + for_s, most_s);
 }
 
 void world_state_blind(const char *id, double for_s) {
-  state_blind(id, for_s);
+  kv_delay_watches_after(id, for_s);
 }
 
 void world_slow_links(double for_s, double most_s) {
@@ -212,15 +219,15 @@
 }
 
 void world_late_writes(double share) {
-  g_late_writes = share;
+  g_delayed_commit_share = share;
 }
 
 void world_cancel_at_end(double share) {
-  g_cancel_at_end = share;
+  g_cancel_on_completion_share = share;
 }
 
 void world_kill(unsigned from, unsigned to) {
-  for (unsigned i = from; i < to; i++) ((worker *)g_order->pdata[i])->gone = true;
+  for (unsigned i = from; i < to; i++) ((sim_worker *)g_worker_list->pdata[i])->terminated = true;
 }
 
 unsigned world_node_of(unsigned at) {
@@ -228,45 +235,45 @@
 }
 
 unsigned world_gone(unsigned from, unsigned to) {
-  unsigned n = 0;
-  for (unsigned i = from; i < to; i++) n += ((worker *)g_order->pdata[i])->gone;
-  return n;
+  unsigned count = 0;
+  for (unsigned i = from; i < to; i++) count += ((sim_worker *)g_worker_list->pdata[i])->terminated;
+  return count;
 }
 
 void world_capacity(unsigned ordinary, unsigned spot) {
-  g_capacity = ordinary;
-  g_capacity_spot = spot;
+  g_zone_capacity = ordinary;
+  g_zone_spot_capacity = spot;
 }
 
 void world_keep_idle(void) {
-  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].op.idle_keep_share = 1e6;
+  for (int node = 0; node < WORLD_NODES; node++) g_settings[node].op.idle_keep_share = 1e6;
 }
 
 void world_keep_over(double for_s) {
-  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].op.over_keep_s = for_s;
+  for (int node = 0; node < WORLD_NODES; node++) g_settings[node].op.over_keep_s = for_s;
 }
 
 void world_limit(double cpus, double gpus) {
-  for (int n = 0; n < WORLD_NODES; n++) {
-    g_settings[n].teams[1].cpus_max = cpus;
-    g_settings[n].teams[1].gpus_max = gpus;
+  for (int node = 0; node < WORLD_NODES; node++) {
+    g_settings[node].teams[1].cpus_max = cpus;
+    g_settings[node].teams[1].gpus_max = gpus;
   }
 }
 
 void world_return_idle(void) {
-  for (int n = 0; n < WORLD_NODES; n++) g_settings[n].op.idle_keep_share = 0.01;
+  for (int node = 0; node < WORLD_NODES; node++) g_settings[node].op.idle_keep_share = 0.01;
 }
 
 void world_large(unsigned machines) {
   world_capacity(machines / 2, 0);
   world_keep_idle();
-  for (int n = 0; n < WORLD_NODES; n++) {
-    fc_settings *settings = &g_settings[n];
+  for (int node = 0; node < WORLD_NODES; node++) {
+    fc_settings *settings = &g_settings[node];
     settings->kv_rps = 500;
     settings->kv_write_rps = settings->kv_next_write_rps = machines;
     settings->kv_txn_ops = 24;
     world_state_limits(settings->kv_value_kb, settings->kv_txn_ops, 0);
-    state_later_limits(settings->kv_value_kb, settings->kv_txn_ops);
+    kv_set_announced_limits(settings->kv_value_kb, settings->kv_txn_ops);
     settings->fd_limit = machines * 2;
     settings->cloud_rps = 6;
     settings->teams[0].gpus = machines;
@@ -277,8 +284,8 @@
 
 void world_lean(unsigned machines) {
   world_large(machines);
-  for (int n = 0; n < WORLD_NODES; n++) {
-    fc_settings *settings = &g_settings[n];
+  for (int node = 0; node < WORLD_NODES; node++) {
+    fc_settings *settings = &g_settings[node];
     settings->kv_rps = 100;
     settings->kv_write_rps = settings->kv_next_write_rps = 40;
     settings->cloud_rps = 2;
@@ -315,14 +322,14 @@
   const fc_settings *settings = &g_settings[0];
   g_next = (state_sizes){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
                          MIN(settings->kv_write_rps, write_rps)};
-  state_later_limits(g_next.value_kb, g_next.txn_ops);
-  for (unsigned n = 0; n < WORLD_NODES; n++) set_limits(n);
+  kv_set_announced_limits(g_next.value_kb, g_next.txn_ops);
+  for (unsigned node = 0; node < WORLD_NODES; node++) set_limits(node);
 }
 
 void world_former_version(void) {
-  for (unsigned n = 0; n < WORLD_NODES; n++) {
-    g_former[n] = true;
-    set_limits(n);
+  for (unsigned node = 0; node < WORLD_NODES; node++) {
+    g_former[node] = true;
+    set_limits(node);
   }
 }
 
@@ -345,27 +352,27 @@
 }
 
 bool world_any_former(void) {
-  for (unsigned n = 0; n < WORLD_NODES; n++)
-    if (g_former[n]) return true;
+  for (unsigned node = 0; node < WORLD_NODES; node++)
+    if (g_former[node]) return true;
   return false;
 }
 
-bool world_from_former(const struct sim_exchange *x) {
-  int n = node_of(*(const uint32_t *)x); /* first field: the sender */
-  return n >= 0 && g_former[n];
+bool world_sent_by_former(const struct sim_exchange *exchange) {
+  int node = node_of(*(const uint32_t *)exchange); /* first field: the sender */
+  return node >= 0 && g_former[node];
 }
 
 /* A round looks at every machine and every job. */
 static double work(uint32_t ip) {
   const double machine_s = 0.5e-6, job_s = 2e-6;
   static uint64_t seen[WORLD_NODES];
-  int n = node_of(ip);
-  const fc_controller *controller = g_controllers[n];
+  int node = node_of(ip);
+  const fc_controller *controller = g_controllers[node];
   if (!controller) return 0;
-  uint64_t rounds = fc_controller_counters(controller)->rounds, before = MIN(seen[n], rounds);
-  seen[n] = rounds;
-  return (double)(rounds - before) * (machine_s * g_hash_table_size(fc_controller_cluster(controller)->machines) +
-                                      job_s * g_hash_table_size(fc_controller_cluster(controller)->jobs));
+  uint64_t rounds = fc_controller_counters(controller)->rounds, seen_rounds = MIN(seen[node], rounds);
+  seen[node] = rounds;
+  return (double)(rounds - seen_rounds) * (machine_s * g_hash_table_size(fc_controller_cluster(controller)->machines) +
+                                           job_s * g_hash_table_size(fc_controller_cluster(controller)->jobs));
 }
 
 void world_slow(unsigned node, double of_processor, double timers_late_s) {
@@ -378,7 +385,7 @@
 }
 
 void world_checks_from(double in_s) {
-  g_quiet_from = sim_now() + in_s;
+  g_faults_end_at = sim_now() + in_s;
   checks_start();
   world_troubles_end(in_s);
 }
@@ -399,21 +406,22 @@
   return world_request(node, "GET", path, "").status;
 }
 
-static unsigned tasks_in(tstate state) {
-  unsigned n = 0;
-  for (guint i = 0; i < g_order->len; i++) {
-    const worker *w = g_order->pdata[i];
-    for (guint k = 0; !w->gone && k < w->tasks->len; k++) n += ((task *)w->tasks->pdata[k])->state == state;
+static unsigned tasks_in(task_state state) {
+  unsigned count = 0;
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    for (guint k = 0; !worker->terminated && k < worker->tasks->len; k++)
+      count += ((sim_task *)worker->tasks->pdata[k])->state == state;
   }
-  return n;
+  return count;
 }
 
 unsigned world_running(void) {
-  return tasks_in(T_RUNNING);
+  return tasks_in(TASK_RUNNING);
 }
 
 unsigned world_fetching(void) {
-  return tasks_in(T_FETCHING);
+  return tasks_in(TASK_FETCHING);
 }
 
 world_result world_so_far(void) {
@@ -440,14 +448,14 @@
 }
 
 void world_state_down_in(double in_s, double for_s) {
-  double *s = g_new(double, 1);
-  *s = for_s;
-  sim_after(in_s, state_goes_down, s);
+  double *duration = g_new(double, 1);
+  *duration = for_s;
+  sim_after(in_s, state_goes_down, duration);
 }
 
-static worker *any_worker(void) {
-  if (g_order->len == 0) return NULL;
-  return g_order->pdata[g_rand_int_range(sim_rand(), 0, (gint32)g_order->len)];
+static sim_worker *any_worker(void) {
+  if (g_worker_list->len == 0) return NULL;
+  return g_worker_list->pdata[g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len)];
 }
 
 /* ---- faults: each draws its numbers in a fixed order, so that a seed is always the same day ---- */
@@ -467,34 +475,34 @@
 }
 
 static void fault_cut(double until, sim_link mode) {
-  cut c = {.kind = (int)sim_draw(0, 6), .node = world_any_node(), .until = until, .mode = mode};
-  if (c.kind == CUT_ZONES) c.node = -1;
-  g_array_append_val(g_cuts, c);
+  link_fault fault = {.scope = (int)sim_draw(0, 6), .node = world_any_node(), .ends_at = until, .mode = mode};
+  if (fault.scope == LINK_BETWEEN_ZONES) fault.node = -1;
+  g_array_append_val(g_cuts, fault);
 }
 
 /* Reports arrive, answers and commands don't. Now and then at many machines. */
 static void fault_deaf(double until) {
   bool many = sim_chance(0.15);
-  for (guint i = 0; i < g_order->len; i++) {
-    worker *w = many ? g_order->pdata[i] : any_worker();
-    w->deaf_until = until;
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    sim_worker *worker = many ? g_worker_list->pdata[i] : any_worker();
+    worker->inbound_lost_until = until;
     if (!many) break;
   }
 }
 
 static void fault_reborn(void) {
-  worker *w = any_worker();
-  if (w && w->up && !w->gone) worker_reborn(w);
+  sim_worker *worker = any_worker();
+  if (worker && worker->up && !worker->terminated) worker_restart_empty(worker);
 }
 
 /* Many machines at once: they die, or hang. */
 static void fault_many_machines(double until) {
   bool die = sim_chance(0.5);
-  for (guint i = 0; i < g_order->len; i++) {
-    worker *w = g_order->pdata[i];
-    if (!w->up || w->gone || sim_chance(0.5)) continue;
-    if (die) w->gone = true;
-    w->hang_until = until;
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    sim_worker *worker = g_worker_list->pdata[i];
+    if (!worker->up || worker->terminated || sim_chance(0.5)) continue;
+    if (die) worker->terminated = true;
+    worker->hung_until = until;
   }
 }
 
@@ -505,34 +513,34 @@
 
 /* Back in a blink, twice in a row, two at once, in the middle of a term. */
 static void fault_blinks(void) {
-  int a = world_any_node(), b = world_any_node();
-  blink(a);
-  blink(b);
-  sim_after(sim_draw(0.1, 1.5), blink_again, &g_settings[a]);
-  sim_after(sim_draw(0.1, 1.5), blink_again, &g_settings[b]);
+  int first = world_any_node(), second = world_any_node();
+  blink(first);
+  blink(second);
+  sim_after(sim_draw(0.1, 1.5), blink_again, &g_settings[first]);
+  sim_after(sim_draw(0.1, 1.5), blink_again, &g_settings[second]);
 }
 
 /* Spot machines mostly go with a notice. */
-static void machine_ends(worker *w, double now) {
-  if (w->spot && sim_chance(0.5)) {
-    w->notice_at = now;
-    w->taken_at = now + sim_draw(5, 15);
+static void machine_ends(sim_worker *worker, double now) {
+  if (worker->spot && sim_chance(0.5)) {
+    worker->preemption_notice_at = now;
+    worker->preempted_at = now + sim_draw(5, 15);
   } else {
-    w->gone = true;
+    worker->terminated = true;
   }
 }
 
 /* One machine hangs, is cut off or ends. */
-static void fault_machine(double k, double now, double length, sim_link mode) {
-  worker *w = any_worker();
-  if (!w || w->gone || !w->up) return; /* nothing to break */
-  if (k < 10.5) {
-    w->hang_until = now + length;
-  } else if (k < 11.3) {
-    cut c = {.kind = CUT_WORKER, .node = -1, .ip = w->ip, .until = now + length, .mode = mode};
-    g_array_append_val(g_cuts, c);
+static void fault_machine(double choice, double now, double length, sim_link mode) {
+  sim_worker *worker = any_worker();
+  if (!worker || worker->terminated || !worker->up) return; /* nothing to break */
+  if (choice < 10.5) {
+    worker->hung_until = now + length;
+  } else if (choice < 11.3) {
+    link_fault fault = {.scope = LINK_WORKER, .node = -1, .ip = worker->ip, .ends_at = now + length, .mode = mode};
+    g_array_append_val(g_cuts, fault);
   } else {
-    machine_ends(w, now);
+    machine_ends(worker, now);
   }
 }
 
@@ -540,31 +548,31 @@
   double end = *(double *)arg;
   if (sim_now() > end) return;
   g_result.faults++;
-  double k = sim_draw(0, 18), now = sim_now();
+  double choice = sim_draw(0, 18), now = sim_now();
   sim_link mode = sim_chance(0.5) ? SIM_HELD : SIM_RESET;
   double length = sim_draw(3, 30);
-  if (g_verbose) g_printerr("%.1f fault %.2f length %.1f\n", now, k, length);
-  if (k < 3) {
+  if (g_verbose) g_printerr("%.1f fault %.2f length %.1f\n", now, choice, length);
+  if (choice < 3) {
     fault_crash_some();
-  } else if (k < 3.5) {
+  } else if (choice < 3.5) {
     fault_crash_all();
-  } else if (k < 5) {
+  } else if (choice < 5) {
     fault_state_down();
-  } else if (k < 6) {
+  } else if (choice < 6) {
     g_refuse_until[world_any_node()] = now + length;
-  } else if (k < 9.5) {
+  } else if (choice < 9.5) {
     fault_cut(now + length, mode);
-  } else if (k < 12) {
-    fault_machine(k, now, length, mode);
-  } else if (k < 13) {
+  } else if (choice < 12) {
+    fault_machine(choice, now, length, mode);
+  } else if (choice < 13) {
     fault_deaf(now + length * 1.5);
-  } else if (k < 14) {
+  } else if (choice < 14) {
     fault_reborn();
-  } else if (k < 15.5) {
+  } else if (choice < 15.5) {
     fault_blinks();
-  } else if (k < 16.4) {
+  } else if (choice < 16.4) {
     fault_still(length);
-  } else if (k < 17.2) {
+  } else if (choice < 17.2) {
     world_cut_zone(g_rand_int_range(sim_rand(), 0, 2), length * 1.4);
   } else {
     fault_many_machines(now + length);
@@ -572,21 +580,21 @@
   sim_after(sim_draw(1, 16), fault, arg);
 }
 
-static void settings_of(int n) {
-  fc_settings *settings = &g_settings[n];
+static void settings_of(int node) {
+  fc_settings *settings = &g_settings[node];
   memset(settings, 0, sizeof *settings);
-  settings->name = g_strdup_printf("paddock-%d", n);
-  settings->zone = (char *)world_zones[n == 1];
-  settings->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8080};
-  settings->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(n)), 8081};
+  settings->name = g_strdup_printf("paddock-%d", node);
+  settings->zone = (char *)world_zones[node == 1];
+  settings->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(node)), 8080};
+  settings->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(node)), 8081};
   settings->cloud_at = (fc_endpoint){htonl(WORLD_CLOUD_IP), 8443};
   settings->kv_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
-  for (int k = 0; k < WORLD_NODES; k++) {
-    if (k == n) continue;
+  for (int peer_node = 0; peer_node < WORLD_NODES; peer_node++) {
+    if (peer_node == node) continue;
     fc_peer_settings *peer = &settings->peers[settings->peer_count++];
-    peer->name = g_strdup_printf("paddock-%d", k);
-    peer->zone = (char *)world_zones[k == 1];
-    peer->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(k)), 8081};
+    peer->name = g_strdup_printf("paddock-%d", peer_node);
+    peer->zone = (char *)world_zones[peer_node == 1];
+    peer->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(peer_node)), 8081};
   }
   settings->zone_count = 2;
   settings->zones[0] = (char *)world_zones[0];
@@ -594,9 +602,9 @@
   settings->team_count = 2;
   settings->teams[0] = (fc_team_settings){.name = (char *)"red", .gpus = 8};
   settings->teams[1] = (fc_team_settings){.name = (char *)"blue", .gpus = 6, .gpus_max = 12};
-  settings->heartbeat_s = REPORT_S;
+  settings->heartbeat_s = HEARTBEAT_S;
   settings->lease_s = LEASE_S;
-  settings->cancel_s = CANCEL_S;
+  settings->cancel_s = CANCEL_DEADLINE_S;
   settings->gang_wait_s = GANG_WAIT_S;
   settings->gang_peer_s = GANG_PEER_S;
   settings->kv_rps = 120;
@@ -612,16 +620,16 @@
 }
 
 void world_notice(unsigned at, double in_s) {
-  worker *w = machine(at);
-  w->notice_at = sim_now();
-  w->taken_at = sim_now() + in_s;
-  w->changed = true;
+  sim_worker *worker = machine(at);
+  worker->preemption_notice_at = sim_now();
+  worker->preempted_at = sim_now() + in_s;
+  worker->status_changed = true;
 }
 
 bool world_give_notice(double in_s) {
-  for (guint i = 0; i < g_order->len; i++) {
-    const worker *w = g_order->pdata[i];
-    if (w->gone || !w->up || !w->spot || w->tasks->len == 0) continue;
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    if (worker->terminated || !worker->up || !worker->spot || worker->tasks->len == 0) continue;
     world_notice(i, in_s);
     return true;
   }
@@ -630,24 +638,24 @@
 
 /* A job that only the workers know of so far: users upload descriptions. */
 void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s) {
-  job *j = g_new0(job, 1);
-  g_strlcpy(j->id, id, sizeof j->id);
-  j->kind = kind;
-  j->team = "red";
-  j->tasks = tasks;
-  j->gpus = j->cpus = gpus;
-  j->run_s = run_s;
-  j->spot = j->submitting = true;
-  j->awaits = g_ptr_array_new();
-  j->done = g_new0(bool, tasks);
-  g_hash_table_insert(g_jobs, j->id, j);
+  sim_job *job = g_new0(sim_job, 1);
+  g_strlcpy(job->id, id, sizeof job->id);
+  job->kind = kind;
+  job->team = "red";
+  job->tasks = tasks;
+  job->gpus = job->cpus = gpus;
+  job->run_s = run_s;
+  job->spot = job->submitting = true;
+  job->needs = g_ptr_array_new();
+  job->done = g_new0(bool, tasks);
+  g_hash_table_insert(g_jobs, job->id, job);
 }
 
 /* With simulated time and the controller's number. */
-static GLogWriterOutput log_line(GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data) {
+static GLogWriterOutput log_line(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data) {
   (void)level;
   (void)data;
-  for (gsize i = 0; i < n; i++)
+  for (gsize i = 0; i < count; i++)
     if (strcmp(fields[i].key, "MESSAGE") == 0)
       g_printerr("%.2f p%d %s\n", sim_now(), node_of(sim_here()), (const char *)fields[i].value);
   return G_LOG_WRITER_HANDLED;
@@ -663,37 +671,37 @@
   memset(g_refuse_until, 0, sizeof g_refuse_until);
   memset(g_strikes, 0, sizeof g_strikes);
   g_terms = 0;
-  g_copies = g_quiet_from = g_cancel_at_end = 0;
+  g_duplicate_share = g_faults_end_at = g_cancel_on_completion_share = 0;
   world_capacity(5, 3);
   users_init();
   workers_init();
-  g_cuts = g_array_new(FALSE, FALSE, sizeof(cut));
+  g_cuts = g_array_new(FALSE, FALSE, sizeof(link_fault));
   sim_init(seed);
   sim_set_links(link_now, lose, lose);
-  state_init();
+  kv_init();
   cloud_init();
   memset(g_former, 0, sizeof g_former);
-  for (int n = 0; n < WORLD_NODES; n++) settings_of(n);
+  for (int node = 0; node < WORLD_NODES; node++) settings_of(node);
   const fc_settings *settings = &g_settings[0];
   g_now = g_next = (state_sizes){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
 }
 
 void world_start_nodes(void) {
-  for (int n = 0; n < WORLD_NODES; n++) sim_after(sim_draw(0, 0.3), node_boot, &g_settings[n]);
+  for (int node = 0; node < WORLD_NODES; node++) sim_after(sim_draw(0, 0.3), node_boot, &g_settings[node]);
 }
 
 unsigned world_machines(void) {
-  return g_order->len;
+  return g_worker_list->len;
 }
 
 /* A machine that was returned is not taken back into use by a late report; its record
  * goes a moment after it. */
 void world_check_returned(void) {
-  for (guint i = 0; i < g_order->len; i++) {
-    const worker *w = g_order->pdata[i];
-    char *key = g_strconcat("fc1/machine/", w->id, NULL);
-    if (w->gone && sim_now() > w->returned_at + REPORT_S * 2 && state_has(key))
-      world_broke("returned machine on record", w->id);
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    char *key = g_strconcat("fc1/machine/", worker->id, NULL);
+    if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && state_has(key))
+      world_broke("returned machine on record", worker->id);
     g_free(key);
   }
 }
@@ -742,39 +750,40 @@
   if (day->upgrade) begin_with_former_version();
   world_start_nodes();
   for (int i = 0; i < 3; i++) (void)worker_new(i % 2, false, 0);
-  for (unsigned i = 1; i <= (unsigned)(busy_s / 8); i++) job_new(i, busy_s, meetings);
-  for (unsigned n = 0; day->pipelines && n < (unsigned)(busy_s / 4);) n += pipeline_new(n, busy_s);
-  ask_unknown(NULL);
+  for (unsigned i = 1; i <= (unsigned)(busy_s / 8); i++) users_add_random_job(i, busy_s, meetings);
+  for (unsigned count = 0; day->pipelines && count < (unsigned)(busy_s / 4);)
+    count += users_add_random_pipeline(count, busy_s);
+  users_poll_unknown_job(NULL);
   static double end;
   end = sim_now() + busy_s;
-  g_copies = 0.03;
-  g_quiet_from = end + 45; /* the longest trouble */
+  g_duplicate_share = 0.03;
+  g_faults_end_at = end + 45; /* the longest trouble */
   /* Of the days with meetings some have no other troubles. */
   if (!meetings || seed % 3 != 0) sim_after(15, fault, &end);
-  double over = meetings ? troubles_start(end) : 0;
-  g_quiet_from = MAX(g_quiet_from, over);
+  double over = meetings ? incidents_start(end) : 0;
+  g_faults_end_at = MAX(g_faults_end_at, over);
   checks_start();
-  sim_run_until(checks_day_ends());
+  sim_run_until(checks_end_time());
   checks_end();
   world_check_returned();
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init(&it, g_jobs);
-  while (g_hash_table_iter_next(&it, NULL, &value)) {
-    const job *j = value;
-    if (j->over) continue;
+  g_hash_table_iter_init(&iter, g_jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const sim_job *job = value;
+    if (job->terminal) continue;
     g_result.unfinished++;
     if (g_verbose)
       g_printerr(
           "unfinished %s %s tasks=%u done=%u cpus=%.1f gpus=%.0f one_zone=%d zone=%s spread=%d spot=%d team=%s\n",
-          j->id, j->kind, j->tasks, j->done_count, j->cpus, j->gpus, j->one_zone, j->zone ? j->zone : "-", j->spread,
-          j->spot, j->team);
+          job->id, job->kind, job->tasks, job->done_count, job->cpus, job->gpus, job->one_zone,
+          job->zone ? job->zone : "-", job->spread, job->spot, job->team);
   }
-  for (guint i = 0; g_verbose && i < g_order->len; i++) {
-    const worker *w = g_order->pdata[i];
-    if (!w->gone)
-      g_printerr("machine %s zone=%s spot=%d up=%d up_at=%.0f tasks=%u\n", w->id, world_zones[w->zone], w->spot, w->up,
-                 w->up_at, w->tasks->len);
+  for (guint i = 0; g_verbose && i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    if (!worker->terminated)
+      g_printerr("machine %s zone=%s spot=%d up=%d up_at=%.0f tasks=%u\n", worker->id, world_zones[worker->zone],
+                 worker->spot, worker->up, worker->boots_at, worker->tasks->len);
   }
   return g_result;
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -158,18 +158,18 @@
 int world_ask(unsigned node, const char *path);    /* the status of the answer */
 
 /* Within the stand-ins. */
-void state_init(void);
+void kv_init(void);
 /* What those who know of them have to keep to from now on. */
-void state_later_limits(double value_kb, unsigned txn_ops);
-bool world_from_former(const struct sim_exchange *x); /* a request of a controller of that version */
+void kv_set_announced_limits(double value_kb, unsigned txn_ops);
+bool world_sent_by_former(const struct sim_exchange *x); /* a request of a controller of that version */
 void state_down(bool down);
-void state_blind(const char *id, double for_s);
-void state_slow(double until, double most_s);
+void kv_delay_watches_after(const char *id, double for_s);
+void kv_slow(double until, double most_s);
 bool state_has(const char *key);
 bool state_says(const char *key, const char *text);              /* its value, as compact JSON, holds that */
 void state_each(const char *prefix, void (*fn)(const char *id)); /* the ids of jobs behind it */
-bool world_state_refuses(const struct sim_exchange *x);
-void world_wrote(const struct sim_exchange *x, const char *key);
+bool world_kv_refuses(const struct sim_exchange *x);
+void world_key_written(const struct sim_exchange *x, const char *key);
 void world_broke(const char *rule, const char *detail);
 
 #endif
