--- /dev/null
+++ b/tests/sim/days.c
@@ -0,0 +1,116 @@
+/* A whole day from a seed: random jobs, faults and incidents, an upgrade of the controllers, and
+ * the checks at its end. */
+#include "deployment.h"
+#include "stand_ins.h"
+
+#define LOSS_SHARE 0.002          /* of requests and of replies */
+#define DUPLICATE_SHARE 0.03      /* of heartbeats */
+#define LONGEST_FAULT_S 45        /* of random_faults.c */
+#define FIRST_MACHINES 3          /* there from the start */
+#define JOB_EVERY_S 8             /* on the average */
+#define PIPELINE_JOB_EVERY_S 4    /* on the average */
+#define NO_RANDOM_FAULTS_EVERY 3u /* of the seeds of days with incidents */
+
+/* The key-value store's limits after a day's upgrade. */
+#define LATER_VALUE_KB 2
+#define LATER_TXN_OPS 4
+#define LATER_WRITE_RPS 15
+
+/* ---- upgrade ---- */
+
+static void lower_limits(void *arg) {
+  (void)arg;
+  world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
+}
+
+static void end_delayed_commits(void *arg) {
+  (void)arg;
+  world_late_writes(0);
+}
+
+/* One controller after the other; now and then the next before the last is back. Some of their
+ * transactions are applied when the last of them has long ended. */
+static void upgrade_next(void *arg) {
+  unsigned node = GPOINTER_TO_UINT(arg);
+  if (node == 0) world_late_writes(0.1);
+  world_upgrade(node, sim_chance(0.3) ? sim_draw(0.05, 0.5) : sim_draw(3.5, 4.5));
+  if (g_verbose) g_printerr("%.2f upgrade of %u\n", sim_now(), node);
+  if (node + 1 < WORLD_NODES) {
+    sim_after(sim_draw(2, 15), upgrade_next, GUINT_TO_POINTER(node + 1));
+    return;
+  }
+  sim_after(0.1, end_delayed_commits, NULL);
+  sim_after(sim_draw(1, 60), lower_limits, NULL);
+}
+
+static void begin_with_former_version(void) {
+  world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
+  world_former_version();
+  world_lateness(2, 90);
+  sim_after(sim_draw(15, 60), upgrade_next, GUINT_TO_POINTER(0));
+}
+
+/* ---- what is left at the end ---- */
+
+static void report_unfinished(const sim_job *job) {
+  g_printerr("unfinished %s %s tasks=%u done=%u cpus=%.1f gpus=%.0f one_zone=%d zone=%s spread=%d spot=%d team=%s\n",
+             job->id, job->kind, job->tasks, job->done_count, job->cpus, job->gpus, job->one_zone,
+             job->zone ? job->zone : "-", job->spread, job->spot, job->team);
+}
+
+static void count_unfinished(void) {
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, g_jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    const sim_job *job = value;
+    if (job->terminal) continue;
+    g_result.unfinished++;
+    if (g_verbose) report_unfinished(job);
+  }
+}
+
+static void report_machines(void) {
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    if (worker->terminated) continue;
+    g_printerr("machine %s zone=%s spot=%d up=%d boots_at=%.0f tasks=%u\n", worker->id, world_zones[worker->zone],
+               worker->spot, worker->up, worker->boots_at, worker->tasks->len);
+  }
+}
+
+/* ---- the day ---- */
+
+static void add_random_jobs(double busy_s, const world_day *day) {
+  for (unsigned i = 1; i <= (unsigned)(busy_s / JOB_EVERY_S); i++) users_add_random_job(i, busy_s, day->meetings);
+  if (!day->pipelines) return;
+  unsigned added = 0;
+  while (added < (unsigned)(busy_s / PIPELINE_JOB_EVERY_S)) added += users_add_random_pipeline(added, busy_s);
+}
+
+/* Of the days with incidents some have no other faults. */
+static void start_faults(uint32_t seed, double busy_s, bool incidents) {
+  double end = sim_now() + busy_s;
+  g_duplicate_share = DUPLICATE_SHARE;
+  g_faults_end_at = end + LONGEST_FAULT_S;
+  if (!incidents || seed % NO_RANDOM_FAULTS_EVERY != 0) random_faults_start(end);
+  double incidents_end_at = incidents ? incidents_start(end) : 0;
+  g_faults_end_at = MAX(g_faults_end_at, incidents_end_at);
+}
+
+world_result world_play(uint32_t seed, double busy_s, const world_day *day) {
+  world_set_up(seed, LOSS_SHARE);
+  if (day->upgrade) begin_with_former_version();
+  world_start_nodes();
+  for (int i = 0; i < FIRST_MACHINES; i++) (void)worker_new(i % ZONES, false, 0);
+  add_random_jobs(busy_s, day);
+  users_poll_unknown_job(NULL);
+  start_faults(seed, busy_s, day->meetings);
+  checks_start();
+  sim_run_until(checks_end_time());
+  checks_end();
+  world_check_returned();
+  count_unfinished();
+  if (g_verbose) report_machines();
+  return g_result;
+}
--- /dev/null
+++ b/tests/sim/deployment.c
@@ -0,0 +1,191 @@
+/* Settings of the simulated controllers, and the versions that they run: the former one knows
+ * neither pipelines nor limits of the key-value store that are announced for later. */
+#include "deployment.h"
+
+#include <arpa/inet.h>
+
+#include "stand_ins.h"
+
+#define KEEP_IDLE_SHARE 1e6    /* of idle machines: all */
+#define RETURN_IDLE_SHARE 0.01 /* of idle machines: none */
+#define DAY_OVER_KEEP_S 20     /* jobs are archived in the middle of the faults */
+
+static fc_settings g_settings[WORLD_NODES];
+
+/* Limits of the key-value store. */
+typedef struct kv_sizes {
+  double value_kb;
+  unsigned txn_ops;
+  double write_rps;
+} kv_sizes;
+
+static kv_sizes g_first_sizes, g_announced_sizes;
+static bool g_former[WORLD_NODES];
+
+fc_settings *deployment_settings(unsigned node) {
+  return &g_settings[node];
+}
+
+/* ---- settings ---- */
+
+/* The second controller is in the second zone. */
+static char *zone_name(int node) {
+  return (char *)world_zones[node == 1];
+}
+
+static void set_addresses(fc_settings *settings, int node) {
+  settings->name = g_strdup_printf("paddock-%d", node);
+  settings->zone = zone_name(node);
+  settings->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(node)), 8080};
+  settings->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(node)), 8081};
+  settings->cloud_at = (fc_endpoint){htonl(WORLD_CLOUD_IP), 8443};
+  settings->kv_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
+  for (int peer_node = 0; peer_node < WORLD_NODES; peer_node++) {
+    if (peer_node == node) continue;
+    fc_peer_settings *peer = &settings->peers[settings->peer_count++];
+    peer->name = g_strdup_printf("paddock-%d", peer_node);
+    peer->zone = zone_name(peer_node);
+    peer->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(peer_node)), 8081};
+  }
+}
+
+static void set_zones_and_teams(fc_settings *settings) {
+  settings->zone_count = ZONES;
+  settings->zones[0] = (char *)world_zones[0];
+  settings->zones[1] = (char *)world_zones[1];
+  settings->team_count = 2;
+  settings->teams[0] = (fc_team_settings){.name = (char *)"red", .gpus = 8};
+  settings->teams[1] = (fc_team_settings){.name = (char *)"blue", .gpus = 6, .gpus_max = BLUE_GPUS_MAX};
+}
+
+static void set_durations_and_limits(fc_settings *settings) {
+  settings->heartbeat_s = HEARTBEAT_S;
+  settings->lease_s = LEASE_S;
+  settings->cancel_s = CANCEL_DEADLINE_S;
+  settings->gang_wait_s = GANG_WAIT_S;
+  settings->gang_peer_s = GANG_PEER_S;
+  settings->kv_rps = 120;
+  settings->kv_write_rps = settings->kv_next_write_rps = 40;
+  settings->kv_value_kb = 8;
+  settings->kv_txn_ops = 8;
+  settings->cloud_rps = 4;
+  settings->memory_mb = 56;
+  settings->cpu = 0.08;
+  settings->fd_limit = 900;
+}
+
+static void set_usual(int node) {
+  fc_settings *settings = &g_settings[node];
+  memset(settings, 0, sizeof *settings);
+  set_addresses(settings, node);
+  set_zones_and_teams(settings);
+  set_durations_and_limits(settings);
+  fc_operator_defaults(&settings->op);
+  settings->op.over_keep_s = DAY_OVER_KEEP_S;
+}
+
+void deployment_init(void) {
+  memset(g_former, 0, sizeof g_former);
+  for (int node = 0; node < WORLD_NODES; node++) set_usual(node);
+  const fc_settings *settings = &g_settings[0];
+  g_first_sizes = g_announced_sizes = (kv_sizes){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
+}
+
+void world_keep_idle(void) {
+  for (int node = 0; node < WORLD_NODES; node++) g_settings[node].op.idle_keep_share = KEEP_IDLE_SHARE;
+}
+
+void world_return_idle(void) {
+  for (int node = 0; node < WORLD_NODES; node++) g_settings[node].op.idle_keep_share = RETURN_IDLE_SHARE;
+}
+
+void world_keep_over(double for_s) {
+  for (int node = 0; node < WORLD_NODES; node++) g_settings[node].op.over_keep_s = for_s;
+}
+
+void world_limit(double cpus, double gpus) {
+  for (int node = 0; node < WORLD_NODES; node++) {
+    g_settings[node].teams[1].cpus_max = cpus;
+    g_settings[node].teams[1].gpus_max = gpus;
+  }
+}
+
+void world_large(unsigned machines) {
+  world_capacity(machines / ZONES, 0);
+  world_keep_idle();
+  for (int node = 0; node < WORLD_NODES; node++) {
+    fc_settings *settings = &g_settings[node];
+    settings->kv_rps = 500;
+    settings->kv_write_rps = settings->kv_next_write_rps = machines;
+    settings->kv_txn_ops = 24;
+    world_state_limits(settings->kv_value_kb, settings->kv_txn_ops, 0);
+    kv_set_announced_limits(settings->kv_value_kb, settings->kv_txn_ops);
+    settings->fd_limit = machines * 2;
+    settings->cloud_rps = 6;
+    settings->teams[0].gpus = machines;
+    settings->teams[1].gpus = settings->teams[1].gpus_max = 0;
+    settings->op.rent = false;
+  }
+}
+
+void world_lean(unsigned machines) {
+  world_large(machines);
+  for (int node = 0; node < WORLD_NODES; node++) {
+    fc_settings *settings = &g_settings[node];
+    settings->kv_rps = 100;
+    settings->kv_write_rps = settings->kv_next_write_rps = 40;
+    settings->cloud_rps = 2;
+    settings->memory_mb = 27;
+    settings->cpu = 0.024;
+    settings->fd_limit = 900;
+    fc_operator_settings usual;
+    fc_operator_defaults(&usual);
+    settings->op.over_keep_s = usual.over_keep_s;
+  }
+}
+
+/* ---- versions ---- */
+
+/* A version that doesn't know of announced limits takes the first ones for good. */
+static void set_known_limits(unsigned node) {
+  const kv_sizes *known = g_former[node] ? &g_first_sizes : &g_announced_sizes;
+  fc_settings *settings = &g_settings[node];
+  settings->kv_value_kb = known->value_kb;
+  settings->kv_txn_ops = known->txn_ops;
+  settings->kv_next_write_rps = known->write_rps;
+}
+
+void world_state_next(double value_kb, unsigned txn_ops, double write_rps) {
+  const fc_settings *settings = &g_settings[0];
+  g_announced_sizes = (kv_sizes){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
+                                 MIN(settings->kv_write_rps, write_rps)};
+  kv_set_announced_limits(g_announced_sizes.value_kb, g_announced_sizes.txn_ops);
+  for (unsigned node = 0; node < WORLD_NODES; node++) set_known_limits(node);
+}
+
+void world_former_version(void) {
+  for (unsigned node = 0; node < WORLD_NODES; node++) {
+    g_former[node] = true;
+    set_known_limits(node);
+  }
+}
+
+void deployment_set_former(unsigned node, bool former) {
+  g_former[node] = former;
+  set_known_limits(node);
+}
+
+bool world_is_former(unsigned node) {
+  return g_former[node];
+}
+
+bool world_any_former(void) {
+  for (unsigned node = 0; node < WORLD_NODES; node++)
+    if (g_former[node]) return true;
+  return false;
+}
+
+bool world_sent_by_former(const struct sim_exchange *exchange) {
+  int node = links_sender(exchange);
+  return node >= 0 && g_former[node];
+}
--- /dev/null
+++ b/tests/sim/machines.c
@@ -0,0 +1,99 @@
+/* Scenes' commands to simulated machines, and what scenes ask about them. Machines are numbered
+ * in order of creation. */
+#include "stand_ins.h"
+
+static sim_worker *machine_at(unsigned number) {
+  return g_worker_list->pdata[number];
+}
+
+/* ---- faults ---- */
+
+void world_deaf(unsigned from, unsigned to, double for_s) {
+  for (unsigned i = from; i < to; i++) machine_at(i)->inbound_lost_until = sim_now() + for_s;
+}
+
+void world_mute(unsigned from, unsigned to, double for_s) {
+  for (unsigned i = from; i < to; i++) machine_at(i)->outbound_lost_until = sim_now() + for_s;
+}
+
+void world_hang(unsigned from, unsigned to, double for_s) {
+  for (unsigned i = from; i < to; i++) machine_at(i)->hung_until = sim_now() + for_s;
+}
+
+void world_kill(unsigned from, unsigned to) {
+  for (unsigned i = from; i < to; i++) machine_at(i)->terminated = true;
+}
+
+void world_notice(unsigned machine, double in_s) {
+  sim_worker *worker = machine_at(machine);
+  worker->preemption_notice_at = sim_now();
+  worker->preempted_at = sim_now() + in_s;
+  worker->status_changed = true;
+}
+
+bool world_give_notice(double in_s) {
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    if (worker->terminated || !worker->up || !worker->spot || worker->tasks->len == 0) continue;
+    world_notice(i, in_s);
+    return true;
+  }
+  return false;
+}
+
+/* ---- capacity ---- */
+
+void world_capacity(unsigned ordinary, unsigned spot) {
+  g_zone_capacity = ordinary;
+  g_zone_spot_capacity = spot;
+}
+
+void world_machines_up(unsigned zone, unsigned count) {
+  while (count-- > 0) (void)worker_new((int)zone, false, 0);
+}
+
+unsigned world_machines(void) {
+  return g_worker_list->len;
+}
+
+/* ---- questions ---- */
+
+unsigned world_node_of(unsigned machine) {
+  return (unsigned)machine_at(machine)->node;
+}
+
+unsigned world_gone(unsigned from, unsigned to) {
+  unsigned count = 0;
+  for (unsigned i = from; i < to; i++) count += machine_at(i)->terminated;
+  return count;
+}
+
+static unsigned count_tasks(task_state state) {
+  unsigned count = 0;
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    for (guint k = 0; !worker->terminated && k < worker->tasks->len; k++)
+      count += ((sim_task *)worker->tasks->pdata[k])->state == state;
+  }
+  return count;
+}
+
+unsigned world_running(void) {
+  return count_tasks(TASK_RUNNING);
+}
+
+unsigned world_fetching(void) {
+  return count_tasks(TASK_FETCHING);
+}
+
+/* A machine that was returned is not taken back into use by a late heartbeat; its record is
+ * removed a moment after its return. */
+void world_check_returned(void) {
+  for (guint i = 0; i < g_worker_list->len; i++) {
+    const sim_worker *worker = g_worker_list->pdata[i];
+    char *key = g_strconcat("fc1/machine/", worker->id, NULL);
+    if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && state_has(key))
+      world_broke("returned machine on record", worker->id);
+    g_free(key);
+  }
+}
--- a/tests/sim/requests.c
+++ b/tests/sim/requests.c
@@ -1,10 +1,12 @@
+/* Single requests of a scene, sent as a user sends them, with their answers. */
 #include "requests.h"
 
 #include <string.h>
 
 #include "world.h"
 
-#define PATIENCE_S 8.0 /* longer than any user has */
+#define REQUEST_TIMEOUT_S 8.0 /* longer than any user waits */
+#define POLL_STEP_S 0.01
 
 static void on_reply(int status, const char *body, void *arg) {
   world_reply *reply = arg;
@@ -18,7 +20,7 @@
 void world_send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body) {
   memset(reply, 0, sizeof *reply);
   reply->took = sim_now();
-  sim_call(WORLD_USER_IP, ip, method, path, body, PATIENCE_S, on_reply, reply);
+  sim_call(WORLD_USER_IP, ip, method, path, body, REQUEST_TIMEOUT_S, on_reply, reply);
 }
 
 void world_send(world_reply *reply, unsigned node, const char *method, const char *path, const char *body) {
@@ -28,10 +30,14 @@
 world_reply world_request_to(uint32_t ip, const char *method, const char *path, const char *body) {
   static world_reply reply;
   world_send_to(&reply, ip, method, path, body);
-  while (!reply.came) sim_run_until(sim_now() + 0.01);
+  while (!reply.came) sim_run_until(sim_now() + POLL_STEP_S);
   return reply;
 }
 
 world_reply world_request(unsigned node, const char *method, const char *path, const char *body) {
   return world_request_to(WORLD_NODE_IP(node), method, path, body);
 }
+
+int world_ask(unsigned node, const char *path) {
+  return world_request(node, "GET", path, "").status;
+}
--- a/tests/sim/users.c
+++ b/tests/sim/users.c
@@ -8,6 +8,10 @@
 double g_cancel_on_completion_share;
 static int g_users_node;
 
+void world_cancel_at_end(double share) {
+  g_cancel_on_completion_share = share;
+}
+
 void world_users_to(int node) {
   g_users_node = node;
 }
@@ -505,6 +509,21 @@
   sim_after(job->submit_delay_s, user_submit, job);
 }
 
+/* Users upload descriptions, so workers know of jobs that nobody has submitted yet. */
+void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s) {
+  sim_job *job = g_new0(sim_job, 1);
+  g_strlcpy(job->id, id, sizeof job->id);
+  job->kind = kind;
+  job->team = "red";
+  job->tasks = tasks;
+  job->gpus = job->cpus = gpus;
+  job->run_s = run_s;
+  job->spot = job->submitting = true;
+  job->needs = g_ptr_array_new();
+  job->done = g_new0(bool, tasks);
+  g_hash_table_insert(g_jobs, job->id, job);
+}
+
 const char *world_id(unsigned number) {
   static char id[4][32];
   static unsigned next;
