--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -1,6 +1,6 @@
 /* Scenes' commands to simulated machines, and what scenes ask about them. Machines are numbered
  * in order of creation. */
-#include "stand_ins.h"
+#include "workers.h"
 
 static sim_worker *machine_at(unsigned number) {
   return g_worker_list->pdata[number];
@@ -97,3 +97,38 @@
     g_free(key);
   }
 }
+
+/* ---- questions about tasks ---- */
+
+/* Tasks of a job that are on machines. */
+typedef struct task_search {
+  const char *id;
+  int index; /* -1: any */
+  unsigned count;
+  const sim_worker *on; /* the last of their machines */
+} task_search;
+
+static void count_task(sim_worker *worker, sim_task *task, void *arg) {
+  task_search *search = arg;
+  if (strcmp(task->job_id, search->id) != 0 || (search->index >= 0 && task->index != (unsigned)search->index)) return;
+  search->count++;
+  search->on = worker;
+}
+
+unsigned world_tasks_of(const char *id) {
+  task_search search = {.id = id, .index = -1};
+  tasks_each_resident(count_task, &search);
+  return search.count;
+}
+
+unsigned world_starts_of(const char *id) {
+  const sim_job *job = g_hash_table_lookup(g_jobs, id);
+  return job->starts;
+}
+
+int world_machine_of(const char *id, unsigned index) {
+  task_search search = {.id = id, .index = (int)index};
+  tasks_each_resident(count_task, &search);
+  guint machine;
+  return search.on && g_ptr_array_find(g_worker_list, search.on, &machine) ? (int)machine : -1;
+}
