--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -30,7 +30,7 @@
     gpus -= task->job->gpus;
   }
   unsigned count = 0;
-  while (count < job->tasks && cpus >= job->cpus - 1e-6 && gpus >= job->gpus - 1e-6) {
+  while (count < job->tasks && cpus >= job->cpus - ROUNDING && gpus >= job->gpus - ROUNDING) {
     count++;
     cpus -= job->cpus;
     gpus -= job->gpus;
@@ -81,7 +81,7 @@
 
 /* Room for all of a gang, or for one more task, where the job may be. */
 static bool has_room(const sim_job *job, const job_progress *progress, unsigned need) {
-  if (strcmp(job->team, "blue") == 0 && team_gpus("blue") + need * job->gpus > BLUE_GPUS_MAX + 1e-6) return false;
+  if (strcmp(job->team, "blue") == 0 && team_gpus("blue") + need * job->gpus > BLUE_GPUS_MAX + ROUNDING) return false;
   unsigned all = 0, one = 0;
   for (int z = 0; z < 2; z++) {
     unsigned room = progress->room[z], half = (job->tasks + 1) / 2;
--- /dev/null
+++ b/tests/sim/random_jobs.c
@@ -0,0 +1,121 @@
+/* Random jobs and pipelines of a day. */
+#include "users.h"
+
+#define IMAGES 4u            /* container images that jobs have */
+#define JOB_NUMBER_STEP 7919 /* spreads the ids over the controllers' shards */
+#define JOB_NUMBERS 900000
+#define WIDE_GANG_GPUS 4
+#define LATE_STAGE_S 40 /* the stages before it may be done by then */
+
+/* ---- pipelines ---- */
+
+static gint compare_ids(gconstpointer left, gconstpointer right) {
+  return strcmp((*(sim_job *const *)left)->id, (*(sim_job *const *)right)->id);
+}
+
+/* An earlier job that may be needed; NULL: there is none. */
+static sim_job *any_earlier(void) {
+  GPtrArray *jobs = g_ptr_array_new();
+  GHashTableIter iter;
+  gpointer value;
+  g_hash_table_iter_init(&iter, g_jobs);
+  while (g_hash_table_iter_next(&iter, NULL, &value))
+    if (strcmp(((const sim_job *)value)->kind, "service") != 0) g_ptr_array_add(jobs, value);
+  g_ptr_array_sort(jobs, compare_ids);
+  sim_job *job = jobs->len > 0 ? jobs->pdata[g_rand_int_range(sim_rand(), 0, (gint32)jobs->len)] : NULL;
+  g_ptr_array_free(jobs, TRUE);
+  return job;
+}
+
+/* One job of a pipeline, which needs the last of `before` and some of the others. */
+static sim_job *new_stage(unsigned number, double submit_delay_s, const GPtrArray *before) {
+  sim_job *job = g_new0(sim_job, 1);
+  g_snprintf(job->id, sizeof job->id, "job-%06u", FIRST_PIPELINE_JOB + number);
+  bool gang = sim_chance(0.2);
+  job->kind = gang ? "gang" : "sweep";
+  job->priority = sim_chance(0.5) ? "best_effort" : "standard";
+  job->team = sim_chance(0.5) ? "red" : "blue";
+  job->tasks = 1 + (unsigned)sim_draw(0, gang ? 3 : 6);
+  job->gpus = 0.25;
+  job->cpus = sim_draw(1, 4);
+  job->run_s = sim_draw(2, 12);
+  job->one_zone = gang;
+  job->spot = !gang;
+  job->submit_delay_s = submit_delay_s;
+  job->needs = g_ptr_array_new();
+  for (guint i = 0; i < before->len; i++)
+    if (i + 1 == before->len || sim_chance(0.4)) g_ptr_array_add(job->needs, before->pdata[i]);
+  return job;
+}
+
+unsigned users_add_random_pipeline(unsigned number, double busy_s) {
+  GPtrArray *stages = g_ptr_array_new();
+  double from_s = sim_draw(0, busy_s);
+  unsigned count = 2 + (unsigned)sim_draw(0, 5);
+  bool cancelled = sim_chance(0.25);
+  unsigned which = (unsigned)sim_draw(0, count);
+  sim_job *earlier = sim_chance(0.3) ? any_earlier() : NULL;
+  if (earlier) g_ptr_array_add(stages, earlier);
+  for (unsigned i = 0; i < count; i++) {
+    /* Some submit the last only when the others may be over. */
+    bool last = i + 1 == count;
+    sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_S : from_s, stages);
+    if (last) {
+      job->priority = "high";
+      job->deadline_s = sim_draw(30, 120);
+    }
+    if (cancelled && i == which) job->cancel_delay_s = sim_draw(0, 30);
+    job_add(job, (number + i) % IMAGES);
+    g_ptr_array_add(stages, job);
+  }
+  g_ptr_array_free(stages, TRUE);
+  return count;
+}
+
+/* ---- single jobs ---- */
+
+static bool is_kind(const sim_job *job, const char *kind) {
+  return strcmp(job->kind, kind) == 0;
+}
+
+static const char *priority_of(const sim_job *job) {
+  if (is_kind(job, "service")) return "prod";
+  return is_kind(job, "gang") ? "high" : "standard";
+}
+
+static unsigned random_tasks(const sim_job *job) {
+  if (!is_kind(job, "sweep")) return 1 + (unsigned)sim_draw(0, 3);
+  /* The first factor is drawn first. */
+  double share = sim_draw(0, 1);
+  return 1 + (unsigned)(share * sim_draw(0, 10));
+}
+
+/* Services are cancelled in the end, others now and then. */
+static void draw_cancellation(sim_job *job) {
+  if (is_kind(job, "service")) {
+    job->cancel_delay_s = sim_draw(20, 100);
+  } else if (sim_chance(0.1)) {
+    job->cancel_delay_s = sim_draw(0, 40);
+  }
+}
+
+void users_add_random_job(unsigned number, double busy_s, bool incidents) {
+  sim_job *job = g_new0(sim_job, 1);
+  g_snprintf(job->id, sizeof job->id, "job-%06u", number * JOB_NUMBER_STEP % JOB_NUMBERS);
+  double choice = sim_draw(0, 1);
+  job->kind = choice < 0.45 ? "sweep" : choice < 0.75 ? "service" : "gang";
+  bool gang = is_kind(job, "gang");
+  job->priority = priority_of(job);
+  job->team = sim_chance(0.5) ? "red" : "blue";
+  job->tasks = random_tasks(job);
+  job->gpus = gang && sim_chance(0.3) ? WIDE_GANG_GPUS : 1;
+  job->cpus = job->gpus * sim_draw(2, 9);
+  job->run_s = sim_draw(3, 25);
+  job->one_zone = gang && sim_chance(0.7);
+  job->spread = is_kind(job, "service") && sim_chance(0.5);
+  job->spot = is_kind(job, "sweep") || (gang && sim_chance(0.5));
+  job->submit_delay_s = sim_draw(0, busy_s);
+  draw_cancellation(job);
+  if (incidents) incidents_vary_job(job);
+  job_add(job, number % IMAGES);
+}
