--- /dev/null
+++ b/tests/sim/kv_commits.c
@@ -0,0 +1,92 @@
+/* Compare-and-swap transactions of the simulated key-value store. */
+#include "kv.h"
+
+/* The former version says nothing of the formats that it reads. */
+static void remove_formats(const json_t *changes) {
+  json_t *item;
+  size_t i;
+  json_array_foreach(changes, i, item) json_object_del(json_object_get(item, "v"), "jobFormat");
+}
+
+/* The keys whose conditions don't hold; the caller's to drop. */
+static json_t *failed_conditions(const json_t *conditions) {
+  json_t *failed = json_array(), *item;
+  size_t i;
+  json_array_foreach(conditions, i, item) {
+    const char *key = json_string_value(json_object_get(item, "key"));
+    const kv_entry *entry = kv_lookup(key);
+    uint64_t version = entry ? entry->version : 0;
+    if (version != (uint64_t)json_integer_value(json_object_get(item, "edition")))
+      json_array_append_new(failed, json_string(key));
+  }
+  return failed;
+}
+
+static bool leases_exist(const json_t *changes) {
+  json_t *item;
+  size_t i;
+  json_array_foreach(changes, i, item) {
+    const json_t *lease = json_object_get(item, "pass");
+    if (lease && !kv_lease_exists((uint64_t)json_integer_value(lease))) return false;
+  }
+  return true;
+}
+
+static void apply_changes(const sim_request *request, const json_t *changes) {
+  json_t *item;
+  size_t i;
+  if (json_array_size(changes) > 0) kv_next_revision();
+  json_array_foreach(changes, i, item) {
+    const char *key = json_string_value(json_object_get(item, "set"));
+    if (key) {
+      kv_put(key, json_object_get(item, "v"), (uint64_t)json_integer_value(json_object_get(item, "pass")));
+      world_key_written(request->exchange, key);
+    } else {
+      kv_put(json_string_value(json_object_get(item, "remove")), NULL, 0);
+    }
+  }
+}
+
+/* Answers a transaction beyond the limits; false: it is within them. */
+static bool refused_by_limits(const sim_request *request, const json_t *conditions, const json_t *changes) {
+  if (kv_too_large(request, conditions, changes)) {
+    sim_answer(request->exchange, 400, "{}");
+    return true;
+  }
+  if (!kv_within_rate(json_array_size(changes))) {
+    g_result.over_rate++;
+    sim_answer(request->exchange, 429, "{}");
+    return true;
+  }
+  return false;
+}
+
+static void compare_and_swap(const sim_request *request, const json_t *conditions, const json_t *changes) {
+  if (!leases_exist(changes)) {
+    kv_answer(request->exchange, 400, json_pack("{ss}", "error", "no such lease"));
+    return;
+  }
+  json_t *failed = failed_conditions(conditions);
+  if (json_array_size(failed) > 0) {
+    kv_answer(request->exchange, 409, json_pack("{so sI}", "failed", failed, "round", kv_revision()));
+    return;
+  }
+  json_decref(failed);
+  apply_changes(request, changes);
+  kv_watches_note_write(request->body);
+  kv_answer(request->exchange, 200, json_pack("{sI}", "round", kv_revision()));
+  kv_watches_answer();
+}
+
+void kv_commit(const sim_request *request, bool former) {
+  json_t *body = json_loads(request->body, 0, NULL);
+  const json_t *changes = json_object_get(body, "then");
+  const json_t *conditions = json_object_get(body, "when");
+  if (former) {
+    remove_formats(changes);
+  } else {
+    kv_check_announced_limits(request, conditions, changes);
+  }
+  if (!refused_by_limits(request, conditions, changes)) compare_and_swap(request, conditions, changes);
+  json_decref(body);
+}
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -164,7 +164,6 @@
 bool world_sent_by_former(const struct sim_exchange *x); /* a request of a controller of that version */
 void state_down(bool down);
 void kv_delay_watches_after(const char *id, double for_s);
-void kv_slow(double until, double most_s);
 bool state_has(const char *key);
 bool state_says(const char *key, const char *text);              /* its value, as compact JSON, holds that */
 void state_each(const char *prefix, void (*fn)(const char *id)); /* the ids of jobs behind it */
