--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -82,7 +82,7 @@
   if (exchange->given_up) return;
   exchange->answered = true;
   if (exchange->waiter) {
-    sim_routine_owes(exchange->waiter, sim_message_cost(strlen(exchange->reply)));
+    sim_routine_add_cost(exchange->waiter, sim_message_cost(strlen(exchange->reply)));
     fc_routine_wake(exchange->waiter);
   } else if (exchange->fn) {
     sim_reply_fn fn = exchange->fn;
@@ -168,7 +168,7 @@
   if (!server || !server->process->alive) return;
   size_t bytes = strlen(exchange->path) + strlen(exchange->body) + SIM_HTTP_HEAD_BYTES;
   sim_count_message(exchange->from, exchange->to, bytes);
-  sim_routine_owes(sim_spawn_in(server->process, handler_main, exchange), sim_message_cost(bytes));
+  sim_routine_add_cost(sim_spawn_in(server->process, handler_main, exchange), sim_message_cost(bytes));
 }
 
 static sim_exchange *send_request(uint32_t from, uint32_t to, uint16_t port, const char *method, const char *path,
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -96,7 +96,7 @@
   const share *settings = g_hash_table_lookup(g_shares, GUINT_TO_POINTER(process->ip));
   if (!settings) return;
   process->share = settings->of_processor;
-  process->late_s = settings->late_s;
+  process->timer_delay_s = settings->late_s;
 }
 
 void sim_set_work(sim_work_fn fn) {
--- /dev/null
+++ b/tests/sim/processes.c
@@ -0,0 +1,64 @@
+/* Simulated processes: groups of routines that start, pause and end together. */
+#include "network.h"
+#include "sim.h"
+
+static GHashTable *g_processes;        /* address -> the newest process there */
+static sim_process *g_running_process; /* whose routine or handler runs; NULL: none */
+
+void sim_processes_init(void) {
+  g_processes = g_hash_table_new(NULL, NULL);
+  g_running_process = NULL;
+}
+
+static sim_process *newest_at(uint32_t ip) {
+  return g_hash_table_lookup(g_processes, GUINT_TO_POINTER(ip));
+}
+
+sim_process *sim_process_here(void) {
+  return g_running_process;
+}
+
+sim_process *sim_process_enter(sim_process *process) {
+  sim_process *before = g_running_process;
+  g_running_process = process;
+  return before;
+}
+
+void sim_process_start(uint32_t ip, sim_fn fn, void *arg) {
+  sim_process *process = g_new0(sim_process, 1);
+  process->ip = ip;
+  process->alive = true;
+  process->routines = g_ptr_array_new();
+  g_queue_init(&process->ready);
+  sim_load_apply(process);
+  g_hash_table_insert(g_processes, GUINT_TO_POINTER(ip), process);
+  sim_process *before = sim_process_enter(process);
+  fn(arg);
+  (void)sim_process_enter(before);
+}
+
+void sim_process_kill(uint32_t ip) {
+  sim_process *process = newest_at(ip);
+  if (!process || !process->alive) return;
+  process->alive = false;
+  while (process->routines->len > 0) sim_routine_release(process->routines->pdata[0]);
+}
+
+void sim_process_still(uint32_t ip, double for_s) {
+  sim_process *process = newest_at(ip);
+  if (process) process->paused_until = sim_now() + for_s;
+}
+
+size_t sim_process_routines(uint32_t ip) {
+  const sim_process *process = newest_at(ip);
+  return process ? process->routines->len : 0;
+}
+
+uint32_t sim_here(void) {
+  return g_running_process ? g_running_process->ip : 0;
+}
+
+bool sim_process_alive(uint32_t ip) {
+  const sim_process *process = newest_at(ip);
+  return process && process->alive;
+}
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -1,6 +1,8 @@
-/* A simulated transport: the same calls as src/transport, over virtual time and
- * a network whose faults are drawn from a seed. Several controllers run in one
- * process, each in a group of routines of its own that can be killed. */
+/* A simulated transport: the calls of src/transport over virtual time and a network whose
+ * faults are drawn from a seed. Several controllers run in one process, each in a group of
+ * routines of its own that can be killed.
+ *
+ * Addresses are IPv4 in host order; times and durations are seconds. */
 #ifndef FC_TESTS_SIM_H
 #define FC_TESTS_SIM_H
 
@@ -8,29 +10,37 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* ---- time and chance ---- */
+
 void sim_init(uint32_t seed);
 double sim_now(void);
 GRand *sim_rand(void);
 double sim_draw(double least, double most);
-bool sim_chance(double p);
+bool sim_chance(double probability);
 
-/* Runs fn(arg) after dt; in no process, so that no crash stops it. */
 typedef void (*sim_fn)(void *arg);
-void sim_after(double dt, sim_fn fn, void *arg);
-void sim_run_until(double t);
+/* Runs fn(arg) after the delay; in no process, so that no crash prevents it. */
+void sim_after(double delay_s, sim_fn fn, void *arg);
+void sim_run_until(double time);
+
+/* ---- processes ---- */
 
-/* Starts a process at the address (host order); kills it with all it waits for. */
+/* Starts a process at the address, in which fn(arg) runs. */
 void sim_process_start(uint32_t ip, sim_fn fn, void *arg);
+/* Ends the process with all its routines, wherever they wait. */
 void sim_process_kill(uint32_t ip);
-/* It stands still while its clock runs on; what it is sent meanwhile waits. */
+/* Pauses it while its clock runs on; what it is sent meanwhile stays queued. */
 void sim_process_still(uint32_t ip, double for_s);
-/* From its next start on it has that share of a processor: whatever wakes it, and each
- * message and byte that it reads or sends, costs it time, in which nothing else of it runs;
- * its clock runs on. Its timers fire up to late_s late besides. */
-void sim_process_share(uint32_t ip, double of_processor, double late_s);
+/* From its next start on it has that share of a processor: whatever wakes it, and each message
+ * and byte that it reads or sends, costs it time, in which nothing else of it runs; its clock
+ * runs on. Its timers fire up to timers_late_s late besides. */
+void sim_process_share(uint32_t ip, double of_processor, double timers_late_s);
 bool sim_process_alive(uint32_t ip);
-uint32_t sim_allocates(void); /* the process on whose behalf memory is taken now; 0: none */
-uint32_t sim_here(void);      /* the process that runs now; 0: none */
+size_t sim_process_routines(uint32_t ip); /* now */
+uint32_t sim_allocates(void);             /* the process on whose behalf memory is taken now; 0: none */
+uint32_t sim_here(void);                  /* the process that runs now; 0: none */
+
+/* ---- what processes cost ---- */
 
 /* Of a whole processor, of one that has a share. */
 typedef struct sim_costs {
@@ -41,7 +51,7 @@
 typedef double (*sim_work_fn)(uint32_t ip);
 void sim_set_work(sim_work_fn fn);
 
-/* What a process has sent and got since sim_init, its earlier lives included. */
+/* What a process has sent and got since sim_init, its earlier incarnations included. */
 typedef struct sim_traffic {
   uint64_t messages, bytes;
 } sim_traffic;
@@ -54,32 +64,41 @@
   sim_way peers, workers, others;
 } sim_load;
 sim_load sim_load_of(uint32_t ip);
-size_t sim_process_routines(uint32_t ip); /* now */
 
-/* How traffic from one address to another fares at this moment. */
+/* ---- links ---- */
+
+/* How traffic from one address to another fares at this moment: it arrives, waits, or its
+ * connection is reset. */
 typedef enum { SIM_CLEAR, SIM_HELD, SIM_RESET } sim_link;
 typedef sim_link (*sim_link_fn)(uint32_t from, uint32_t to);
+/* lose_request, lose_reply: the shares that are lost. */
 void sim_set_links(sim_link_fn fn, double lose_request, double lose_reply);
 /* Until then everything that is sent takes up to so much longer. */
 void sim_slow_links(double until, double most_s);
 
-/* A stand-in's server. It answers by sim_answer(), at once or later. */
+/* ---- a stand-in's server ---- */
+
 typedef struct sim_request {
   const char *method, *path, *body;
   struct sim_exchange *exchange;
 } sim_request;
-typedef void (*sim_server_fn)(const sim_request *r, void *arg);
+/* It answers by sim_answer(), at once or later. */
+typedef void (*sim_server_fn)(const sim_request *request, void *arg);
 void sim_serve(uint32_t ip, sim_server_fn fn, void *arg);
-void sim_answer(struct sim_exchange *x, int status, const char *body);
+/* The first answer counts, others are ignored. */
+void sim_answer(struct sim_exchange *exchange, int status, const char *body);
 
-/* A stand-in's client; status 0: no answer within the time. */
-/* A number for a connection that calls go on as long as they are answered. */
-uint64_t sim_connection(void);
+/* ---- a stand-in's client ---- */
+
+/* status 0: no reply within the time. */
 typedef void (*sim_reply_fn)(int status, const char *body, void *arg);
 /* Within it: the Retry-After of that reply; 0: none. */
 int sim_retry_after(void);
 void sim_call(uint32_t from, uint32_t to, const char *method, const char *path, const char *body, double timeout,
               sim_reply_fn fn, void *arg);
+/* A number for a connection that calls go on as long as they are answered. */
+uint64_t sim_connection(void);
+/* A POST on that connection. */
 void sim_call_on(uint64_t connection, uint32_t from, uint32_t to, const char *path, const char *body, double timeout,
                  sim_reply_fn fn, void *arg);
 
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -20,8 +20,8 @@
   fc_routine *waiter;
   sim_process *process;
   bool closed;
-  double clear_at; /* what is sent later arrives later */
-  double unpaid_s; /* for what has come and nobody has read yet */
+  double clear_at;      /* what is sent later arrives later */
+  double unread_cost_s; /* for what has come and nobody has read yet */
 };
 
 typedef struct sim_listener {
@@ -97,10 +97,10 @@
 static void deliver(fc_conn *conn, const sim_segment *segment, sim_link link) {
   if (segment->end || link == SIM_RESET) conn->other = NULL;
   if (!segment->end && link == SIM_CLEAR) g_byte_array_append(conn->inbox, segment->data->data, segment->data->len);
-  conn->unpaid_s += sim_message_cost(segment->data->len);
+  conn->unread_cost_s += sim_message_cost(segment->data->len);
   if (!conn->waiter) return;
-  sim_routine_owes(conn->waiter, conn->unpaid_s);
-  conn->unpaid_s = 0;
+  sim_routine_add_cost(conn->waiter, conn->unread_cost_s);
+  conn->unread_cost_s = 0;
   fc_routine_wake(conn->waiter);
 }
 
@@ -144,8 +144,8 @@
     conn->waiter = NULL;
     if (wake != FC_WAKE_OK) return -1;
   }
-  sim_charge(conn->process, conn->unpaid_s);
-  conn->unpaid_s = 0;
+  sim_charge(conn->process, conn->unread_cost_s);
+  conn->unread_cost_s = 0;
   size_t size = MIN(capacity, conn->inbox->len);
   memcpy(buf, conn->inbox->data, size);
   g_byte_array_remove_range(conn->inbox, 0, (guint)size);
