--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -1,11 +1,15 @@
-/* The cloud: rents machines out, in small numbers, some of which never boot. */
+/* A stand-in for the cloud: rents machines out while it has capacity; some of them never boot. */
 #include "stand_ins.h"
 
-static GHashTable *g_rentals;
-static bool g_cloud_down;
+#define NEVER_S 1e9
+#define NEVER_BOOTS_SHARE 0.05
+#define LIST_DELAY_S 10 /* a new machine is on the list so much later */
+
+static GHashTable *g_rentals; /* name of the request -> its reply */
+static bool g_down;
 
 void world_cloud_down(bool down) {
-  g_cloud_down = down;
+  g_down = down;
 }
 
 static unsigned rented(int zone, bool spot) {
@@ -17,7 +21,7 @@
   return count;
 }
 
-static void cloud_rent(const sim_request *request) {
+static void serve_rental(const sim_request *request) {
   json_t *message = json_loads(request->body, 0, NULL);
   const char *name = json_string_value(json_object_get(message, "hire"));
   json_t *known = g_hash_table_lookup(g_rentals, name);
@@ -28,7 +32,7 @@
     unsigned most = spot ? g_zone_spot_capacity : g_zone_capacity;
     json_t *ids = json_array();
     while (count-- > 0 && rented(zone, spot) < most) {
-      double boot = sim_chance(0.05) ? 1e9 : sim_draw(0.5, 20);
+      double boot = sim_chance(NEVER_BOOTS_SHARE) ? NEVER_S : sim_draw(0.5, 20);
       json_array_append_new(ids, json_string(worker_new(zone, spot, boot)->id));
     }
     if (json_array_size(ids) > 0) {
@@ -48,7 +52,7 @@
   free(text);
 }
 
-static void cloud_release(const sim_request *request) {
+static void serve_release(const sim_request *request) {
   json_t *message = json_loads(request->body, 0, NULL), *id;
   size_t i;
   json_array_foreach(json_object_get(message, "paddocks"), i, id) {
@@ -60,11 +64,11 @@
   sim_answer(request->exchange, 200, "{}");
 }
 
-static void cloud_list(const sim_request *request) {
+static void serve_list(const sim_request *request) {
   json_t *list = json_array();
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
-    if (worker->terminated || sim_now() < worker->created_at + 10) continue; /* the list is late */
+    if (worker->terminated || sim_now() < worker->created_at + LIST_DELAY_S) continue; /* the list lags behind */
     json_array_append_new(list, json_pack("{ss ss ss sb ss sf}", "id", worker->id, "build", "g4", "ground",
                                           world_zones[worker->zone], "loaners", (int)worker->spot, "status",
                                           worker->up ? "running" : "starting", "ageS", sim_now() - worker->created_at));
@@ -76,25 +80,25 @@
   free(text);
 }
 
-static void cloud_serve(const sim_request *request, void *arg) {
+static void serve(const sim_request *request, void *arg) {
   (void)arg;
-  if (g_cloud_down) {
+  if (g_down) {
     sim_answer(request->exchange, 503, "{\"error\":\"trouble\"}");
   } else if (strcmp(request->path, "/flavors") == 0) {
     sim_answer(request->exchange, 200,
                "{\"builds\":[{\"name\":\"g4\",\"cpus\":40,\"gpus\":4,\"memGb\":400,\"cacheGb\":100,\"pullGbPerS\":1,"
                "\"price\":10,\"marketPrice\":3,\"bootS\":10,\"grounds\":[\"a\",\"b\"]}]}");
   } else if (strcmp(request->path, "/hosts") == 0) {
-    cloud_rent(request);
+    serve_rental(request);
   } else if (strcmp(request->path, "/hosts/release") == 0) {
-    cloud_release(request);
+    serve_release(request);
   } else {
-    cloud_list(request);
+    serve_list(request);
   }
 }
 
 void cloud_init(void) {
-  g_cloud_down = false;
+  g_down = false;
   g_rentals = g_hash_table_new(g_str_hash, g_str_equal);
-  sim_serve(WORLD_CLOUD_IP, cloud_serve, NULL);
+  sim_serve(WORLD_CLOUD_IP, serve, NULL);
 }
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -1,4 +1,4 @@
-/* Links with their faults, and src/transport/http.h over them: one request and its answer. */
+/* Links with their faults, and src/transport/http.h over them: requests and replies. */
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,14 +7,18 @@
 #include "transport/conn.h"
 #include "transport/http.h"
 
-static GHashTable *g_stubs;   /* ip -> stub */
-static GHashTable *g_servers; /* "ip:port" -> server */
-static sim_link_fn g_links;
+#define CLIENT_PORT 8080 /* of controllers; stand-ins answer on any */
+#define LATE_SHARE 0.006 /* of requests */
+#define SLOW_SHARE 0.016 /* of requests, the late ones included */
+
+static GHashTable *g_stand_ins; /* ip -> stub */
+static GHashTable *g_servers;   /* "ip:port" -> server */
+static sim_link_fn g_link_state;
 static double g_lose_request, g_lose_reply;
-static double g_slow_until, g_slow_most;
+static double g_slow_until, g_slow_most_s;
 
 void sim_exchanges_init(void) {
-  g_stubs = g_hash_table_new(NULL, NULL);
+  g_stand_ins = g_hash_table_new(NULL, NULL);
   g_servers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   g_slow_until = 0;
 }
@@ -22,22 +26,22 @@
 /* ---- links ---- */
 
 void sim_set_links(sim_link_fn fn, double lose_request, double lose_reply) {
-  g_links = fn;
+  g_link_state = fn;
   g_lose_request = lose_request;
   g_lose_reply = lose_reply;
 }
 
 sim_link sim_link_now(uint32_t from, uint32_t to) {
-  return g_links ? g_links(from, to) : SIM_CLEAR;
+  return g_link_state ? g_link_state(from, to) : SIM_CLEAR;
 }
 
 void sim_slow_links(double until, double most_s) {
   g_slow_until = until;
-  g_slow_most = most_s;
+  g_slow_most_s = most_s;
 }
 
 double sim_slowness(void) {
-  return sim_now() < g_slow_until ? sim_draw(0, g_slow_most) : 0;
+  return sim_now() < g_slow_until ? sim_draw(0, g_slow_most_s) : 0;
 }
 
 /* ---- exchanges ---- */
@@ -48,10 +52,10 @@
   sim_process *process;
 } sim_server;
 
-typedef struct sim_stub {
+typedef struct stand_in_server {
   sim_server_fn fn;
   void *arg;
-} sim_stub;
+} stand_in_server;
 
 typedef struct sim_exchange {
   uint32_t from, to;
@@ -71,13 +75,13 @@
   return g_strdup_printf("%u:%u", ip, port);
 }
 
-static int g_retry_after_s; /* of the reply that is being handed over */
+static int g_retry_after_s; /* of the reply that a stand-in's client reads now */
 
 int sim_retry_after(void) {
   return g_retry_after_s;
 }
 
-static void deliver_reply(void *arg) {
+static void hand_over_reply(void *arg) {
   sim_exchange *exchange = arg;
   if (exchange->given_up) return;
   exchange->answered = true;
@@ -93,15 +97,15 @@
   }
 }
 
-static void reply_when_clear(void *arg) {
+static void deliver_reply(void *arg) {
   sim_exchange *exchange = arg;
   sim_link link = sim_link_now(exchange->to, exchange->from);
   if (link == SIM_RESET) return;
   if (link == SIM_HELD) {
-    sim_after(0.25, reply_when_clear, exchange);
+    sim_after(SIM_HELD_RETRY_S, deliver_reply, exchange);
     return;
   }
-  deliver_reply(exchange);
+  hand_over_reply(exchange);
 }
 
 /* The process that runs now, if it is the one at the address; else NULL. */
@@ -121,7 +125,7 @@
   sim_process *sender = sender_at(exchange->to);
   sim_charge(sender, sim_message_cost(bytes));
   if (sim_chance(g_lose_reply)) return;
-  sim_after(sim_draw(0.0003, 0.004) + sim_slowness() + sim_departs_in(sender), reply_when_clear, exchange);
+  sim_after(sim_draw(0.0003, 0.004) + sim_slowness() + sim_departs_in(sender), deliver_reply, exchange);
 }
 
 static void handler_main(void *arg) {
@@ -152,14 +156,14 @@
   sim_link link = sim_link_now(exchange->from, exchange->to);
   if (link == SIM_RESET) return;
   if (link == SIM_HELD) {
-    sim_after(0.25, deliver_request, exchange); /* delivered late, even when given up */
+    sim_after(SIM_HELD_RETRY_S, deliver_request, exchange); /* even if the sender has given up by then */
     return;
   }
-  sim_stub *stub = g_hash_table_lookup(g_stubs, GUINT_TO_POINTER(exchange->to));
-  if (stub) {
+  stand_in_server *stand_in = g_hash_table_lookup(g_stand_ins, GUINT_TO_POINTER(exchange->to));
+  if (stand_in) {
     sim_request request = {
         .method = exchange->method, .path = exchange->path, .body = exchange->body, .exchange = exchange};
-    stub->fn(&request, stub->arg);
+    stand_in->fn(&request, stand_in->arg);
     return;
   }
   char *key = sim_place_key(exchange->to, exchange->port);
@@ -189,19 +193,21 @@
     sim_charge(sender, sim_message_cost(bytes));
   }
   if (!sim_chance(g_lose_request)) {
-    /* Now and then slow, and now and then so late that the sender has given up
-     * long ago: it is carried out all the same. */
-    double choice = g_lose_request > 0 ? sim_draw(0, 1) : 1; /* a good network */
-    double delay = choice < 0.006 ? sim_draw(1, 40) : choice < 0.016 ? sim_draw(0.1, 0.5) : sim_draw(0.0003, 0.004);
+    /* Now and then slow, and now and then so late that the sender has given up long ago: it is
+     * delivered all the same. */
+    double choice = g_lose_request > 0 ? sim_draw(0, 1) : 1; /* no faults */
+    double delay = choice < LATE_SHARE   ? sim_draw(1, 40)
+                   : choice < SLOW_SHARE ? sim_draw(0.1, 0.5)
+                                         : sim_draw(0.0003, 0.004);
     sim_after(delay + sim_slowness() + sim_departs_in(sender), deliver_request, exchange);
   }
   return exchange;
 }
 
 void sim_serve(uint32_t ip, sim_server_fn fn, void *arg) {
-  sim_stub *stub = g_new(sim_stub, 1);
-  *stub = (sim_stub){fn, arg};
-  g_hash_table_insert(g_stubs, GUINT_TO_POINTER(ip), stub);
+  stand_in_server *stand_in = g_new(stand_in_server, 1);
+  *stand_in = (stand_in_server){fn, arg};
+  g_hash_table_insert(g_stand_ins, GUINT_TO_POINTER(ip), stand_in);
 }
 
 static void call_timeout(void *arg) {
@@ -220,7 +226,7 @@
 
 void sim_call_on(uint64_t connection, uint32_t from, uint32_t to, const char *path, const char *body, double timeout,
                  sim_reply_fn fn, void *arg) {
-  sim_exchange *exchange = send_request(from, to, 8080, "POST", path, body, strlen(body));
+  sim_exchange *exchange = send_request(from, to, CLIENT_PORT, "POST", path, body, strlen(body));
   exchange->connection = connection;
   exchange->fn = fn;
   exchange->fn_arg = arg;
@@ -229,7 +235,7 @@
 
 void sim_call(uint32_t from, uint32_t to, const char *method, const char *path, const char *body, double timeout,
               sim_reply_fn fn, void *arg) {
-  sim_exchange *exchange = send_request(from, to, 8080, method, path, body, body ? strlen(body) : 0);
+  sim_exchange *exchange = send_request(from, to, CLIENT_PORT, method, path, body, body ? strlen(body) : 0);
   exchange->fn = fn;
   exchange->fn_arg = arg;
   sim_after(timeout, call_timeout, exchange);
@@ -257,7 +263,7 @@
   *reply = (fc_http_reply){.body = g_string_new(NULL)};
   uint32_t to = ntohl(client->to.ip);
   if (sim_link_now(sim_here(), to) != SIM_CLEAR && sim_chance(0.5)) {
-    /* No connection: certainly not carried out. */
+    /* No connection: certainly not delivered. */
     while (fc_routine_park(deadline) == FC_WAKE_OK) {
     }
     reply->unsent = true;
@@ -294,5 +300,5 @@
 
 void fc_http_serve_conn(fc_conn *conn, const char *first, size_t first_len, const fc_http_server_options *opt,
                         fc_http_handler handler, void *arg) {
-  (void)conn, (void)first, (void)first_len, (void)opt, (void)handler, (void)arg; /* nobody asks here */
+  (void)conn, (void)first, (void)first_len, (void)opt, (void)handler, (void)arg; /* no simulated process calls it */
 }
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -59,7 +59,7 @@
   worker->fencing_token = fencing_token;
 }
 
-/* A reply with an older token comes from a former leader: it renews nothing. */
+/* A reply with an older fencing token comes from a former leader: it renews nothing. */
 static void accept_reply(sim_worker *worker, const json_t *message) {
   uint64_t fencing_token = integer_of(message, "captaincy");
   if (fencing_token < worker->fencing_token) return;
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -1,14 +1,14 @@
-/* Days whose troubles meet: each draws one, two or three of them that begin within
+/* Incidents that overlap: days with them draw one, two or three at a time, which begin within
  * seconds of each other. */
 #include "stand_ins.h"
 
-#define NEAR_S 4.0       /* troubles that meet begin within */
-#define TERM_CHANGES 10u /* in two minutes */
+#define OVERLAP_S 4.0      /* incidents that are drawn together begin within */
+#define LEADER_CHANGES 10u /* in two minutes */
 
-static double g_end; /* none begins after it */
+static double g_last_incident_at; /* none begins after it */
 
-/* For less than a worker's lease, for more, for more than a cancellation may take. */
-static double length(void) {
+/* Less than a worker's lease, more, or more than a cancellation may take. */
+static double random_length(void) {
   double choice = sim_draw(0, 1);
   if (choice < 0.4) return sim_draw(1, LEASE_S * 0.8);
   return choice < 0.75 ? sim_draw(LEASE_S, LEASE_S * 2) : sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4);
@@ -19,7 +19,7 @@
 }
 
 /* One, a few neighbours, or now and then all. */
-static void some_machines(unsigned *from, unsigned *to) {
+static void draw_machines(unsigned *from, unsigned *to) {
   unsigned all = g_worker_list->len;
   *from = 0;
   *to = all;
@@ -29,48 +29,49 @@
   *to = MIN(all, *from + few);
 }
 
-static void mute(void) {
+static void lose_outbound(void) {
   unsigned from, to;
-  some_machines(&from, &to);
-  world_mute(from, to, length());
+  draw_machines(&from, &to);
+  world_mute(from, to, random_length());
 }
 
-static void deaf(void) {
+static void lose_inbound(void) {
   unsigned from, to;
-  some_machines(&from, &to);
-  world_deaf(from, to, length());
+  draw_machines(&from, &to);
+  world_deaf(from, to, random_length());
 }
 
-static void late_writes_over(void *arg) {
+static void end_delayed_commits(void *arg) {
   (void)arg;
   world_late_writes(0);
 }
 
-static void late_writes(void) {
+static void delay_commits(void) {
   world_late_writes(sim_draw(0.03, 0.4));
-  sim_after(length(), late_writes_over, NULL);
+  sim_after(random_length(), end_delayed_commits, NULL);
 }
 
-static void slow_state(void) {
-  world_state_slow(length(), sim_draw(0.3, 8));
+static void slow_kv(void) {
+  world_state_slow(random_length(), sim_draw(0.3, 8));
 }
 
 static void cancel_burst(void) {
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, 0);
 }
 
-/* Their machines hang for seconds, or until their leases are long over. */
-static void cancel_burst_hang(void) {
-  users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : length());
+/* Their machines hang for seconds, or until their leases have long expired. */
+static void cancel_burst_and_hang(void) {
+  users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : random_length());
 }
 
-static void outage(void *arg) {
+static void begin_outage(void *arg) {
   (void)arg;
   world_state_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
-/* One is refused alone, users cancel, and a moment later nobody is served. */
-static void refused_then_outage(void) {
+/* The key-value store refuses one controller, users cancel, and a moment later nobody is
+ * served. */
+static void refuse_one_then_outage(void) {
   world_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
@@ -78,33 +79,33 @@
     users_cancel_running_in(1 + sim_chance(0.5), at);
     at += sim_draw(0.1, 1);
   }
-  sim_after(in_s, outage, NULL);
+  sim_after(in_s, begin_outage, NULL);
 }
 
-static void refused(void) {
-  world_refuse(any_node(), length());
-  if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, NEAR_S));
+static void refuse_one(void) {
+  world_refuse(any_node(), random_length());
+  if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, OVERLAP_S));
 }
 
-static void cancel_at_end_over(void *arg) {
+static void end_cancel_on_completion(void *arg) {
   (void)arg;
   world_cancel_at_end(0);
 }
 
-static void cancel_at_end(void) {
+static void cancel_on_completion(void) {
   world_cancel_at_end(sim_draw(0.2, 0.8));
-  sim_after(length(), cancel_at_end_over, NULL);
+  sim_after(random_length(), end_cancel_on_completion, NULL);
 }
 
-/* One controller and one worker, packets held; now and then it has just cancelled tasks. */
-static void cut_pair(void) {
+/* One controller and one worker; now and then users cancel jobs there. */
+static void cut_controller_and_worker(void) {
   if (g_worker_list->len == 0) return;
   unsigned node = any_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
-  world_cut_pair(node, at, length(), sim_chance(0.8) ? SIM_HELD : SIM_RESET);
-  if (sim_chance(0.6)) users_cancel_on_machine_in(at, 2, sim_draw(0, NEAR_S));
+  world_cut_pair(node, at, random_length(), sim_chance(0.8) ? SIM_HELD : SIM_RESET);
+  if (sim_chance(0.6)) users_cancel_on_machine_in(at, 2, sim_draw(0, OVERLAP_S));
 }
 
-/* A controller is lost in one way or another: its part goes to the others. */
+/* A controller fails in one way or another: its shard moves to the others. */
 static void lose_one(void) {
   double choice = sim_draw(0, 5);
   if (choice < 2) {
@@ -118,15 +119,15 @@
   }
 }
 
-static void next_change(void *arg) {
+static void next_leader_change(void *arg) {
   unsigned left = GPOINTER_TO_UINT(arg);
-  if (left == 0 || sim_now() > g_end) return;
+  if (left == 0 || sim_now() > g_last_incident_at) return;
   lose_one();
-  sim_after(sim_draw(9, 15), next_change, GUINT_TO_POINTER(left - 1));
+  sim_after(sim_draw(9, 15), next_leader_change, GUINT_TO_POINTER(left - 1));
 }
 
-static void term_changes(void) {
-  next_change(GUINT_TO_POINTER(TERM_CHANGES));
+static void change_leaders(void) {
+  next_leader_change(GUINT_TO_POINTER(LEADER_CHANGES));
 }
 
 typedef struct crash_later {
@@ -140,10 +141,10 @@
   g_free(arg);
 }
 
-/* What machines report now arrives after a crash, at those that act by then. */
-static void reports_held(void) {
+/* Heartbeats of now arrive after a crash, at those that are leaders by then. */
+static void deliver_heartbeats_late(void) {
   unsigned node = any_node(), from, to;
-  some_machines(&from, &to);
+  draw_machines(&from, &to);
   crash_later *planned = g_new(crash_later, 1);
   *planned = (crash_later){node, sim_draw(0.1, LEASE_S * 1.5)};
   double crash_in = sim_draw(0.1, 2);
@@ -155,98 +156,98 @@
   }
 }
 
-static void odd_requests(void) {
-  users_send_invalid(sim_now() + length());
+static void send_invalid_requests(void) {
+  users_send_invalid(sim_now() + random_length());
 }
 
-/* With nobody but its workers and its users, and jobs are cancelled through the others. */
-static void alone(void) {
-  world_alone(any_node(), length());
+/* It reaches only its workers and its users, and jobs are cancelled through the others. */
+static void isolate_controller(void) {
+  world_alone(any_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
 }
 
-/* All away, one of them back within a second or all of them late. */
-static void all_away(void) {
+/* All crash; one of them is back within a second, or all of them are late. */
+static void crash_all(void) {
   bool soon = sim_chance(0.5);
   unsigned first = any_node();
   for (unsigned n = 0; n < WORLD_NODES; n++)
     world_crash(n, soon && n == first ? sim_draw(0.1, 1) : sim_draw(LEASE_S * 0.5, LEASE_S * 1.3));
 }
 
-static void zone_cut(void) {
-  world_cut_zone((unsigned)g_rand_int_range(sim_rand(), 0, 2), length());
+static void cut_zone(void) {
+  world_cut_zone((unsigned)g_rand_int_range(sim_rand(), 0, 2), random_length());
 }
 
-static void stands_still(void) {
-  world_still(any_node(), length());
+static void pause_one(void) {
+  world_still(any_node(), random_length());
 }
 
 static void lose_machines(void) {
   unsigned from, to;
-  some_machines(&from, &to);
+  draw_machines(&from, &to);
   world_kill(from, MIN(to, from + 3));
 }
 
 static const struct {
   const char *name;
-  void (*begin)(void);
-} k_troubles[] = {
-    {"mute", mute},
-    {"deaf", deaf},
-    {"late writes", late_writes},
-    {"slow state", slow_state},
+  void (*begin_incident)(void);
+} k_incidents[] = {
+    {"outbound lost", lose_outbound},
+    {"inbound lost", lose_inbound},
+    {"late writes", delay_commits},
+    {"slow key-value store", slow_kv},
     {"cancellations", cancel_burst},
-    {"cancellations, machines hang", cancel_burst_hang},
-    {"refused, then an outage", refused_then_outage},
-    {"refused", refused},
-    {"cancellations at the end", cancel_at_end},
-    {"pair cut", cut_pair},
-    {"ten changes of term", term_changes},
+    {"cancellations, machines hang", cancel_burst_and_hang},
+    {"refused, then an outage", refuse_one_then_outage},
+    {"refused", refuse_one},
+    {"cancellations at the end", cancel_on_completion},
+    {"controller and worker cut off", cut_controller_and_worker},
+    {"ten leader changes", change_leaders},
     {"one lost", lose_one},
-    {"reports held", reports_held},
-    {"odd requests", odd_requests},
-    {"alone", alone},
-    {"all away", all_away},
-    {"zone cut", zone_cut},
-    {"stands still", stands_still},
+    {"late heartbeats", deliver_heartbeats_late},
+    {"invalid requests", send_invalid_requests},
+    {"controller isolated", isolate_controller},
+    {"all crash", crash_all},
+    {"zone cut", cut_zone},
+    {"pause", pause_one},
     {"machines lost", lose_machines},
 };
 
-static void begin(void *arg) {
+static void begin_incident(void *arg) {
   unsigned which = GPOINTER_TO_UINT(arg);
-  if (sim_now() > g_end) return;
+  if (sim_now() > g_last_incident_at) return;
   g_result.faults++;
-  if (g_verbose) g_printerr("%.2f trouble: %s\n", sim_now(), k_troubles[which].name);
-  k_troubles[which].begin();
+  if (g_verbose) g_printerr("%.2f incident: %s\n", sim_now(), k_incidents[which].name);
+  k_incidents[which].begin_incident();
 }
 
-static void meet(void *arg) {
+static void begin_some_incidents(void *arg) {
   (void)arg;
-  if (sim_now() > g_end) return;
+  if (sim_now() > g_last_incident_at) return;
   unsigned count = 1 + (unsigned)sim_draw(0, 3);
   for (unsigned i = 0; i < count; i++) {
-    guint which = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_troubles));
-    sim_after(i == 0 ? 0 : sim_draw(0, NEAR_S), begin, GUINT_TO_POINTER(which));
+    guint which = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_incidents));
+    sim_after(i == 0 ? 0 : sim_draw(0, OVERLAP_S), begin_incident, GUINT_TO_POINTER(which));
   }
-  sim_after(sim_draw(4, 40), meet, NULL);
+  sim_after(sim_draw(4, 40), begin_some_incidents, NULL);
 }
 
 void incidents_vary_job(sim_job *job) {
   bool sweep = strcmp(job->kind, "sweep") == 0, gang = strcmp(job->kind, "gang") == 0;
-  /* What meets it finds it with long to go. Not the widest gangs: four of a thousand
-   * days had more work for the limited team than there was time. */
+  /* So that incidents hit jobs with a long time to run. Not the widest gangs: four of a thousand
+   * days had more work for the team with a quota than there was time. */
   bool longer = job->gpus < 2 && sim_chance(0.3);
   if (longer) job->run_s *= 3;
   if (sim_chance(0.15)) job->zone = world_zones[g_rand_int_range(sim_rand(), 0, 2)];
   if (job->zone) job->spread = false;
   if (sweep && sim_chance(0.2)) job->one_zone = true;
-  if (sweep && !longer && sim_chance(0.2)) job->tasks += 12; /* in several virtual jobs */
+  if (sweep && !longer && sim_chance(0.2)) job->tasks += 12; /* more than one slice */
   if (gang && job->gpus < 2 && sim_chance(0.2)) job->tasks += 4;
 }
 
 double incidents_start(double end) {
-  g_end = end;
-  sim_after(sim_draw(8, 20), meet, NULL);
-  /* The longest, with what is still held then. */
-  return end + NEAR_S + CANCEL_DEADLINE_S * 1.6;
+  g_last_incident_at = end;
+  sim_after(sim_draw(8, 20), begin_some_incidents, NULL);
+  /* The longest, and what is still held back then. */
+  return end + OVERLAP_S + CANCEL_DEADLINE_S * 1.6;
 }
--- a/tests/sim/kv.h
+++ b/tests/sim/kv.h
@@ -55,7 +55,7 @@
 
 void kv_watches_init(void);
 void kv_watch_open(const sim_request *request, bool former);
-/* Answers watches that have changes or whose time is over. */
+/* Answers watches that have changes or have expired. */
 void kv_watches_answer(void);
 /* Answers of watches stop if that is asked for of a write with this body. */
 void kv_watches_note_write(const char *body);
--- a/tests/sim/kv_faults.c
+++ b/tests/sim/kv_faults.c
@@ -58,10 +58,6 @@
   g_slow_most_s = most_s;
 }
 
-void world_state_blind(const char *id, double for_s) {
-  kv_delay_watches_after(id, for_s);
-}
-
 void world_late_writes(double share) {
   g_delayed_commit_share = share;
 }
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -3,12 +3,14 @@
 #include "network.h"
 #include "sim.h"
 
-typedef struct share {
-  double of_processor, late_s;
-} share;
+typedef struct cpu_share {
+  double of_processor, timers_late_s;
+} cpu_share;
 
-static GHashTable *g_shares; /* ip -> share: outlives the process */
-static GHashTable *g_loads;  /* ip -> sim_load: since the start of the simulation */
+#define WORKER_NETWORK (10u << 8 | 1) /* the first two bytes of an address */
+
+static GHashTable *g_shares; /* address -> cpu_share: outlives the process */
+static GHashTable *g_loads;  /* address -> sim_load: since the start of the simulation */
 static sim_work_fn g_work;
 static unsigned g_own_work; /* depth of sim_own_work_begin() */
 static const sim_costs k_costs = {.wake_s = 20e-6, .message_s = 30e-6, .byte_s = 0.1e-6};
@@ -85,18 +87,17 @@
   }
 }
 
-/* From its next start on. */
-void sim_process_share(uint32_t ip, double of_processor, double late_s) {
-  share *settings = g_new(share, 1);
-  *settings = (share){of_processor, late_s};
+void sim_process_share(uint32_t ip, double of_processor, double timers_late_s) {
+  cpu_share *settings = g_new(cpu_share, 1);
+  *settings = (cpu_share){of_processor, timers_late_s};
   g_hash_table_insert(g_shares, GUINT_TO_POINTER(ip), settings);
 }
 
 void sim_load_apply(sim_process *process) {
-  const share *settings = g_hash_table_lookup(g_shares, GUINT_TO_POINTER(process->ip));
+  const cpu_share *settings = g_hash_table_lookup(g_shares, GUINT_TO_POINTER(process->ip));
   if (!settings) return;
   process->share = settings->of_processor;
-  process->timer_delay_s = settings->late_s;
+  process->timer_delay_s = settings->timers_late_s;
 }
 
 void sim_set_work(sim_work_fn fn) {
--- a/tests/sim/random_jobs.c
+++ b/tests/sim/random_jobs.c
@@ -57,7 +57,7 @@
   sim_job *earlier = sim_chance(0.3) ? any_earlier() : NULL;
   if (earlier) g_ptr_array_add(stages, earlier);
   for (unsigned i = 0; i < count; i++) {
-    /* Some submit the last only when the others may be over. */
+    /* Some submit the last only when the others may be done. */
     bool last = i + 1 == count;
     sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_S : from_s, stages);
     if (last) {
--- a/tests/sim/requests.h
+++ b/tests/sim/requests.h
@@ -1,23 +1,24 @@
-/* Single requests of a test's own, with their answers and how long those took. */
+/* Single requests of a scene, with their answers and how long those took. */
 #ifndef FC_TESTS_SIM_REQUESTS_H
 #define FC_TESTS_SIM_REQUESTS_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* An answer, or that there was none: status 0. */
+/* An answer; status 0: there was none in time. */
 typedef struct world_reply {
   int status, retry_after; /* the latter 0: not said */
   char body[400];
-  double took; /* seconds, once it has come; before that when it was sent */
+  double took; /* seconds, once it has come; before that the time at which it was sent */
   bool came;
 } world_reply;
 
-/* Sends a request to the address; *r, which has to live until it has come, gets the answer. */
+/* Sends a request to the address and returns at once. *reply gets the answer later: the caller
+ * keeps it alive until reply->came. */
 void world_send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body);
-/* To a controller's address for users. */
+/* The same, to a controller's address for users. */
 void world_send(world_reply *reply, unsigned node, const char *method, const char *path, const char *body);
-/* Sends it and plays on until the answer has come. */
+/* Sends it and runs the simulation on until the answer has come. */
 world_reply world_request_to(uint32_t ip, const char *method, const char *path, const char *body);
 world_reply world_request(unsigned node, const char *method, const char *path, const char *body);
 
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -6,6 +6,8 @@
 #include "network.h"
 #include "transport/conn.h"
 
+#define CONNECT_S 0.001 /* to set up a connection */
+
 static GHashTable *g_listeners; /* "ip:port" -> listener */
 
 void sim_streams_init(void) {
@@ -20,8 +22,8 @@
   fc_routine *waiter;
   sim_process *process;
   bool closed;
-  double clear_at;      /* what is sent later arrives later */
-  double unread_cost_s; /* for what has come and nobody has read yet */
+  double next_arrival_at; /* of what is sent next: nothing overtakes */
+  double unread_cost_s;   /* for what has come and nobody has read yet */
 };
 
 typedef struct sim_listener {
@@ -59,7 +61,7 @@
   fc_conn *conn;
 } accepted_conn;
 
-static void accepted_main(void *arg) {
+static void serve_accepted(void *arg) {
   accepted_conn accepted = *(accepted_conn *)arg;
   g_free(arg);
   accepted.link->fn(accepted.conn, accepted.link->arg);
@@ -71,7 +73,7 @@
   char *key = sim_place_key(ip, to->port);
   sim_listener *listener = g_hash_table_lookup(g_listeners, key);
   g_free(key);
-  (void)fc_routine_sleep(0.001);
+  (void)fc_routine_sleep(CONNECT_S);
   if (!listener || !listener->process->alive || sim_link_now(sim_here(), ip) != SIM_CLEAR) {
     while (fc_routine_park(deadline) == FC_WAKE_OK) {
     }
@@ -83,7 +85,7 @@
   theirs->other = mine;
   accepted_conn *accepted = g_new(accepted_conn, 1);
   *accepted = (accepted_conn){listener, theirs};
-  (void)sim_spawn_in(listener->process, accepted_main, accepted);
+  (void)sim_spawn_in(listener->process, serve_accepted, accepted);
   return mine;
 }
 
@@ -93,8 +95,7 @@
   bool end;
 } sim_segment;
 
-/* Delivers in order what may arrive by now. */
-static void deliver(fc_conn *conn, const sim_segment *segment, sim_link link) {
+static void take_segment(fc_conn *conn, const sim_segment *segment, sim_link link) {
   if (segment->end || link == SIM_RESET) conn->other = NULL;
   if (!segment->end && link == SIM_CLEAR) g_byte_array_append(conn->inbox, segment->data->data, segment->data->len);
   conn->unread_cost_s += sim_message_cost(segment->data->len);
@@ -104,17 +105,18 @@
   fc_routine_wake(conn->waiter);
 }
 
-static void pump(void *arg) {
+/* Delivers in order what arrives by now. */
+static void deliver_arrived(void *arg) {
   fc_conn *conn = arg;
   sim_segment *segment;
   while ((segment = g_queue_peek_head(&conn->arriving)) && segment->when <= sim_now()) {
     sim_link link = sim_link_now(conn->remote, conn->local);
     if (link == SIM_HELD) {
-      sim_after(0.25, pump, conn);
+      sim_after(SIM_HELD_RETRY_S, deliver_arrived, conn);
       return;
     }
     (void)g_queue_pop_head(&conn->arriving);
-    if (!conn->closed && conn->process->alive) deliver(conn, segment, link);
+    if (!conn->closed && conn->process->alive) take_segment(conn, segment, link);
     g_byte_array_free(segment->data, TRUE);
     g_free(segment);
   }
@@ -130,9 +132,9 @@
   sim_count_message(from->local, from->remote, size);
   sim_charge(from->process, sim_message_cost(size));
   double leaves = sim_now() + sim_departs_in(from->process);
-  segment->when = from->clear_at = MAX(leaves + sim_draw(0.0003, 0.003) + sim_slowness(), from->clear_at);
+  segment->when = from->next_arrival_at = MAX(leaves + sim_draw(0.0003, 0.003) + sim_slowness(), from->next_arrival_at);
   g_queue_push_tail(&from->other->arriving, segment);
-  sim_at(segment->when, pump, from->other);
+  sim_at(segment->when, deliver_arrived, from->other);
   sim_own_work_end();
 }
 
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -1,5 +1,10 @@
-/* The world around the controllers: stand-ins, written from the published
- * protocol, that check each of its rules. */
+/* The world around the simulated controllers: stand-ins for users, workers, the cloud and the
+ * key-value store, written from the published protocol, that check each of its rules; and what
+ * a scene does with them.
+ *
+ * Durations are seconds of virtual time, times are those of sim_now(). "node": a controller's
+ * number; "machine", "from", "to" (exclusive): machines' numbers in order of creation. A job's
+ * id has to name a job of the scene. */
 #ifndef FC_TESTS_WORLD_SIM_H
 #define FC_TESTS_WORLD_SIM_H
 
@@ -13,162 +18,205 @@
 #define WORLD_CLOUD_IP IP(10, 2, 0, 2)
 #define WORLD_USER_IP IP(10, 3, 0, 1)
 
+/* ---- results ---- */
+
 typedef struct world_result {
-  unsigned broken;
+  unsigned broken; /* rules */
   char first[200]; /* the first broken rule */
-  unsigned submitted, accepted, finished, unfinished, cancelled, starts, lease_kills, crashes, faults;
-  unsigned late_starts;                      /* after the user was told that the job is cancelled */
-  unsigned odd;                              /* requests that must be refused, or repeat what is over */
+  unsigned submitted, accepted, finished, unfinished, cancelled, starts;
+  unsigned lease_kills; /* tasks that ended with their worker's lease */
+  unsigned crashes, faults;
+  unsigned late_starts;                      /* after the user saw that the job is cancelled */
+  unsigned odd;                              /* requests that must be refused, or repeat what is done */
   unsigned served_least;                     /* of a class, a team, a class's largest jobs: percent */
   unsigned done_starts;                      /* of tasks that had completed before */
   unsigned submissions, unanswered, refused; /* sent; without any answer; with 429 or 503 */
-  double lease_left_s;                       /* the least that a worker in touch had left of its lease */
-  unsigned over_rate;                        /* transactions that the state service refused for its rate */
+  double lease_left_s;                       /* the least that a reachable worker had left of its lease */
+  unsigned over_rate;                        /* transactions that the key-value store refused for its rate */
   unsigned questions, told, put_off;         /* about jobs; answered with 200; with 503 */
 } world_result;
 
-/* Plays one day with the faults that the seed draws. */
+world_result world_so_far(void);
+void world_watch_leases(void); /* lease_left_s counts from here */
+
+/* ---- random days ---- */
+
 typedef struct world_day {
-  bool meetings;  /* also troubles that begin within seconds of each other */
-  bool pipelines; /* also jobs that await others */
+  bool meetings;  /* also incidents that overlap */
+  bool pipelines; /* also jobs that need others */
   bool upgrade;   /* controllers begin with the former version and are replaced one by one */
 } world_day;
+
+/* Plays one day with the faults that the seed draws; jobs arrive for busy_s. */
 world_result world_play(uint32_t seed, double busy_s, const world_day *day);
 
-/* For tests that play their own scene: the stand-ins, then the controllers. */
+/* ---- set-up of a scene ---- */
+
+/* The stand-ins, with the usual settings; that share of messages is lost. */
 void world_set_up(uint32_t seed, double lose);
+/* Then what deviates from the usual settings, then the controllers. */
 void world_start_nodes(void);
-unsigned world_machines(void); /* rented ever */
-void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s);
-bool world_give_notice(double in_s); /* to a cheap machine in use */
-void world_notice(unsigned machine, double in_s);
-unsigned world_ended(const char *cause);
-void world_capacity(unsigned ordinary, unsigned spot); /* of a zone */
-/* A deployment of that many machines, instead of the small one: to be said before the
- * controllers start. */
+
+void world_capacity(unsigned ordinary, unsigned spot); /* machines that the cloud has in a zone */
+/* Ordinary machines that are there from the start. */
+void world_machines_up(unsigned zone, unsigned count);
+/* A deployment of that many machines instead of the small one; none is rented or returned. */
 void world_large(unsigned machines);
-/* A deployment of that many machines on controllers with a fortieth of a core: rates of the
- * state service and the cloud as such sites have them; nothing is rented or returned. */
+/* The same on controllers with a fortieth of a core, with the rates of the key-value store and
+ * the cloud that such sites have. */
 void world_lean(unsigned machines);
-/* The controller has that share of a processor, and timers up to so much late, from its next
- * start on. */
-void world_slow(unsigned node, double of_processor, double timers_late_s);
-unsigned world_terms(void); /* written so far */
-/* From then on what must hold all through a quiet day is checked, and in the end what must
- * hold then. */
-void world_checks_from(double in_s);
-void world_checks_end(void);
-void world_return_idle(void);       /* idle machines are returned at once */
-void world_keep_idle(void);         /* idle machines are not returned */
-void world_keep_over(double for_s); /* jobs that are over are archived after so long */
-/* What a controller has counted since its last start. */
-fc_counters world_counts(unsigned node);
-void world_machines_up(unsigned zone, unsigned count); /* ordinary ones, there from the start */
-/* "job-000007"; good until the fourth call after it. */
-const char *world_id(unsigned k);
+void world_return_idle(void);               /* idle machines are returned at once */
+void world_keep_idle(void);                 /* idle machines are not returned */
+void world_keep_over(double for_s);         /* terminal jobs are archived after so long */
+void world_limit(double cpus, double gpus); /* the quota of team blue */
+void world_images_there(void);              /* no machine has to fetch an image */
+
+/* ---- jobs ---- */
+
 typedef struct world_job {
-  const char *id, *kind, *rank, *team; /* rank, team: NULL: standard, red */
+  const char *id, *kind, *rank, *team; /* rank: its priority; rank, team: NULL: standard, red */
   const char *zone;                    /* the only one allowed; NULL: any */
   unsigned tasks;
-  double gpus, run_s, in_s;
-  double later_s; /* so much later than the one before it each task ends */
+  double gpus, run_s, in_s; /* in_s: until its submission */
+  double later_s;           /* each task runs so much longer than the one before it */
   bool one_zone, spread, spot;
-  double cancel_in_s; /* after its user is told that it is accepted; 0: never */
-  double whistle_s;   /* its deadline; 0: none */
-  const char *awaits[4];
+  double cancel_in_s;    /* after its user sees that it is accepted; 0: never */
+  double whistle_s;      /* its deadline; 0: none */
+  const char *awaits[4]; /* jobs that it needs */
 } world_job;
+
+/* "job-000007"; good until the fourth call after it. */
+const char *world_id(unsigned number);
 void world_submit_job(const world_job *spec);
+/* The usual job of its kind. */
 void world_submit(const char *id, const char *kind, const char *rank, unsigned tasks, double gpus, double run_s,
                   double in_s);
-double world_began(const char *id); /* 0: not yet */
+/* A job that is known to workers alone. */
+void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s);
+void world_cancel(const char *id, int node, double in_s); /* by that controller first; -1: by any */
+void world_cancel_at_end(double share);                   /* that share of jobs, as they complete */
+/* Users send all requests to that controller, as if it were the only healthy one; -1: to any. */
+void world_users_to(int node);
+
+/* ---- questions about jobs ---- */
+
+double world_accepted_at(const char *id);  /* when its user saw it; 0: not yet */
+double world_cancelled_at(const char *id); /* when its user saw it; 0: not yet */
+double world_told_done_at(const char *id); /* when its user saw it; 0: not yet */
+const char *world_told(const char *id);    /* the terminal state that its user saw first; NULL: none yet */
+double world_began(const char *id);        /* 0: not yet */
+double world_ended_at(const char *id);     /* when its last task completed; 0: not yet */
+unsigned world_tasks_of(const char *id);   /* on machines now, on unreachable and hung ones too */
+unsigned world_starts_of(const char *id);  /* tasks that had their image */
+/* The machine that a task of the job is on; -1: none. */
+int world_machine_of(const char *id, unsigned index);
+/* Jobs accepted before then that aren't terminal, and about which no question was answered since
+ * then. */
+unsigned world_unanswered(double since);
+void world_ask_job(unsigned node, const char *id); /* its user does, and checks the answer */
+int world_ask(unsigned node, const char *path);    /* runs until the answer; its status */
+
+/* ---- controllers ---- */
+
 void world_crash(unsigned node, double back_in_s);
-/* It ends that long after it next writes a key that begins so: within the way of the
- * answer it has not learned of the write. */
+/* It crashes that long after it next writes a key with the prefix: before the answer arrives it
+ * doesn't know of the write. */
 void world_crash_at_write(unsigned node, const char *prefix, double after_s, double back_in_s);
-void world_alone(unsigned node, double for_s);             /* with nobody but its workers */
-void world_cut_zone(unsigned zone, double for_s);          /* from everything */
-void world_still(unsigned node, double for_s);             /* while its clock runs on */
-void world_deaf(unsigned from, unsigned to, double for_s); /* machines in order of creation */
-unsigned world_gone(unsigned from, unsigned to);
-void world_kill(unsigned from, unsigned to); /* machines in order of creation */
-void world_images_there(void);               /* no machine has to fetch one */
-unsigned world_node_of(unsigned machine);    /* the controller that it reports to */
-void world_hang(unsigned from, unsigned to, double for_s);
-/* They reach no controller; direct commands reach them. */
-void world_mute(unsigned from, unsigned to, double for_s);
-/* Packets between the two wait, or connections are reset; both reach all others. */
+void world_still(unsigned node, double for_s); /* pauses while its clock runs on */
+/* From its next start on it has that share of a processor, and timers up to so much late. */
+void world_slow(unsigned node, double of_processor, double timers_late_s);
+fc_counters world_counts(unsigned node); /* since its last start */
+unsigned world_terms(void);              /* records of terms written so far */
+
+/* ---- versions ---- */
+
+/* The controllers are of the version before pipelines, until each is upgraded: they can't read
+ * records of jobs that need others, ignore what a submission needs and what limits the key-value
+ * store will have, and say nothing of the formats that they read. After world_state_next, before
+ * they start. */
+void world_former_version(void);
+/* The controller ends, and comes back with the present version, or again with the former. */
+void world_upgrade(unsigned node, double back_in_s);
+void world_downgrade(unsigned node, double back_in_s);
+bool world_is_former(unsigned node);
+bool world_any_former(void);
+
+/* ---- links ---- */
+
+void world_alone(unsigned node, double for_s);    /* it reaches only its workers and users */
+void world_cut_zone(unsigned zone, double for_s); /* from everything */
+/* Traffic between the two waits, or connections are reset; both reach all others. */
 void world_cut_pair(unsigned node, unsigned machine, double for_s, sim_link mode);
 void world_cut_node(unsigned node, double for_s, sim_link mode); /* from everything */
 void world_cut_node_peers(unsigned node, double for_s);
 void world_cut_node_workers(unsigned node, double for_s, sim_link mode);
-/* The machine's report of now arrives, once more, there and then. */
-void world_report_later(unsigned machine, unsigned node, double in_s);
-void world_refuse(unsigned node, double for_s); /* by the state service, alone */
+void world_slow_links(double for_s, double most_s); /* whatever is sent takes up to so much longer */
+
+/* ---- the key-value store ---- */
+
+void world_refuse(unsigned node, double for_s); /* it refuses that controller alone */
 void world_state_down(double for_s);
 void world_state_down_in(double in_s, double for_s);
 void world_state_slow(double for_s, double most_s); /* each answer takes up to so long */
-/* The limits of the state service from now on. write_rps 0: as many changes as come. A
- * transaction that is refused for its size breaks a rule. */
+/* From the next write of the job on, watches are not answered; writes are served. */
+void world_state_blind(const char *id, double for_s);
+/* Its limits from now on; write_rps 0: no limit of the rate. */
 void world_state_limits(double value_kb, unsigned txn_ops, double write_rps);
-/* The controllers' settings say that it will have those limits; before they start. Larger
- * values and transactions of theirs break a rule from the start. */
+/* The controllers' settings announce those limits; before they start. Larger values and
+ * transactions of theirs break a rule from the start. */
 void world_state_next(double value_kb, unsigned txn_ops, double write_rps);
-/* The controllers are of the version before pipelines, until each is upgraded: they can't read
- * records of jobs that await others, ignore what a submission awaits and what limits the state
- * service will have, and say nothing of what they read. After world_state_next, before they
- * start. */
-void world_former_version(void);
-/* The controller ends, and comes back with the present version, or again with the former. */
-void world_upgrade(unsigned node, double back_in_s);
-void world_downgrade(unsigned node, double back_in_s);
-bool world_is_former(unsigned node);
-bool world_any_former(void);
-/* From the next write of the job on, reads of changes wait; writes are served. */
-void world_state_blind(const char *id, double for_s);
-void world_slow_links(double for_s, double most_s); /* whatever is sent takes up to so much longer */
-/* From then on it breaks a rule when a job has nothing anywhere for 90 s, while there
- * is room for it and its team's limit allows it. */
-void world_troubles_end(double in_s);
-/* That share of transactions gets no answer and is carried out 2 to 12 s late. */
+/* That share of transactions gets no answer in time and is applied 2 to 12 s late. */
 void world_late_writes(double share);
-void world_lateness(double least_s, double most_s);       /* of those; instead of 2 to 12 s */
-void world_late_only(const char *text);                   /* of those whose body holds that; NULL: all */
-void world_check_returned(void);                          /* no record is left of a machine that was returned */
-void world_cancel(const char *id, int node, double in_s); /* by that controller first; -1: any */
-double world_accepted_at(const char *id);                 /* when its user was told; 0: not yet */
-double world_cancelled_at(const char *id);                /* when its user was told; 0: not yet */
-void world_users_to(int node);                            /* the only healthy one; -1: any */
-void world_cancel_at_end(double share);
-double world_ended_at(const char *id);      /* when its last task completed; 0: not yet */
-const char *world_told(const char *id);     /* the final state that its user was told first; NULL: none yet */
-void world_cloud_down(bool down);           /* it answers every request with 503 */
-void world_limit(double cpus, double gpus); /* of team blue, before the controllers start */
-unsigned world_tasks_of(const char *id);    /* on machines now, those of cut and hung ones too */
-unsigned world_starts_of(const char *id);   /* that had their image */
-double world_told_done_at(const char *id);  /* 0: not yet */
-/* Jobs accepted before then that aren't over, and about which no question was answered since then. */
-unsigned world_unanswered(double since);
-/* The machine that a task of the job is on, in order of creation; -1: none. */
-int world_machine_of(const char *id, unsigned index);
-world_result world_so_far(void);
-void world_watch_leases(void);                     /* lease_left_s counts from here */
-unsigned world_running(void);                      /* tasks, now */
-unsigned world_fetching(void);                     /* tasks that were told to start and wait for their image */
-void world_ask_job(unsigned node, const char *id); /* its user does, and checks the answer */
-int world_ask(unsigned node, const char *path);    /* the status of the answer */
-
-/* Within the stand-ins. */
-void kv_init(void);
-/* What those who know of them have to keep to from now on. */
-void kv_set_announced_limits(double value_kb, unsigned txn_ops);
-bool world_sent_by_former(const struct sim_exchange *x); /* a request of a controller of that version */
+void world_lateness(double least_s, double most_s); /* of those; instead of 2 to 12 s */
+void world_late_only(const char *text);             /* of those whose body holds that; NULL: all */
 void state_down(bool down);
-void kv_delay_watches_after(const char *id, double for_s);
 bool state_has(const char *key);
 bool state_says(const char *key, const char *text);              /* its value, as compact JSON, holds that */
-void state_each(const char *prefix, void (*fn)(const char *id)); /* the ids of jobs behind it */
-bool world_kv_refuses(const struct sim_exchange *x);
-void world_key_written(const struct sim_exchange *x, const char *key);
+void state_each(const char *prefix, void (*fn)(const char *id)); /* the ids of jobs after the prefix */
+
+/* ---- machines and the cloud ---- */
+
+void world_hang(unsigned from, unsigned to, double for_s);
+void world_kill(unsigned from, unsigned to);
+void world_deaf(unsigned from, unsigned to, double for_s); /* nothing that is sent to them arrives */
+/* They reach no controller; direct commands reach them. */
+void world_mute(unsigned from, unsigned to, double for_s);
+bool world_give_notice(double in_s); /* of preemption, to a spot machine in use; false: there is none */
+void world_notice(unsigned machine, double in_s);
+/* The machine's heartbeat of now arrives, once more, there and then. */
+void world_report_later(unsigned machine, unsigned node, double in_s);
+void world_cloud_down(bool down); /* it answers every request with 503 */
+
+unsigned world_machines(void);                   /* that there ever were */
+unsigned world_gone(unsigned from, unsigned to); /* how many of them have ended */
+unsigned world_node_of(unsigned machine);        /* the controller that it sends heartbeats to */
+unsigned world_running(void);                    /* tasks, now */
+unsigned world_fetching(void);                   /* tasks that were started and wait for their image */
+unsigned world_ended(const char *cause);         /* tasks that have exited for it */
+
+/* ---- checks ---- */
+
+/* From then on what must hold all through a quiet day is checked, and by world_checks_end() what
+ * must hold at its end. */
+void world_checks_from(double in_s);
+void world_checks_end(void);
+/* From then on it breaks a rule when a job has no task anywhere for 90 s although it fits and its
+ * team's quota allows it. */
+void world_troubles_end(double in_s);
+void world_check_returned(void); /* no record is left of a machine that was returned */
+
+/* ---- between the stand-ins ---- */
+
+/* A rule is broken; detail: by what. */
 void world_broke(const char *rule, const char *detail);
+/* Did a controller of the former version send the request? */
+bool world_sent_by_former(const struct sim_exchange *exchange);
+/* Does the key-value store refuse its sender? */
+bool world_kv_refuses(const struct sim_exchange *exchange);
+/* The request's sender has written the key. */
+void world_key_written(const struct sim_exchange *exchange, const char *key);
+void kv_init(void);
+/* What controllers that know of announced limits keep to from now on. */
+void kv_set_announced_limits(double value_kb, unsigned txn_ops);
 
 #endif
