--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -230,6 +230,6 @@
     check_served("team", teams[i], jobs, jobs->len);
     g_ptr_array_free(jobs, TRUE);
   }
-  state_each("fc1/job/", check_record_known);
-  state_each("fc1over/", check_record_known);
+  kv_each_job("fc1/job/", check_record_known);
+  kv_each_job("fc1over/", check_record_known);
 }
--- a/tests/sim/controllers.c
+++ b/tests/sim/controllers.c
@@ -50,7 +50,7 @@
   sim_after(back_in_s, start_if_down, GUINT_TO_POINTER(node));
 }
 
-void world_still(unsigned node, double for_s) {
+void world_pause_node(unsigned node, double for_s) {
   sim_process_still(WORLD_NODE_IP(node), for_s);
 }
 
@@ -108,7 +108,7 @@
                                       job_s * g_hash_table_size(fc_controller_cluster(controller)->jobs));
 }
 
-void world_slow(unsigned node, double of_processor, double timers_late_s) {
+void world_slow_node(unsigned node, double of_processor, double timers_late_s) {
   sim_process_share(WORLD_NODE_IP(node), of_processor, timers_late_s);
   sim_set_work(round_cost);
 }
--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -20,7 +20,7 @@
 
 static void lower_limits(void *arg) {
   (void)arg;
-  world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
+  world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
 }
 
 static void end_delayed_commits(void *arg) {
@@ -44,7 +44,7 @@
 }
 
 static void begin_with_former_version(void) {
-  world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
+  world_kv_announce_limits(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
   world_former_version();
   world_lateness(2, 90);
   sim_after(sim_draw(15, 60), upgrade_next, GUINT_TO_POINTER(0));
@@ -109,7 +109,7 @@
   checks_start();
   sim_run_until(checks_end_time());
   checks_end();
-  world_check_returned();
+  world_check_released();
   count_unfinished();
   if (g_verbose) report_machines();
   return g_result;
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -39,7 +39,7 @@
   settings->client_at = (fc_endpoint){htonl(WORLD_NODE_IP(node)), 8080};
   settings->peer_at = (fc_endpoint){htonl(WORLD_NODE_IP(node)), 8081};
   settings->cloud_at = (fc_endpoint){htonl(WORLD_CLOUD_IP), 8443};
-  settings->kv_at = (fc_endpoint){htonl(WORLD_STATE_IP), 2379};
+  settings->kv_at = (fc_endpoint){htonl(WORLD_KV_IP), 2379};
   for (int peer_node = 0; peer_node < WORLD_NODES; peer_node++) {
     if (peer_node == node) continue;
     fc_peer_settings *peer = &settings->peers[settings->peer_count++];
@@ -95,11 +95,11 @@
   for (int node = 0; node < WORLD_NODES; node++) g_settings[node].operator_settings.idle_keep_share = KEEP_IDLE_SHARE;
 }
 
-void world_return_idle(void) {
+void world_release_idle(void) {
   for (int node = 0; node < WORLD_NODES; node++) g_settings[node].operator_settings.idle_keep_share = RETURN_IDLE_SHARE;
 }
 
-void world_keep_over(double for_s) {
+void world_archive_after(double for_s) {
   for (int node = 0; node < WORLD_NODES; node++) g_settings[node].operator_settings.over_keep_s = for_s;
 }
 
@@ -118,7 +118,7 @@
     settings->kv_rps = 500;
     settings->kv_write_rps = settings->kv_next_write_rps = machines;
     settings->kv_txn_ops = 24;
-    world_state_limits(settings->kv_value_kb, settings->kv_txn_ops, 0);
+    world_kv_limit(settings->kv_value_kb, settings->kv_txn_ops, 0);
     kv_set_announced_limits(settings->kv_value_kb, settings->kv_txn_ops);
     settings->fd_limit = machines * 2;
     settings->cloud_rps = 6;
@@ -155,7 +155,7 @@
   settings->kv_next_write_rps = known->write_rps;
 }
 
-void world_state_next(double value_kb, unsigned txn_ops, double write_rps) {
+void world_kv_announce_limits(double value_kb, unsigned txn_ops, double write_rps) {
   const fc_settings *settings = &g_settings[0];
   g_announced_sizes = (kv_sizes){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
                                  MIN(settings->kv_write_rps, write_rps)};
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -131,7 +131,7 @@
   sim_after(in_s, deliver_duplicate, late);
 }
 
-void world_report_later(unsigned machine, unsigned node, double in_s) {
+void world_duplicate_heartbeat(unsigned machine, unsigned node, double in_s) {
   sim_worker *worker = g_worker_list->pdata[machine];
   char *body = status_message(worker);
   deliver_duplicate_in(in_s, worker, node, body);
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -32,13 +32,13 @@
 static void lose_outbound(void) {
   unsigned from, to;
   draw_machines(&from, &to);
-  world_mute(from, to, random_length());
+  world_cut_outbound(from, to, random_length());
 }
 
 static void lose_inbound(void) {
   unsigned from, to;
   draw_machines(&from, &to);
-  world_deaf(from, to, random_length());
+  world_cut_inbound(from, to, random_length());
 }
 
 static void end_delayed_commits(void *arg) {
@@ -52,7 +52,7 @@
 }
 
 static void slow_kv(void) {
-  world_state_slow(random_length(), sim_draw(0.3, 8));
+  world_kv_slow(random_length(), sim_draw(0.3, 8));
 }
 
 static void cancel_burst(void) {
@@ -66,7 +66,7 @@
 
 static void begin_outage(void *arg) {
   (void)arg;
-  world_state_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
+  world_kv_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
 /* The key-value store refuses one controller, users cancel, and a moment later nobody is
@@ -111,11 +111,11 @@
   if (choice < 2) {
     world_crash(any_node(), sim_chance(0.3) ? sim_draw(0.05, 0.9) : sim_draw(2, 6));
   } else if (choice < 3) {
-    world_alone(any_node(), sim_draw(5, 11));
+    world_partition_node(any_node(), sim_draw(5, 11));
   } else if (choice < 4) {
     world_refuse(any_node(), sim_draw(5, 11));
   } else {
-    world_still(any_node(), sim_draw(5, 11));
+    world_pause_node(any_node(), sim_draw(5, 11));
   }
 }
 
@@ -152,7 +152,8 @@
   for (unsigned i = from; i < to; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     if (!worker->up || worker->terminated) continue;
-    for (unsigned node = 0; node < WORLD_NODES; node++) world_report_later(i, node, crash_in + sim_draw(0.5, LEASE_S));
+    for (unsigned node = 0; node < WORLD_NODES; node++)
+      world_duplicate_heartbeat(i, node, crash_in + sim_draw(0.5, LEASE_S));
   }
 }
 
@@ -162,7 +163,7 @@
 
 /* It reaches only its workers and its users, and jobs are cancelled through the others. */
 static void isolate_controller(void) {
-  world_alone(any_node(), random_length());
+  world_partition_node(any_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
 }
 
@@ -179,7 +180,7 @@
 }
 
 static void pause_one(void) {
-  world_still(any_node(), random_length());
+  world_pause_node(any_node(), random_length());
 }
 
 static void lose_machines(void) {
--- a/tests/sim/jobs.c
+++ b/tests/sim/jobs.c
@@ -88,7 +88,7 @@
   sim_job *job = g_new0(sim_job, 1);
   g_strlcpy(job->id, spec->id, sizeof job->id);
   job->kind = spec->kind;
-  job->priority = spec->rank ? spec->rank : "standard";
+  job->priority = spec->priority ? spec->priority : "standard";
   job->team = spec->team ? spec->team : "red";
   job->zone = spec->zone;
   job->tasks = spec->tasks;
@@ -100,18 +100,18 @@
   job->spot = spec->spot;
   job->submit_delay_s = spec->in_s;
   job->cancel_delay_s = spec->cancel_in_s;
-  job->deadline_s = spec->whistle_s;
+  job->deadline_s = spec->deadline_s;
   job->needs = g_ptr_array_new();
-  for (size_t i = 0; i < G_N_ELEMENTS(spec->awaits) && spec->awaits[i]; i++)
-    g_ptr_array_add(job->needs, g_hash_table_lookup(g_jobs, spec->awaits[i]));
+  for (size_t i = 0; i < G_N_ELEMENTS(spec->dependencies) && spec->dependencies[i]; i++)
+    g_ptr_array_add(job->needs, g_hash_table_lookup(g_jobs, spec->dependencies[i]));
   job_add(job, 1);
 }
 
-void world_submit(const char *id, const char *kind, const char *rank, unsigned tasks, double gpus, double run_s,
+void world_submit(const char *id, const char *kind, const char *priority, unsigned tasks, double gpus, double run_s,
                   double in_s) {
   world_submit_job(&(world_job){.id = id,
                                 .kind = kind,
-                                .rank = rank,
+                                .priority = priority,
                                 .tasks = tasks,
                                 .gpus = gpus,
                                 .run_s = run_s,
@@ -138,11 +138,11 @@
 
 /* ---- questions ---- */
 
-double world_accepted_at(const char *id) {
+double world_seen_accepted_at(const char *id) {
   return ((const sim_job *)g_hash_table_lookup(g_jobs, id))->seen_accepted_at;
 }
 
-double world_cancelled_at(const char *id) {
+double world_seen_cancelled_at(const char *id) {
   const sim_job *job = g_hash_table_lookup(g_jobs, id);
   return job->seen_cancelled ? job->seen_cancelled_at : 0;
 }
@@ -157,12 +157,12 @@
   return job->completed_at;
 }
 
-double world_told_done_at(const char *id) {
+double world_seen_done_at(const char *id) {
   const sim_job *job = g_hash_table_lookup(g_jobs, id);
   return job->seen_done_at;
 }
 
-const char *world_told(const char *id) {
+const char *world_seen_terminal_state(const char *id) {
   const sim_job *job = g_hash_table_lookup(g_jobs, id);
   return job->seen_done ? "done" : job->seen_cancelled ? "cancelled" : NULL;
 }
--- a/tests/sim/kv_faults.c
+++ b/tests/sim/kv_faults.c
@@ -25,27 +25,27 @@
 }
 
 /* After an outage every lease has its full time again. */
-void state_down(bool down) {
+void kv_set_down(bool down) {
   if (g_down && !down) kv_leases_renew_all();
   g_down = down;
 }
 
 static void end_outage(void *arg) {
   (void)arg;
-  state_down(false);
+  kv_set_down(false);
 }
 
-void world_state_down(double for_s) {
-  state_down(true);
+void world_kv_down(double for_s) {
+  kv_set_down(true);
   sim_after(for_s, end_outage, NULL);
 }
 
 static void begin_outage(void *arg) {
-  world_state_down(*(double *)arg);
+  world_kv_down(*(double *)arg);
   g_free(arg);
 }
 
-void world_state_down_in(double in_s, double for_s) {
+void world_kv_down_in(double in_s, double for_s) {
   double *length = g_new(double, 1);
   *length = for_s;
   sim_after(in_s, begin_outage, length);
@@ -53,7 +53,7 @@
 
 /* ---- delays ---- */
 
-void world_state_slow(double for_s, double most_s) {
+void world_kv_slow(double for_s, double most_s) {
   g_slow_until = sim_now() + for_s;
   g_slow_most_s = most_s;
 }
--- a/tests/sim/kv_limits.c
+++ b/tests/sim/kv_limits.c
@@ -18,7 +18,7 @@
 static kv_limits g_announced_limits; /* what controllers that know of them already keep to */
 
 void kv_limits_init(void) {
-  world_state_limits(USUAL_VALUE_KB, USUAL_TRANSACTION_CHANGES, 0);
+  world_kv_limit(USUAL_VALUE_KB, USUAL_TRANSACTION_CHANGES, 0);
   kv_set_announced_limits(USUAL_VALUE_KB, USUAL_TRANSACTION_CHANGES);
 }
 
@@ -26,7 +26,7 @@
   g_announced_limits = (kv_limits){.value_bytes = (size_t)(value_kb * 1024), .txn_ops = txn_ops};
 }
 
-void world_state_limits(double value_kb, unsigned txn_ops, double write_rps) {
+void world_kv_limit(double value_kb, unsigned txn_ops, double write_rps) {
   g_limits = (kv_limits){(size_t)(value_kb * 1024), txn_ops, write_rps, write_rps, sim_now()};
 }
 
--- a/tests/sim/kv_server.c
+++ b/tests/sim/kv_server.c
@@ -146,6 +146,6 @@
   kv_watches_init();
   kv_faults_init();
   kv_limits_init();
-  sim_serve(WORLD_STATE_IP, serve, NULL);
+  sim_serve(WORLD_KV_IP, serve, NULL);
   tick(NULL);
 }
--- a/tests/sim/kv_store.c
+++ b/tests/sim/kv_store.c
@@ -162,11 +162,11 @@
 
 /* ---- questions of scenes ---- */
 
-bool state_has(const char *key) {
+bool kv_has_key(const char *key) {
   return kv_lookup(key) != NULL;
 }
 
-bool state_says(const char *key, const char *text) {
+bool kv_value_contains(const char *key, const char *text) {
   const kv_entry *entry = kv_lookup(key);
   if (!entry) return false;
   char *value = json_dumps(entry->value, JSON_COMPACT);
@@ -190,7 +190,7 @@
   return FALSE;
 }
 
-void state_each(const char *prefix, void (*fn)(const char *id)) {
+void kv_each_job(const char *prefix, void (*fn)(const char *id)) {
   job_visit visit = {prefix, fn};
   kv_each(visit_job, &visit);
 }
--- a/tests/sim/links.c
+++ b/tests/sim/links.c
@@ -37,11 +37,11 @@
     case LINK_CONTROLLER:
       return from_controller;
     case LINK_CONTROLLER_KV:
-      return from_controller && to == WORLD_STATE_IP;
+      return from_controller && to == WORLD_KV_IP;
     case LINK_CONTROLLER_PEERS:
       return from_controller && links_controller_at(to) >= 0;
     case LINK_CONTROLLER_KV_AND_PEERS:
-      return from_controller && (to == WORLD_STATE_IP || links_controller_at(to) >= 0);
+      return from_controller && (to == WORLD_KV_IP || links_controller_at(to) >= 0);
     case LINK_CONTROLLER_WORKERS:
       return from_controller && g_hash_table_contains(g_workers_by_ip, GUINT_TO_POINTER(to));
     case LINK_ZONE:
@@ -82,7 +82,7 @@
   links_add_fault(&(link_fault){.scope = scope, .node = (int)node, .ends_at = sim_now() + for_s, .mode = mode});
 }
 
-void world_alone(unsigned node, double for_s) {
+void world_partition_node(unsigned node, double for_s) {
   add_controller_fault(LINK_CONTROLLER_KV_AND_PEERS, node, for_s, SIM_HELD);
 }
 
--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -8,11 +8,11 @@
 
 /* ---- faults ---- */
 
-void world_deaf(unsigned from, unsigned to, double for_s) {
+void world_cut_inbound(unsigned from, unsigned to, double for_s) {
   for (unsigned i = from; i < to; i++) machine_at(i)->inbound_lost_until = sim_now() + for_s;
 }
 
-void world_mute(unsigned from, unsigned to, double for_s) {
+void world_cut_outbound(unsigned from, unsigned to, double for_s) {
   for (unsigned i = from; i < to; i++) machine_at(i)->outbound_lost_until = sim_now() + for_s;
 }
 
@@ -62,7 +62,7 @@
   return (unsigned)machine_at(machine)->node;
 }
 
-unsigned world_gone(unsigned from, unsigned to) {
+unsigned world_terminated_machines(unsigned from, unsigned to) {
   unsigned count = 0;
   for (unsigned i = from; i < to; i++) count += machine_at(i)->terminated;
   return count;
@@ -88,11 +88,11 @@
 
 /* A machine that was returned is not taken back into use by a late heartbeat; its record is
  * removed a moment after its return. */
-void world_check_returned(void) {
+void world_check_released(void) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     char *key = g_strconcat("fc1/machine/", worker->id, NULL);
-    if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && state_has(key))
+    if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && kv_has_key(key))
       world_broke("returned machine on record", worker->id);
     g_free(key);
   }
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -48,13 +48,13 @@
 /* For less and for more than the controller's own lease, a worker's lease, a cancellation's
  * deadline. */
 static void pause_one(double length) {
-  world_still((unsigned)world_any_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
+  world_pause_node((unsigned)world_any_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
 }
 
 /* ---- links and the key-value store ---- */
 
 static void kv_outage(void) {
-  world_state_down(sim_draw(2, 25));
+  world_kv_down(sim_draw(2, 25));
 }
 
 static void break_links(double until, sim_link mode) {
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -150,6 +150,6 @@
   sim_after(PENDING_CHECK_S, check_pending, arg);
 }
 
-void world_troubles_end(double in_s) {
+void world_check_starvation(double in_s) {
   sim_after(in_s, check_pending, NULL);
 }
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -36,7 +36,7 @@
 void world_checks_from(double in_s) {
   g_faults_end_at = sim_now() + in_s;
   checks_start();
-  world_troubles_end(in_s);
+  world_check_starvation(in_s);
 }
 
 void world_checks_end(void) {
--- a/tests/small.h
+++ b/tests/small.h
@@ -32,7 +32,7 @@
   world_set_up(seed, 0);
   world_lean(machines);
   for (unsigned n = 0; n < WORLD_NODES; n++)
-    if (slow_nodes & 1u << n) world_slow(n, share, timers_late_s);
+    if (slow_nodes & 1u << n) world_slow_node(n, share, timers_late_s);
   world_start_nodes();
   world_machines_up(0, machines / 2);
   world_machines_up(1, machines - machines / 2);
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -64,7 +64,7 @@
   assert_int_equal(world_request(0, "POST", "/api/jobs", JOB("job-000002", "red", "1")).status, 201);
   assert_int_equal(world_request(1, "GET", "/api/jobs/job-000002", "").status, 200);
   assert_int_equal(world_request(1, "GET", "/api/jobs/job-000001", "").status, 200);
-  state_down(true);
+  kv_set_down(true);
   sim_run_until(sim_now() + 6);
   static const struct {
     const char *name, *method, *path, *body;
@@ -106,7 +106,7 @@
     unsigned soon = 0;
     for (unsigned k = 0; k < 20; k++) {
       const char *id = world_id(k);
-      soon += world_accepted_at(id) < from + k * 0.4 + 0.5;
+      soon += world_seen_accepted_at(id) < from + k * 0.4 + 0.5;
     }
     print_message("%s: %u of 20 at once\n", rows[i].name, soon);
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
@@ -132,7 +132,7 @@
   sim_run_until(sim_now() + 120);
   world_result before = world_so_far();
   assert_int_equal(before.finished, JOBS);
-  assert_true(state_has("fc1over/job-000000") && state_has("fc1over/job-000119"));
+  assert_true(kv_has_key("fc1over/job-000000") && kv_has_key("fc1over/job-000119"));
   sim_run_until(sim_now() + EVERY_S * ROUNDS);
   world_result r = world_so_far();
   unsigned asked = r.questions - before.questions, put_off = r.put_off - before.put_off;
@@ -152,9 +152,9 @@
   assert_int_equal(world_request(0, "POST", "/api/jobs", k_job).status, 201);
   assert_int_equal(world_request(0, "POST", "/api/jobs/job-000001/withdraw", "").status, 200);
   sim_run_until(sim_now() + 60);
-  world_reply held = world_request_to(WORLD_STATE_IP, "GET", "/keys?prefix=fc1/job/&page=10", "");
+  world_reply held = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/job/&page=10", "");
   assert_non_null(strstr(held.body, "\"rows\":[]"));
-  assert_int_equal(world_request_to(WORLD_STATE_IP, "GET", "/keys/fc1over/job-000001", "").status, 200);
+  assert_int_equal(world_request_to(WORLD_KV_IP, "GET", "/keys/fc1over/job-000001", "").status, 200);
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 1);
   sim_run_until(sim_now() + 12);
   static const struct {
@@ -196,13 +196,13 @@
   const char *intent =
       "{\"when\":[],\"then\":[{\"set\":\"fc1/hire/r-9-1\",\"v\":{\"f\":1,\"type\":\"g4\",\"zone\":\"a\","
       "\"owner\":\"*\",\"spot\":false,\"count\":2}}]}";
-  assert_int_equal(world_request_to(WORLD_STATE_IP, "POST", "/commit", intent).status, 200);
+  assert_int_equal(world_request_to(WORLD_KV_IP, "POST", "/commit", intent).status, 200);
   world_start_nodes();
   sim_run_until(sim_now() + 12);
   assert_int_equal(world_machines(), 2);
-  world_reply left = world_request_to(WORLD_STATE_IP, "GET", "/keys?prefix=fc1/hire/&page=10", "");
+  world_reply left = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/hire/&page=10", "");
   assert_non_null(strstr(left.body, "\"rows\":[]"));
-  world_reply known = world_request_to(WORLD_STATE_IP, "GET", "/keys?prefix=fc1/machine/&page=10", "");
+  world_reply known = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/machine/&page=10", "");
   assert_non_null(strstr(known.body, "fc1/machine/vm-000000"));
   assert_non_null(strstr(known.body, "fc1/machine/vm-000001"));
 }
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -57,8 +57,8 @@
     sim_run_until(zero + 1.5);
     cancel_through(writer);
   } else if (row->by == DYING) {
-    while (!world_cancelled_at(world_id(0)) && sim_now() < zero + 3) sim_run_until(sim_now() + 0.0005);
-    check_row(row->name, world_cancelled_at(world_id(0)) > 0);
+    while (!world_seen_cancelled_at(world_id(0)) && sim_now() < zero + 3) sim_run_until(sim_now() + 0.0005);
+    check_row(row->name, world_seen_cancelled_at(world_id(0)) > 0);
     world_crash(writer, 0.3);
   }
 }
@@ -67,7 +67,7 @@
   bool acknowledged[OUTAGE_CANCELLED];
   unsigned acknowledged_count = 0, soon = 0;
   for (unsigned k = 0; k < OUTAGE_CANCELLED; k++)
-    acknowledged_count += acknowledged[k] = world_cancelled_at(world_id(k)) > 0;
+    acknowledged_count += acknowledged[k] = world_seen_cancelled_at(world_id(k)) > 0;
   sim_run_until(zero + 8);
   for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) soon += acknowledged[k] ? world_tasks_of(world_id(k)) : 0;
   sim_run_until(zero + 100);
@@ -93,14 +93,14 @@
   if (early) world_refuse(refused, 14);
   if (!row->linked) world_cut_node_peers(refused, 80);
   sim_run_until(zero + row->cancel_at);
-  if (row->blind) world_state_blind(world_id(0), 3);
+  if (row->blind) world_kv_silence_watches(world_id(0), 3);
   play_cancellations(row, zero, writer, other);
   if (!early) {
     sim_run_until(zero + row->refused_at);
     world_refuse(refused, 14);
   }
   sim_run_until(MAX(sim_now(), zero + row->down_at));
-  world_state_down(54);
+  world_kv_down(54);
   check_outage(row, zero, refused);
 }
 
@@ -181,8 +181,8 @@
 
 static void apply_fault(const unreachable_row *row) {
   if (row->fault == HUNG) world_hang(0, row->count, row->for_s);
-  if (row->fault == OUTBOUND_CUT) world_mute(0, row->count, row->for_s);
-  if (row->fault == INBOUND_CUT) world_deaf(0, row->count, row->for_s);
+  if (row->fault == OUTBOUND_CUT) world_cut_outbound(0, row->count, row->for_s);
+  if (row->fault == INBOUND_CUT) world_cut_inbound(0, row->count, row->for_s);
 }
 
 static void play_unreachable(const unreachable_row *row, uint32_t row_seed, uint32_t seed) {
@@ -197,16 +197,16 @@
   }
   sim_run_until(sim_now() + 1.2);
   if (row->crash) world_crash(seed, 4);
-  if (row->down) world_state_down(50);
+  if (row->down) world_kv_down(50);
   sim_run_until(sim_now() + 130);
   world_result r = world_so_far();
   print_message("%s: %u cancelled, %u ended by a lease, %u machines returned\n", row->name, r.cancelled, r.lease_kills,
-                world_gone(0, world_machines()));
+                world_terminated_machines(0, world_machines()));
   if (r.broken) fail_msg("%s, seed %u: %s", row->name, seed, r.first);
   check_row(row->name, r.cancelled == 5);
   for (unsigned k = 0; k < 5; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
   /* Other jobs run on, unless no machine is left. */
-  if (world_gone(0, world_machines()) < 6) check_row(row->name, world_running() == 6);
+  if (world_terminated_machines(0, world_machines()) < 6) check_row(row->name, world_running() == 6);
 }
 
 /* Machines of cancelled jobs that can't be reached: they hang, or their outbound or inbound messages
@@ -222,7 +222,7 @@
   for (unsigned poll = 0; poll < 30; poll++) {
     world_ask_job(node, world_id(poll % jobs)); /* the stand-in checks the reply */
     sim_run_until(sim_now() + 0.2);
-    if (poll == 14 && down_s > 0) world_state_down(down_s);
+    if (poll == 14 && down_s > 0) world_kv_down(down_s);
   }
 }
 
@@ -247,9 +247,9 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     for (unsigned node = 0; node < WORLD_NODES; node++) {
       start_services(500 + 10 * (uint32_t)i + node, jobs);
-      if (rows[i].alone_s > 0) world_alone(node, rows[i].alone_s);
+      if (rows[i].alone_s > 0) world_partition_node(node, rows[i].alone_s);
       if (rows[i].refused_s > 0) world_refuse(node, rows[i].refused_s);
-      if (rows[i].slow_s > 0) world_state_slow(rows[i].slow_s, 1.5);
+      if (rows[i].slow_s > 0) world_kv_slow(rows[i].slow_s, 1.5);
       sim_run_until(sim_now() + 3);
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), (int)((node + 1 + k % 2) % WORLD_NODES), k * 0.3);
       poll_jobs(node, jobs, rows[i].down_s);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -115,7 +115,7 @@
   set_up();
   assert_int_equal(world_request(0, "POST", "/api/jobs", JOB("job-000001", "red", "4", "")).status, 201);
   sim_run_until(sim_now() + 2);
-  state_down(true);
+  kv_set_down(true);
   sim_run_until(sim_now() + 6);
   exchange_all(rows, G_N_ELEMENTS(rows));
 }
--- a/tests/test_awaits.c
+++ b/tests/test_job_dependencies.c
@@ -22,16 +22,16 @@
 
 /* ---- replies to users ---- */
 
-static char *submission(const char *id, const char *kind, const char *awaits) {
+static char *submission(const char *id, const char *kind, const char *dependencies) {
   return g_strdup_printf(
       "{\"id\":\"%s\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"%s\",\"rank\":\"high\",\"runs\":1,\"cpus\":1,"
       "\"gpus\":0,\"memGb\":1,\"kit\":\"i\",\"pullGb\":1,\"samePlace\":false,\"scatter\":false,\"loaners\":true,"
       "\"expectS\":10,\"markS\":0,\"stowS\":0%s%s}",
-      id, kind, awaits ? ",\"awaits\":" : "", awaits ? awaits : "");
+      id, kind, dependencies ? ",\"awaits\":" : "", dependencies ? dependencies : "");
 }
 
-static world_reply submit(unsigned node, const char *id, const char *kind, const char *awaits) {
-  char *body = submission(id, kind, awaits);
+static world_reply submit(unsigned node, const char *id, const char *kind, const char *dependencies) {
+  char *body = submission(id, kind, dependencies);
   world_reply r = world_request(node, "POST", "/api/jobs", body);
   g_free(body);
   return r;
@@ -45,7 +45,7 @@
 }
 
 typedef struct answer_row {
-  const char *name, *id, *awaits;
+  const char *name, *id, *dependencies;
   int status;
   const char *told; /* the state that the answer names */
   int format;       /* of the record; 0: there is none */
@@ -83,7 +83,7 @@
   sim_run_until(sim_now() + 1);
   world_cancel(world_id(6), -1, 0);
   sim_run_until(sim_now() + 30); /* archived */
-  assert_true(state_has("fc1over/job-000005") && state_has("fc1over/job-000006"));
+  assert_true(kv_has_key("fc1over/job-000005") && kv_has_key("fc1over/job-000006"));
   world_submit(world_id(1), "sweep", "standard", 1, 0.5, 1e6, 0);
   world_submit(world_id(2), "sweep", "standard", 1, 0.5, 1e6, 0);
   world_submit(world_id(3), "service", "prod", 1, 0.5, 1e6, 0);
@@ -91,7 +91,7 @@
   sim_run_until(sim_now() + 1);
   world_cancel(world_id(2), -1, 0);
   sim_run_until(sim_now() + 5);
-  assert_string_equal(world_told(world_id(4)), "done");
+  assert_string_equal(world_seen_terminal_state(world_id(4)), "done");
 }
 
 static void replies_to_submissions_with_dependencies(void **state) {
@@ -99,14 +99,14 @@
   start_jobs_to_depend_on();
   for (size_t i = 0; i < G_N_ELEMENTS(k_answers); i++) {
     const answer_row *row = &k_answers[i];
-    world_reply r = submit((unsigned)i % WORLD_NODES, row->id, "sweep", row->awaits);
+    world_reply r = submit((unsigned)i % WORLD_NODES, row->id, "sweep", row->dependencies);
     check_row(row->name, r.status == row->status && r.took < IMMEDIATE_S);
     check_row(row->name, !row->told || strstr(r.body, row->told));
     char *key = g_strconcat("fc1/job/", row->id, NULL);
-    check_row(row->name, state_has(key) == (row->told != NULL));
+    check_row(row->name, kv_has_key(key) == (row->told != NULL));
     /* Older versions must skip records with pending dependencies, and read all others. */
-    check_row(row->name, row->format != FC_JOB_FORMAT_AWAITING || state_says(key, "\"f\":2"));
-    check_row(row->name, row->format != FC_JOB_FORMAT_PLAIN || state_says(key, "\"f\":1"));
+    check_row(row->name, row->format != FC_JOB_FORMAT_AWAITING || kv_value_contains(key, "\"f\":2"));
+    check_row(row->name, row->format != FC_JOB_FORMAT_PLAIN || kv_value_contains(key, "\"f\":1"));
     g_free(key);
     sim_run_until(sim_now() + 0.3); /* archived jobs are looked up at a bounded rate */
     for (unsigned n = 0; n < WORLD_NODES && row->told; n++) check_row(row->name, says(row->id, n, row->told));
@@ -118,16 +118,17 @@
 static void dependencies_in_a_kv_store_outage(void **state) {
   (void)state;
   start_jobs_to_depend_on();
-  world_state_down(20);
+  world_kv_down(20);
   sim_run_until(sim_now() + 4);
-  static const char *const awaits[] = {"[\"job-999999\"]", "[\"job-000005\"]", "[\"job-000001\"]", "[\"job-000200\"]"};
-  for (size_t i = 0; i < G_N_ELEMENTS(awaits); i++) {
-    world_reply r = submit((unsigned)i % WORLD_NODES, "job-000200", "sweep", awaits[i]);
-    check_row(awaits[i], r.status == 503 && r.retry_after > 0 && r.took < IMMEDIATE_S);
+  static const char *const dependencies[] = {"[\"job-999999\"]", "[\"job-000005\"]", "[\"job-000001\"]",
+                                             "[\"job-000200\"]"};
+  for (size_t i = 0; i < G_N_ELEMENTS(dependencies); i++) {
+    world_reply r = submit((unsigned)i % WORLD_NODES, "job-000200", "sweep", dependencies[i]);
+    check_row(dependencies[i], r.status == 503 && r.retry_after > 0 && r.took < IMMEDIATE_S);
   }
   sim_run_until(sim_now() + 30);
-  assert_int_equal(submit(0, "job-000200", "sweep", awaits[0]).status, 422);
-  assert_int_equal(submit(0, "job-000200", "sweep", awaits[1]).status, 201);
+  assert_int_equal(submit(0, "job-000200", "sweep", dependencies[0]).status, 422);
+  assert_int_equal(submit(0, "job-000200", "sweep", dependencies[1]).status, 201);
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
@@ -163,12 +164,12 @@
 static void body_full_of_unknown_dependencies(void **state) {
   (void)state;
   start_fleet(3, 2);
-  GString *awaits = g_string_new("[");
-  for (unsigned k = 0; awaits->len < BODY_BYTES; k++)
-    g_string_append_printf(awaits, "%s\"job-%06u\"", k ? "," : "", 500000 + k);
-  g_string_append_c(awaits, ']');
-  world_reply r = submit(0, "job-000001", "sweep", awaits->str);
-  g_string_free(awaits, TRUE);
+  GString *dependencies = g_string_new("[");
+  for (unsigned k = 0; dependencies->len < BODY_BYTES; k++)
+    g_string_append_printf(dependencies, "%s\"job-%06u\"", k ? "," : "", 500000 + k);
+  g_string_append_c(dependencies, ']');
+  world_reply r = submit(0, "job-000001", "sweep", dependencies->str);
+  g_string_free(dependencies, TRUE);
   assert_true(r.status == 422 && r.took < IMMEDIATE_S);
 }
 
@@ -203,7 +204,7 @@
 
 static unsigned parts_stored(void) {
   g_parts_left = 0;
-  state_each("fc1/part/", count_part);
+  kv_each_job("fc1/part/", count_part);
   return g_parts_left;
 }
 
@@ -211,19 +212,19 @@
 static GString *submit_many_dependencies(void) {
   /* All dependencies depend on one long job. */
   world_submit(world_id(9), "sweep", "standard", 1, 1, 130, 0);
-  GString *awaits = g_string_new("[");
+  GString *dependencies = g_string_new("[");
   for (unsigned k = 0; k < MANY; k++) {
-    g_string_append_printf(awaits, "%s\"%s\"", k ? "," : "", long_id(k));
+    g_string_append_printf(dependencies, "%s\"%s\"", k ? "," : "", long_id(k));
     world_submit_job(&(world_job){.id = long_id(k),
                                   .kind = "sweep",
                                   .tasks = 1,
                                   .gpus = 0.25,
                                   .run_s = 1,
                                   .in_s = 1 + 0.1 * k,
-                                  .awaits = {world_id(9)}});
+                                  .dependencies = {world_id(9)}});
   }
-  g_string_append_c(awaits, ']');
-  return awaits;
+  g_string_append_c(dependencies, ']');
+  return dependencies;
 }
 
 /* A job with more dependencies than a value of 2 KiB holds is accepted, stays pending for each of them,
@@ -232,21 +233,21 @@
   (void)state;
   const scene_setup setup = {.seed = 4, .capacity = 3, .keep_idle = true, .images_cached = true, .machines = {3, 3}};
   scene_prepare(&setup);
-  world_state_next(2, 4, 40);
-  world_state_limits(2, 4, 40);
-  world_keep_over(120);
+  world_kv_announce_limits(2, 4, 40);
+  world_kv_limit(2, 4, 40);
+  world_archive_after(120);
   scene_start(&setup);
   sim_run_until(sim_now() + 8);
-  GString *awaits = submit_many_dependencies();
+  GString *dependencies = submit_many_dependencies();
   sim_run_until(sim_now() + 80);
   assert_int_equal(world_so_far().accepted, MANY + 1);
-  char *body = submission("job-000001", "sweep", awaits->str);
+  char *body = submission("job-000001", "sweep", dependencies->str);
   world_add_job("job-000001", "sweep", 1, 0, 3);
   double took = submit_until_accepted(body, 60);
   print_message("%d ids: accepted after %.2f s, in %u parts\n", MANY, took, parts_stored());
   assert_true(parts_stored() >= 4);
   /* Another submission is abandoned: its controller crashes before there is a record. */
-  char *other = submission("job-000002", "sweep", awaits->str);
+  char *other = submission("job-000002", "sweep", dependencies->str);
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 0.3);
   sim_run_until(sim_now() + 6);
   for (unsigned n = 0; n < WORLD_NODES; n++) assert_true(says("job-000001", n, "pending"));
@@ -255,16 +256,16 @@
   world_send(&given_up, 0, "POST", "/api/jobs", other);
   sim_run_until(sim_now() + 10);
   assert_int_equal(given_up.status, 0);
-  assert_true(parts_stored() >= 8 && !state_has("fc1/job/job-000002"));
+  assert_true(parts_stored() >= 8 && !kv_has_key("fc1/job/job-000002"));
   double patience = sim_now() + 150;
   while (!says("job-000001", 1, "done") && sim_now() < patience) sim_run_until(sim_now() + 1);
   for (unsigned k = 0; k < MANY; k++) assert_true(world_ended_at("job-000001") > world_ended_at(long_id(k)) + 3);
   assert_true(says("job-000001", 1, "done"));
   sim_run_until(sim_now() + 200);
-  assert_false(state_has("fc1/job/job-000001"));
+  assert_false(kv_has_key("fc1/job/job-000001"));
   assert_int_equal(parts_stored(), 0);
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
-  g_string_free(awaits, TRUE);
+  g_string_free(dependencies, TRUE);
   g_free(body);
   g_free(other);
 }
@@ -294,15 +295,16 @@
 
 static void submit_chain(const chain_row *row, unsigned first, double in_s) {
   for (unsigned k = 0; k < STAGES; k++)
-    world_submit_job(&(world_job){.id = world_id(first + k),
-                                  .kind = k == 2 ? "gang" : "sweep",
-                                  .rank = k + 1 == STAGES ? "high" : "best_effort",
-                                  .tasks = k == 1 ? 12 : 2,
-                                  .gpus = 0.25,
-                                  .run_s = STAGE_S,
-                                  .in_s = in_s + (k + 1 == STAGES ? row->late_s : 0),
-                                  .whistle_s = k + 1 == STAGES ? row->deadline_s : 0,
-                                  .awaits = {k > 0 ? world_id(first + k - 1) : NULL, k == 3 ? world_id(first) : NULL}});
+    world_submit_job(
+        &(world_job){.id = world_id(first + k),
+                     .kind = k == 2 ? "gang" : "sweep",
+                     .priority = k + 1 == STAGES ? "high" : "best_effort",
+                     .tasks = k == 1 ? 12 : 2,
+                     .gpus = 0.25,
+                     .run_s = STAGE_S,
+                     .in_s = in_s + (k + 1 == STAGES ? row->late_s : 0),
+                     .deadline_s = k + 1 == STAGES ? row->deadline_s : 0,
+                     .dependencies = {k > 0 ? world_id(first + k - 1) : NULL, k == 3 ? world_id(first) : NULL}});
 }
 
 static void apply_chain_fault(const chain_row *row) {
@@ -317,7 +319,7 @@
       world_refuse(1, 25);
       break;
     case STATE_DOWN:
-      world_state_down(20);
+      world_kv_down(20);
       break;
     default:
       break;
@@ -342,7 +344,7 @@
     double longest = 0;
     for (unsigned c = 0; c < 6; c++) {
       const char *last = world_id(10 * c + STAGES);
-      check_row(row->name, world_told(last) && strcmp(world_told(last), "done") == 0);
+      check_row(row->name, world_seen_terminal_state(last) && strcmp(world_seen_terminal_state(last), "done") == 0);
       longest = MAX(longest, world_ended_at(last) - began - 0.5 * c);
     }
     print_message("%s: the longest of six chains took %.1f s, %u s of them its tasks\n", row->name, longest,
@@ -361,18 +363,18 @@
   for (unsigned k = 2; k <= 3; k++)
     world_submit_job(&(world_job){.id = world_id(k),
                                   .kind = k == 2 ? "gang" : "sweep",
-                                  .rank = "high",
+                                  .priority = "high",
                                   .team = "blue",
                                   .tasks = 12,
                                   .gpus = 1,
                                   .run_s = 5,
-                                  .awaits = {world_id(1)}});
+                                  .dependencies = {world_id(1)}});
   world_submit_job(
       &(world_job){.id = world_id(4), .kind = "sweep", .team = "blue", .tasks = 12, .gpus = 1, .run_s = 20, .in_s = 2});
   sim_run_until(sim_now() + 20);
   assert_int_equal(world_tasks_of(world_id(4)), 12);
   sim_run_until(sim_now() + 80);
-  for (unsigned k = 1; k <= 4; k++) assert_string_equal(world_told(world_id(k)), "done");
+  for (unsigned k = 1; k <= 4; k++) assert_string_equal(world_seen_terminal_state(world_id(k)), "done");
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
@@ -386,17 +388,17 @@
     world_submit(world_id(1), "sweep", "standard", 8, 1, 20, 0);
     for (unsigned k = 2; k <= 9; k++)
       world_submit_job(&(world_job){
-          .id = world_id(k), .kind = "sweep", .tasks = 8, .gpus = 1, .run_s = 10, .in_s = 1, .whistle_s = 300});
+          .id = world_id(k), .kind = "sweep", .tasks = 8, .gpus = 1, .run_s = 10, .in_s = 1, .deadline_s = 300});
     world_submit(world_id(20), "sweep", "best_effort", 4, 1, 5, 3);
     world_submit_job(&(world_job){.id = world_id(21),
                                   .kind = "sweep",
-                                  .rank = "standard",
+                                  .priority = "standard",
                                   .tasks = 2,
                                   .gpus = 1,
                                   .run_s = 5,
                                   .in_s = late ? 8 : 3,
-                                  .whistle_s = 20,
-                                  .awaits = {world_id(20)}});
+                                  .deadline_s = 20,
+                                  .dependencies = {world_id(20)}});
     double began = sim_now();
     sim_run_until(began + 120);
     print_message("the first of the pipeline began after %.1f s, the last after %.1f s\n",
@@ -427,7 +429,7 @@
 
 static void apply_cancel_fault(const cancel_row *row) {
   if (row->trouble == WRITER_ENDS) world_crash(0, 4);
-  if (row->trouble == STATE_OUT) world_state_down(50);
+  if (row->trouble == STATE_OUT) world_kv_down(50);
   if (row->trouble == WRITER_REFUSED) world_refuse(0, 40);
   if (row->trouble == ZONE_CUT) world_cut_zone(1, 20);
   for (unsigned n = 0; n < WORLD_NODES; n++)
@@ -449,7 +451,7 @@
                                   .gpus = 0.5,
                                   .run_s = 5,
                                   .in_s = 1,
-                                  .awaits = {world_id(k <= FAN ? FIRST : FIRST + k - FAN)}});
+                                  .dependencies = {world_id(k <= FAN ? FIRST : FIRST + k - FAN)}});
 }
 
 static void check_all_cancelled(const cancel_row *row, bool where_reachable) {
@@ -486,17 +488,17 @@
     sim_run_until(sim_now() + 9);
     assert_true(world_so_far().accepted == DEPENDENTS + 1);
     world_cancel(world_id(FIRST), 0, 0);
-    while (!world_cancelled_at(world_id(FIRST))) sim_run_until(sim_now() + 0.001);
+    while (!world_seen_cancelled_at(world_id(FIRST))) sim_run_until(sim_now() + 0.001);
     apply_cancel_fault(row);
     if (row->at_once) sim_run_until(sim_now() + 0.1);
     check_all_cancelled(row, true);
     sim_run_until(sim_now() + 120);
     for (unsigned k = 1; k <= DEPENDENTS; k++) {
       check_row(row->name, world_starts_of(world_id(FIRST + k)) == 0);
-      check_row(row->name,
-                world_told(world_id(FIRST + k)) && strcmp(world_told(world_id(FIRST + k)), "cancelled") == 0);
+      check_row(row->name, world_seen_terminal_state(world_id(FIRST + k)) &&
+                               strcmp(world_seen_terminal_state(world_id(FIRST + k)), "cancelled") == 0);
     }
-    check_row(row->name, state_has("fc1over/job-000001") && !state_has("fc1/job/job-000001"));
+    check_row(row->name, kv_has_key("fc1over/job-000001") && !kv_has_key("fc1/job/job-000001"));
     for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 0.5);
     sim_run_until(sim_now() + 15);
     if (world_so_far().broken) fail_msg("%s: %s", row->name, world_so_far().first);
@@ -511,19 +513,29 @@
   for (uint32_t seed = 0; seed < 12; seed++) {
     start_fleet(200 + seed, 4);
     world_submit(world_id(1), "sweep", "standard", 1, 1, 5, 0);
-    world_submit_job(&(world_job){
-        .id = world_id(2), .kind = "sweep", .tasks = 2, .gpus = 1, .run_s = 3, .in_s = 1, .awaits = {world_id(1)}});
-    world_submit_job(&(world_job){
-        .id = world_id(3), .kind = "sweep", .tasks = 1, .gpus = 1, .run_s = 3, .in_s = 1, .awaits = {world_id(2)}});
+    world_submit_job(&(world_job){.id = world_id(2),
+                                  .kind = "sweep",
+                                  .tasks = 2,
+                                  .gpus = 1,
+                                  .run_s = 3,
+                                  .in_s = 1,
+                                  .dependencies = {world_id(1)}});
+    world_submit_job(&(world_job){.id = world_id(3),
+                                  .kind = "sweep",
+                                  .tasks = 1,
+                                  .gpus = 1,
+                                  .run_s = 3,
+                                  .in_s = 1,
+                                  .dependencies = {world_id(2)}});
     while (!world_began(world_id(1))) sim_run_until(sim_now() + 0.05);
     sim_run_until(world_began(world_id(1)) + 4.9 + 0.1 * seed);
     world_cancel(world_id(1), (int)(seed % WORLD_NODES), 0);
     sim_run_until(sim_now() + 40);
-    const char *told = world_told(world_id(1));
+    const char *told = world_seen_terminal_state(world_id(1));
     assert_non_null(told);
     done += strcmp(told, "done") == 0;
     cancelled += strcmp(told, "cancelled") == 0;
-    for (unsigned k = 2; k <= 3; k++) assert_string_equal(world_told(world_id(k)), told);
+    for (unsigned k = 2; k <= 3; k++) assert_string_equal(world_seen_terminal_state(world_id(k)), told);
     assert_int_equal(world_starts_of(world_id(3)), strcmp(told, "done") == 0);
     if (world_so_far().broken) fail_msg("seed %u: %s", seed, world_so_far().first);
   }
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -67,7 +67,7 @@
     for (unsigned m = 1; m <= rows[i].hung_machines; m++)
       for (unsigned k = 0; k < WORLD_NODES * 2; k++) {
         unsigned round = k / 3;
-        world_report_later(m, k % WORLD_NODES, rows[i].in_s + 1.2 * round);
+        world_duplicate_heartbeat(m, k % WORLD_NODES, rows[i].in_s + 1.2 * round);
       }
     world_hang(1, 1 + rows[i].hung_machines, rows[i].hang_s);
     double at = sim_now();
@@ -118,14 +118,15 @@
   for (unsigned k = 0; k < 8; k++) {
     sim_run_until(from + k * 1.5);
     for (unsigned m = 0; m < 6; m++)
-      for (unsigned n = 0; n < WORLD_NODES; n++) world_report_later(m, n, delay_s + 0.3 * n);
+      for (unsigned n = 0; n < WORLD_NODES; n++) world_duplicate_heartbeat(m, n, delay_s + 0.3 * n);
   }
 }
 
 /* Jobs whose end was acknowledged stay ended. */
 static void check_nothing_restarts(const char *name) {
-  if (world_told(k_job_ids[0])) check_row(name, strcmp(world_told(k_job_ids[0]), "cancelled") == 0);
-  if (world_told(k_job_ids[1]) && world_told(k_job_ids[2])) {
+  if (world_seen_terminal_state(k_job_ids[0]))
+    check_row(name, strcmp(world_seen_terminal_state(k_job_ids[0]), "cancelled") == 0);
+  if (world_seen_terminal_state(k_job_ids[1]) && world_seen_terminal_state(k_job_ids[2])) {
     for (unsigned j = 1; j < 3; j++) check_row(name, world_tasks_of(k_job_ids[j]) == 0);
   }
 }
@@ -155,7 +156,7 @@
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     print_message("%s: %u started, %u ended\n", row->name, r.starts, world_ended("done"));
-    for (unsigned k = 0; k < 3; k++) check_row(row->name, world_told(k_job_ids[k]));
+    for (unsigned k = 0; k < 3; k++) check_row(row->name, world_seen_terminal_state(k_job_ids[k]));
     check_row(row->name, world_running() == 0 && r.late_starts == 0);
     /* Once each, except preempted tasks, some of which never had their image. */
     check_row(row->name, r.starts >= 12 && r.starts + 4 <= 12 + world_ended("stopped"));
@@ -188,8 +189,9 @@
     unsigned dead = (unsigned)world_machine_of(k_job_ids[1], 3);
     char key[64];
     g_snprintf(key, sizeof key, "fc1/machine/vm-%06u", dead);
-    check_row(rows[i].name, state_has(key));
-    for (unsigned k = 0; k < 9; k++) world_report_later(dead, k % WORLD_NODES, rows[i].first_s + k * rows[i].every_s);
+    check_row(rows[i].name, kv_has_key(key));
+    for (unsigned k = 0; k < 9; k++)
+      world_duplicate_heartbeat(dead, k % WORLD_NODES, rows[i].first_s + k * rows[i].every_s);
     world_kill(dead, dead + 1);
     double at = sim_now();
     if (rows[i].crash >= 0) world_crash((unsigned)rows[i].crash, 4);
@@ -200,7 +202,7 @@
     /* A copy can't be told from a live worker's heartbeat, but renews no lease for longer. */
     check_row(rows[i].name, took < without_heartbeats + 15);
     sim_run_until(at + 60);
-    check_row(rows[i].name, !state_has(key));
+    check_row(rows[i].name, !kv_has_key(key));
     check_row(rows[i].name, world_running() == 14);
     check_reported_running(rows[i].name);
     if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
@@ -231,7 +233,7 @@
     const char *id = world_id(k);
     world_submit_job(&(world_job){.id = id,
                                   .kind = k % 3 ? "sweep" : "gang",
-                                  .rank = k % 3 ? "standard" : "high",
+                                  .priority = k % 3 ? "standard" : "high",
                                   .team = k % 2 ? "red" : "blue",
                                   .tasks = k % 3 ? 1 + k % 5 : 2,
                                   .gpus = k % 3 ? 1 : 2,
@@ -246,8 +248,8 @@
 static void check_all_ended(const char *name) {
   for (unsigned k = 0; k < DELAY_JOBS; k++) {
     const char *id = world_id(k);
-    if (!world_told(id)) print_message("%s: %s is not over\n", name, id);
-    check_row(name, world_told(id) && world_tasks_of(id) == 0);
+    if (!world_seen_terminal_state(id)) print_message("%s: %s is not over\n", name, id);
+    check_row(name, world_seen_terminal_state(id) && world_tasks_of(id) == 0);
   }
 }
 
@@ -273,7 +275,7 @@
   sim_run_until(at + 90 + row->most_s);
   for (unsigned k = 0; k < 60; k++) { /* no removed record comes back at any moment */
     sim_run_until(sim_now() + 1);
-    world_check_returned();
+    world_check_released();
   }
   world_result r = world_so_far();
   if (r.broken) fail_msg("%s: %s", name, r.first);
@@ -332,7 +334,7 @@
   g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed);
   world_set_up(seed, 0);
   world_capacity(4, 0);
-  world_return_idle();
+  world_release_idle();
   world_start_nodes();
   sim_run_until(sim_now() + 6);
   double at = sim_now();
@@ -349,7 +351,7 @@
   double t = row->to_s;
   while (t < 180) {
     sim_run_until(at + t);
-    if (t > row->to_s + 61) world_check_returned();
+    if (t > row->to_s + 61) world_check_released();
     if (t < 40) machines = world_machines();
     t += 0.5;
   }
@@ -358,7 +360,7 @@
   if (r.broken) fail_msg("%s: %s", name, r.first);
   for (unsigned k = 0; k < 4; k++) {
     const char *id = world_id(k);
-    check_row(name, world_told(id) && strcmp(world_told(id), "done") == 0);
+    check_row(name, world_seen_terminal_state(id) && strcmp(world_seen_terminal_state(id), "done") == 0);
     check_row(name, world_tasks_of(id) == 0);
   }
 }
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -119,7 +119,7 @@
     start_long_jobs(rows[i].seed);
     unsigned done = submit_short_jobs(600, 40, 2.5);
     for (unsigned k = 0; k < 3; k++)
-      if (rows[i].out_at_s[k] > 0) world_state_down_in(rows[i].out_at_s[k], rows[i].out_s);
+      if (rows[i].out_at_s[k] > 0) world_kv_down_in(rows[i].out_at_s[k], rows[i].out_s);
     for (unsigned k = 0; k < 10; k++) {
       for (unsigned n = 0; n < rows[i].at_once; n++) world_crash((k + n) % WORLD_NODES, rows[i].back_s);
       sim_run_until(sim_now() + (k < 9 ? 12 : rows[i].back_s));
@@ -137,9 +137,9 @@
   static const struct {
     const char *name;
     double back_s[WORLD_NODES];
-    bool held;       /* commands to half of the machines are delayed beyond the leases */
-    bool state_down; /* the key-value store is down for most of it */
-    bool ends;       /* leases end */
+    bool held;        /* commands to half of the machines are delayed beyond the leases */
+    bool kv_set_down; /* the key-value store is down for most of it */
+    bool ends;        /* leases end */
   } rows[] = {
       {"for less than a lease", {7, 7, 7}, false, false, false},
       {"and come back at once", {25, 25, 25}, false, false, true},
@@ -158,7 +158,7 @@
         for (unsigned n = 0; n < WORLD_NODES; n++) world_cut_pair(n, m, 19, SIM_HELD);
     done += submit_short_jobs(600, 16, 0.1);
     sim_run_until(sim_now() + 1.6);
-    if (rows[i].state_down) world_state_down(24);
+    if (rows[i].kv_set_down) world_kv_down(24);
     double away = sim_now(), last = 0;
     for (unsigned n = 0; n < WORLD_NODES; n++) {
       world_crash(n, rows[i].back_s[n]);
@@ -302,7 +302,7 @@
     unsigned n = (row->seed + k) % WORLD_NODES;
     sim_run_until(end_at + k * row->gap_s);
     for (unsigned m = 0; m < 2 * row->room && row->old_reports_s > 0; m++)
-      for (unsigned to = 0; to < WORLD_NODES; to++) world_report_later(m, to, row->old_reports_s);
+      for (unsigned to = 0; to < WORLD_NODES; to++) world_duplicate_heartbeat(m, to, row->old_reports_s);
     if (row->at_write) {
       world_crash_at_write(n, row->at_write, 0, row->back_s);
     } else {
@@ -316,7 +316,7 @@
 static double check_reported_done(const completion_row *row) {
   double longest_s = 0;
   for (unsigned k = 0; k < G_N_ELEMENTS(k_array_tasks); k++) {
-    double told = world_told_done_at(world_id(k));
+    double told = world_seen_done_at(world_id(k));
     check_row(row->name, told > 0);
     longest_s = MAX(longest_s, told - world_ended_at(world_id(k)));
   }
@@ -401,8 +401,8 @@
   unsigned from = row->from, to = row->to;
   double for_s = row->for_s;
   if (row->fault == HUNG) world_hang(from, to, for_s);
-  if (row->fault == OUTBOUND_CUT) world_mute(from, to, for_s);
-  if (row->fault == INBOUND_CUT) world_deaf(from, to, for_s);
+  if (row->fault == OUTBOUND_CUT) world_cut_outbound(from, to, for_s);
+  if (row->fault == INBOUND_CUT) world_cut_inbound(from, to, for_s);
   if (row->fault == NODE_HELD) world_cut_node(node, for_s, SIM_HELD);
   for (unsigned m = from; m < to; m++) {
     if (row->fault == PAIR_HELD) world_cut_pair(node, m, for_s, SIM_HELD);
@@ -434,7 +434,7 @@
     sim_run_until(MAX(over, sim_now()));
     check_rules(name);
     check_recovery(name, 15, LONG_TASKS, done);
-    unsigned gone = world_gone(0, MACHINES);
+    unsigned gone = world_terminated_machines(0, MACHINES);
     print_message("%s: %u started again, %u returned\n", name, restarts(), gone);
     if (row->kept) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
   }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -46,11 +46,11 @@
     const scene_setup setup = {
         .seed = 40 + (uint32_t)i, .capacity = 12, .keep_idle = true, .images_cached = true, .machines = {6, 6}};
     scene_prepare(&setup);
-    world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
+    world_kv_announce_limits(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
     scene_start(&setup);
     submit_jobs();
     sim_run_until(sim_now() + row->lowered_s);
-    world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
+    world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
     if (row->crash) world_crash(0, 4);
     sim_run_until(sim_now() + 60);
     unsigned early = world_so_far().over_rate;
@@ -75,8 +75,8 @@
   const scene_setup setup = {
       .seed = 60, .capacity = 40, .keep_idle = true, .images_cached = true, .machines = {40, 40}};
   scene_prepare(&setup);
-  world_state_next(LATER_VALUE_KB, LATER_TXN_OPS, 15);
-  world_state_limits(LATER_VALUE_KB, LATER_TXN_OPS, 15);
+  world_kv_announce_limits(LATER_VALUE_KB, LATER_TXN_OPS, 15);
+  world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, 15);
   scene_start(&setup);
   for (unsigned k = 0; k < ARRAYS; k++)
     world_submit_job(&(world_job){.id = world_id(k),
@@ -99,7 +99,7 @@
   sim_run_until(from + 120);
   unsigned at_once = 0;
   for (unsigned k = 0; k < SUBMITTED; k++) {
-    double accepted = world_accepted_at(world_id(100 + k));
+    double accepted = world_seen_accepted_at(world_id(100 + k));
     at_once += accepted > 0 && accepted < from + 0.5 * k + 1;
   }
   world_result r = world_so_far();
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -23,10 +23,10 @@
       for (unsigned n = 0; n < WORLD_NODES; n++) world_cut_pair(n, machine, for_s, SIM_HELD);
       break;
     case OUTBOUND_CUT:
-      world_mute(machine, machine + 1, for_s);
+      world_cut_outbound(machine, machine + 1, for_s);
       break;
     case INBOUND_CUT:
-      world_deaf(machine, machine + 1, for_s);
+      world_cut_inbound(machine, machine + 1, for_s);
       break;
     default:
       world_notice(machine, 6);
@@ -40,10 +40,10 @@
     {.id = "job-000002", .kind = "sweep", .tasks = 12, .gpus = 1, .run_s = 25, .one_zone = true},
     {.id = "job-000003", .kind = "sweep", .tasks = 9, .gpus = 1, .run_s = 25, .spread = true},
     {.id = "job-000004", .kind = "sweep", .tasks = 8, .gpus = 1, .run_s = 25, .zone = "b"},
-    {.id = "job-000005", .kind = "service", .rank = "prod", .tasks = 3, .gpus = 1, .run_s = 1e6, .one_zone = true},
-    {.id = "job-000006", .kind = "service", .rank = "prod", .tasks = 5, .gpus = 1, .run_s = 1e6, .spread = true},
-    {.id = "job-000007", .kind = "gang", .rank = "high", .tasks = 3, .gpus = 2, .run_s = 25, .one_zone = true},
-    {.id = "job-000008", .kind = "gang", .rank = "high", .tasks = 3, .gpus = 2, .run_s = 25, .zone = "b"},
+    {.id = "job-000005", .kind = "service", .priority = "prod", .tasks = 3, .gpus = 1, .run_s = 1e6, .one_zone = true},
+    {.id = "job-000006", .kind = "service", .priority = "prod", .tasks = 5, .gpus = 1, .run_s = 1e6, .spread = true},
+    {.id = "job-000007", .kind = "gang", .priority = "high", .tasks = 3, .gpus = 2, .run_s = 25, .one_zone = true},
+    {.id = "job-000008", .kind = "gang", .priority = "high", .tasks = 3, .gpus = 2, .run_s = 25, .zone = "b"},
 };
 
 static void submit_zone_bound_jobs(double in_s) {
@@ -104,7 +104,7 @@
   for (unsigned k = 0; k < machines; k++) {
     world_submit_job(&(world_job){.id = world_id(100 + k),
                                   .kind = "service",
-                                  .rank = "prod",
+                                  .priority = "prod",
                                   .tasks = 1,
                                   .gpus = 4,
                                   .run_s = 1e6,
@@ -214,7 +214,7 @@
     submit_zone_bound_jobs(5);
     world_submit_job(&(world_job){.id = "job-000020",
                                   .kind = "service",
-                                  .rank = "prod",
+                                  .priority = "prod",
                                   .tasks = 3,
                                   .gpus = 1,
                                   .run_s = 1e6,
@@ -236,18 +236,18 @@
     if (rows[i].inside) world_crash(1, 4);
     sim_run_until(back - 1);
     check_row(rows[i].name, world_starts_of("job-000021") == 0);
-    if (rows[i].state_too) world_state_down(8);
+    if (rows[i].state_too) world_kv_down(8);
     sim_run_until(back + 20);
     run_until_done(9, 55);
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s, %u: %s", rows[i].name, (unsigned)i, r.first);
     print_message("%s, %u: %u done, %u returned, began %.1f s after it was back\n", rows[i].name, (unsigned)i,
-                  r.finished, world_gone(0, machines * 2), world_began("job-000021") - back);
-    check_row(rows[i].name, world_gone(0, machines * 2) == 0);
+                  r.finished, world_terminated_machines(0, machines * 2), world_began("job-000021") - back);
+    check_row(rows[i].name, world_terminated_machines(0, machines * 2) == 0);
     check_row(rows[i].name, r.finished == 9);
     check_row(rows[i].name, world_tasks_of("job-000005") == 3);
     check_row(rows[i].name, world_tasks_of("job-000006") == 5);
-    check_row(rows[i].name, world_cancelled_at("job-000020") > 0 && world_tasks_of("job-000020") == 0);
+    check_row(rows[i].name, world_seen_cancelled_at("job-000020") > 0 && world_tasks_of("job-000020") == 0);
   }
 }
 
@@ -280,7 +280,7 @@
   for (unsigned k = 0; k < LIMIT_SERVICES; k++)
     world_submit_job(&(world_job){.id = world_id(k),
                                   .kind = "service",
-                                  .rank = "prod",
+                                  .priority = "prod",
                                   .team = "blue",
                                   .tasks = 3,
                                   .gpus = 1,
@@ -299,7 +299,7 @@
   while (sim_now() < from + 90 && !*next) {
     sim_run_until(sim_now() + 0.25);
     /* Until the cancellation is acknowledged a task may be restarted. */
-    bool is_over = world_cancelled_at(world_id(0)) > 0 && world_tasks_of(world_id(0)) == 0;
+    bool is_over = world_seen_cancelled_at(world_id(0)) > 0 && world_tasks_of(world_id(0)) == 0;
     *gone = !is_over ? 0 : *gone > 0 ? *gone : sim_now();
     if (world_tasks_of(world_id(10)) == 3) *next = sim_now();
   }
@@ -362,7 +362,7 @@
       sent[r][k] = sim_now() + in_s;
       world_submit_job(&(world_job){.id = world_id(r * 100 + k),
                                     .kind = r == 1 && (large || k % 3 == 0) ? "gang" : "sweep",
-                                    .rank = k_priority_names[r],
+                                    .priority = k_priority_names[r],
                                     .team = !large && k % 4 == 0 ? "blue" : "red",
                                     .tasks = large ? 10 : 3,
                                     .gpus = large ? 2 : 1 + k % 2,
@@ -405,7 +405,7 @@
     sim_run_until(sim_now() + 30);
     world_kill(0, k_overloads[i].dead);
     for (unsigned n = 0; n < k_overloads[i].crashes; n++) world_crash(n, 4);
-    world_troubles_end(50);
+    world_check_starvation(50);
     run_until_done(4 * (PER_PRIORITY + 1), 260);
     world_result res = world_so_far();
     if (res.broken) fail_msg("%s: %s", k_overloads[i].name, res.first);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -25,15 +25,15 @@
   scene_begin(&(scene_setup){.seed = 11, .capacity = 8, .keep_idle = true, .machines = {2, 1}});
   world_submit(JOB_ID, row->kind, "standard", row->tasks, 1, 6, 5);
   sim_run_until(sim_now() + 6);
-  if (row->slow_s > 0) world_state_slow(1e6, row->slow_s);
+  if (row->slow_s > 0) world_kv_slow(1e6, row->slow_s);
 }
 
 static bool committed(const char *status) {
   char text[40];
   g_snprintf(text, sizeof text, "\"phase\":\"%s\"", status);
-  return state_says("fc1/job/" JOB_ID, text) ||
-         (state_has("fc1over/" JOB_ID) &&
-          state_says("fc1over/" JOB_ID, strcmp(status, "done") == 0 ? "\"done\":true" : "\"done\":false"));
+  return kv_value_contains("fc1/job/" JOB_ID, text) ||
+         (kv_has_key("fc1over/" JOB_ID) &&
+          kv_value_contains("fc1over/" JOB_ID, strcmp(status, "done") == 0 ? "\"done\":true" : "\"done\":false"));
 }
 
 /* All three controllers at the same moment, by three kinds of request. Unless `exact` a controller may
@@ -70,8 +70,8 @@
   world_send(&asked, (node + 1) % WORLD_NODES, "GET", "/api/jobs/" JOB_ID, "");
   world_send(&again, (node + 2) % WORLD_NODES, "POST", "/api/jobs", k_body);
   double patience = at + 20;
-  while (!world_told(JOB_ID) && sim_now() < patience) sim_run_until(sim_now() + 0.002);
-  const char *told = world_told(JOB_ID);
+  while (!world_seen_terminal_state(JOB_ID) && sim_now() < patience) sim_run_until(sim_now() + 0.002);
+  const char *told = world_seen_terminal_state(JOB_ID);
   g_snprintf(name, sizeof name, "%s, asked %+.3f s after the end, told %s", row->name, at - world_ended_at(JOB_ID),
              told ? told : "nothing");
   check_row(name, told);
@@ -292,7 +292,7 @@
     g_snprintf(key, sizeof key, "fc1/job/%s", ids[i]);
     world_reply r = world_request((unsigned)i, "GET", path, "");
     check_row(when, r.status == 404);
-    check_row(when, !state_has(key));
+    check_row(when, !kv_has_key(key));
   }
 }
 
@@ -307,7 +307,7 @@
   world_submit("job-000002", "service", "prod", 2, 1, 1e6, 5);
   world_submit("job-000003", "gang", "high", 40, 4, 10, 5);
   sim_run_until(sim_now() + 20);
-  assert_string_equal(world_told("job-000001"), "done");
+  assert_string_equal(world_seen_terminal_state("job-000001"), "done");
   assert_true(world_began("job-000002") > 0);
 }
 
@@ -340,7 +340,7 @@
     }
   }
   sim_run_until(sim_now() + 40); /* archived by now */
-  assert_true(state_has("fc1over/job-000001"));
+  assert_true(kv_has_key("fc1over/job-000001"));
   check_known_jobs("later", false, IMMEDIATE_S);
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
@@ -428,7 +428,7 @@
   world_set_up(31, 0);
   start_three_jobs();
   double began = sim_now();
-  world_state_down(60);
+  world_kv_down(60);
   world_reply first = world_request(0, "POST", "/api/jobs", "{\"id\":\"job-000002\"}");
   check_reply("not noticed yet", &first, first.status == 503, 2.1);
   sim_run_until(began + 6);
@@ -472,7 +472,7 @@
   world_set_up(51, 0);
   world_start_nodes();
   sim_run_until(sim_now() + 6);
-  world_state_slow(1e6, 0.5);
+  world_kv_slow(1e6, 0.5);
   unsigned known = 0;
   for (unsigned i = 0; i < 12; i++) {
     char id[32], path[64], says[60];
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -15,9 +15,9 @@
 }
 
 /* Equal jobs of two tasks, five seconds from now. */
-static void submit_alike(unsigned count, const char *kind, const char *rank, double run_s) {
-  scene_submit(
-      &(scene_jobs){.count = count, .kind = kind, .priority = rank, .tasks = 2, .gpus = 1, .run_s = run_s, .in_s = 5});
+static void submit_alike(unsigned count, const char *kind, const char *priority, double run_s) {
+  scene_submit(&(scene_jobs){
+      .count = count, .kind = kind, .priority = priority, .tasks = 2, .gpus = 1, .run_s = run_s, .in_s = 5});
 }
 
 /* One and a half times the largest deployment, and one controller left of three: every worker finds
@@ -137,7 +137,7 @@
     sim_run_until(sim_now() + 40);
     unsigned starts = world_so_far().starts;
     assert_int_equal(starts, 12);
-    world_alone(rows[i].node, rows[i].for_s);
+    world_partition_node(rows[i].node, rows[i].for_s);
     sim_run_until(sim_now() + 12);
     check_row(rows[i].name, world_ask(rows[i].node, "/ready") == 503);
     sim_run_until(sim_now() + rows[i].for_s + 20);
@@ -170,13 +170,13 @@
     for (unsigned n = 0; n < rows[i].nodes_down; n++) world_crash(n, 1e6);
     sim_run_until(sim_now() + 30 * rows[i].nodes_down);
     unsigned starts = world_so_far().starts;
-    world_deaf(rows[i].from, rows[i].to, rows[i].for_s);
+    world_cut_inbound(rows[i].from, rows[i].to, rows[i].for_s);
     sim_run_until(sim_now() + 40);
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
-    print_message("%s: %u returned, %u started anew\n", rows[i].name, world_gone(rows[i].from, rows[i].to),
-                  r.starts - starts);
-    check_row(rows[i].name, world_gone(rows[i].from, rows[i].to) == rows[i].gone);
+    print_message("%s: %u returned, %u started anew\n", rows[i].name,
+                  world_terminated_machines(rows[i].from, rows[i].to), r.starts - starts);
+    check_row(rows[i].name, world_terminated_machines(rows[i].from, rows[i].to) == rows[i].gone);
     check_row(rows[i].name, (r.starts > starts) == (rows[i].gone > 0 || r.lease_kills > 0));
   }
 }
@@ -249,7 +249,7 @@
     sim_run_until(sim_now() + 10);
     if (rows[i].crash) world_crash(0, 4);
     sim_run_until(sim_now() + 30);
-    check_row(rows[i].name, world_gone(rows[i].in_a, all) == 0);
+    check_row(rows[i].name, world_terminated_machines(rows[i].in_a, all) == 0);
     sim_run_until(sim_now() + 25);
     world_result r = world_so_far();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
@@ -280,7 +280,7 @@
                                .in_s = 5,
                                .every_s = 0.1});
     sim_run_until(sim_now() + 20);
-    for (unsigned n = 0; n < (rows[i].all ? 3 : 1); n++) world_still(n, rows[i].for_s);
+    for (unsigned n = 0; n < (rows[i].all ? 3 : 1); n++) world_pause_node(n, rows[i].for_s);
     submit_small_arrays(20, 0.5);
     sim_run_until(sim_now() + rows[i].for_s + 60);
     world_result r = world_so_far();
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -10,7 +10,7 @@
 static void start_mixed_fleet(uint32_t seed, const bool *is_new) {
   const scene_setup setup = {.seed = seed, .capacity = 5, .keep_idle = true, .images_cached = true, .machines = {5, 5}};
   scene_prepare(&setup);
-  world_state_next(2, 4, 15);
+  world_kv_announce_limits(2, 4, 15);
   world_former_version();
   scene_start(&setup);
   sim_run_until(sim_now() + 10);
@@ -58,11 +58,11 @@
 }
 
 static void apply_fault(const mix_row *row) {
-  if (row->trouble == STATE_DOWN) world_state_down(22);
+  if (row->trouble == STATE_DOWN) world_kv_down(22);
   if (row->trouble == FIRST_ENDS) world_crash(0, 4);
   if (row->trouble == SECOND_ENDS) world_crash(1, 4);
   if (row->trouble == REFUSED || row->trouble == CANCELLED) world_refuse(0, 20);
-  if (row->trouble == ALONE) world_alone(0, 12);
+  if (row->trouble == ALONE) world_partition_node(0, 12);
   if (row->trouble == LATE_WRITES) world_late_writes(0.3);
   if (row->trouble != CANCELLED) return;
   sim_run_until(sim_now() + 0.5);
@@ -96,12 +96,12 @@
   }
 }
 
-static char *submission_awaiting(const char *id, const char *awaits) {
+static char *submission_awaiting(const char *id, const char *dependencies) {
   return g_strdup_printf(
       "{\"id\":\"%s\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":1,\"cpus\":1,"
       "\"gpus\":0,\"memGb\":1,\"kit\":\"i\",\"pullGb\":1,\"samePlace\":false,\"scatter\":false,\"loaners\":true,"
       "\"expectS\":10,\"markS\":0,\"stowS\":0,\"awaits\":[\"%s\"]}",
-      id, awaits);
+      id, dependencies);
 }
 
 /* Jobs with pending dependencies, which the old version can't read, are refused while it serves; with
@@ -141,7 +141,7 @@
                                     .gpus = 0.5,
                                     .run_s = 5,
                                     .in_s = 1,
-                                    .awaits = {world_id(k < 6 ? 1 : k - 4)}});
+                                    .dependencies = {world_id(k < 6 ? 1 : k - 4)}});
     sim_run_until(sim_now() + 6);
     world_users_to((int)((back + 1) % WORLD_NODES)); /* the old version does not know the jobs */
     world_downgrade(back, 0.5);
@@ -150,7 +150,8 @@
     world_upgrade(back, 0.5);
     sim_run_until(sim_now() + 60);
     for (unsigned k = 1; k <= 9; k++)
-      assert_true(world_told(world_id(k)) && strcmp(world_told(world_id(k)), "done") == 0);
+      assert_true(world_seen_terminal_state(world_id(k)) &&
+                  strcmp(world_seen_terminal_state(world_id(k)), "done") == 0);
     if (world_so_far().broken) fail_msg("%u back: %s", back, world_so_far().first);
   }
 }
@@ -170,7 +171,7 @@
       sim_run_until(sim_now() + 4);
     }
     world_late_writes(0);
-    world_state_limits(2, 4, 15);
+    world_kv_limit(2, 4, 15);
     /* Dependencies on jobs that are still open, and on those of the delayed transactions. */
     for (unsigned k = 31; k <= 50; k++)
       world_submit_job(&(world_job){.id = world_id(k),
@@ -180,13 +181,13 @@
                                     .run_s = 4,
                                     .in_s = 5,
                                     .cancel_in_s = k % 5 == 0 ? 1 : 0,
-                                    .awaits = {world_id(k - 20), world_id(k - 30)}});
+                                    .dependencies = {world_id(k - 20), world_id(k - 30)}});
     sim_run_until(sim_now() + 260);
     world_result r = world_so_far();
     print_message("seed %u: %u done, %u cancelled of %u\n", seed, r.finished, r.cancelled, r.submitted);
     if (r.broken) fail_msg("seed %u: %s", seed, r.first);
     assert_int_equal(r.finished + r.cancelled, 50);
-    world_check_returned();
+    world_check_released();
   }
 }
 
@@ -228,7 +229,7 @@
   sim_run_until(sim_now() + 5);
   for (unsigned n = 0; n < WORLD_NODES; n++) world_upgrade(n, 0.5);
   sim_run_until(sim_now() + 5);
-  world_state_limits(2, 4, 15);
+  world_kv_limit(2, 4, 15);
   assert_int_equal(world_request(0, "POST", "/api/jobs/job-000002/withdraw", "").status, 200);
   sim_run_until(sim_now() + 70);
   assert_true(job_is(ids[0], "done") && job_is(ids[1], "cancelled") && job_is(ids[2], "done"));
