--- a/tests/test_golden_process.c
+++ b/tests/test_golden_process.c
@@ -91,11 +91,12 @@
 /* ---- the program ---- */
 
 static uint16_t g_service_port, g_client_port, g_peer_port;
+static int g_reserved[2]; /* sockets bound to the client and the peer port */
 static pid_t g_program;
 static char *g_folder, *g_settings_path, *g_log_path;
 
 static int bound(uint16_t *port) {
-  int fd = socket(AF_INET, SOCK_STREAM, 0), on = 1;
+  int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
   struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
   socklen_t len = sizeof sa;
   assert_true(fd >= 0 && setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0);
@@ -152,8 +153,10 @@
   static int services;
   services = bound(&g_service_port);
   assert_int_equal(listen(services, 64), 0);
-  close(bound(&g_client_port));
-  close(bound(&g_peer_port));
+  /* Kept bound, so that no connection on this machine is given the program's ports; it may listen
+   * there all the same, as it too sets SO_REUSEADDR. */
+  g_reserved[0] = bound(&g_client_port);
+  g_reserved[1] = bound(&g_peer_port);
   g_thread_unref(g_thread_new("services", serve, &services));
   g_folder = g_dir_make_tmp("golden-XXXXXX", NULL);
   assert_non_null(g_folder);
@@ -175,6 +178,8 @@
   (void)state;
   kill(g_program, SIGKILL);
   waitpid(g_program, NULL, 0);
+  (void)close(g_reserved[0]);
+  (void)close(g_reserved[1]);
   (void)unlink(g_log_path);
   (void)unlink(g_settings_path);
   (void)rmdir(g_folder);
