--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -123,7 +123,7 @@
 static void check_starvation(sim_job *job) {
   job->starved_since = starved_since(job);
   if (job->starved_since <= 0 || sim_now() <= job->starved_since + STARVATION_LIMIT_S) return;
-  broke_for_job("left waiting beside room", job, job->starved_since);
+  broke_for_job("starved: pending although it fits", job, job->starved_since);
   job->starved_since = sim_now(); /* once in each limit */
 }
 
--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -82,7 +82,8 @@
 /* ---- the day ---- */
 
 static void add_random_jobs(double busy_s, const world_day *day) {
-  for (unsigned i = 1; i <= (unsigned)(busy_s / JOB_EVERY_S); i++) users_add_random_job(i, busy_s, day->meetings);
+  for (unsigned i = 1; i <= (unsigned)(busy_s / JOB_EVERY_S); i++)
+    users_add_random_job(i, busy_s, day->overlapping_faults);
   if (!day->pipelines) return;
   unsigned added = 0;
   while (added < (unsigned)(busy_s / PIPELINE_JOB_EVERY_S)) added += users_add_random_pipeline(added, busy_s);
@@ -105,7 +106,7 @@
   for (int i = 0; i < FIRST_MACHINES; i++) (void)worker_new(i % ZONES, false, 0);
   add_random_jobs(busy_s, day);
   users_poll_unknown_job(NULL);
-  start_faults(seed, busy_s, day->meetings);
+  start_faults(seed, busy_s, day->overlapping_faults);
   checks_start();
   sim_run_until(checks_end_time());
   checks_end();
--- a/tests/sim/invalid_requests.c
+++ b/tests/sim/invalid_requests.c
@@ -87,7 +87,7 @@
 static void submit_invalid(void) {
   invalid_job *invalid = g_new(invalid_job, 1);
   invalid->row = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_invalid_jobs));
-  g_snprintf(invalid->id, sizeof invalid->id, "job-%06u", FIRST_INVALID_JOB + g_result.odd);
+  g_snprintf(invalid->id, sizeof invalid->id, "job-%06u", FIRST_INVALID_JOB + g_result.invalid_requests);
   json_t *message = valid_job(invalid->id);
   if (k_invalid_jobs[invalid->row].without) json_object_del(message, k_invalid_jobs[invalid->row].without);
   if (k_invalid_jobs[invalid->row].with) {
@@ -122,7 +122,7 @@
 static void next_request(void *arg) {
   (void)arg;
   if (sim_now() > g_last_request_at) return;
-  g_result.odd++;
+  g_result.invalid_requests++;
   double choice = sim_draw(0, 1);
   sim_job *job = any_accepted_job(choice >= 0.3);
   if (choice < 0.6 && job) {
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -138,7 +138,7 @@
   } else if (!job->pending_since) {
     job->pending_since = sim_now();
   } else if (sim_now() > job->pending_since + PENDING_LIMIT_S) {
-    world_broke("waits beside room", job->id);
+    world_broke("pending although it fits", job->id);
   }
 }
 
--- a/tests/sim/users.c
+++ b/tests/sim/users.c
@@ -103,8 +103,8 @@
   job_question *question = arg;
   sim_job *job = question->job;
   g_result.questions++;
-  g_result.told += status == 200;
-  g_result.put_off += status == 503;
+  g_result.status_answers += status == 200;
+  g_result.status_refusals += status == 503;
   if (status == 503) check_retry_after(body);
   if (status == 404) world_broke("forgotten", job->id);
   if (status == 200) {
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -26,14 +26,14 @@
   unsigned submitted, accepted, finished, unfinished, cancelled, starts;
   unsigned lease_kills; /* tasks that ended with their worker's lease */
   unsigned crashes, faults;
-  unsigned late_starts;                      /* after the user saw that the job is cancelled */
-  unsigned odd;                              /* requests that must be refused, or repeat what is done */
-  unsigned served_least;                     /* of a class, a team, a class's largest jobs: percent */
-  unsigned done_starts;                      /* of tasks that had completed before */
-  unsigned submissions, unanswered, refused; /* sent; without any answer; with 429 or 503 */
-  double lease_left_s;                       /* the least that a reachable worker had left of its lease */
-  unsigned over_rate;                        /* transactions that the key-value store refused for its rate */
-  unsigned questions, told, put_off;         /* about jobs; answered with 200; with 503 */
+  unsigned late_starts;                                /* after the user saw that the job is cancelled */
+  unsigned invalid_requests;                           /* requests that must be refused, or repeat what is done */
+  unsigned served_least;                               /* of a class, a team, a class's largest jobs: percent */
+  unsigned done_starts;                                /* of tasks that had completed before */
+  unsigned submissions, unanswered, refused;           /* sent; without any answer; with 429 or 503 */
+  double lease_left_s;                                 /* the least that a reachable worker had left of its lease */
+  unsigned over_rate;                                  /* transactions that the key-value store refused for its rate */
+  unsigned questions, status_answers, status_refusals; /* about jobs; answered with 200; with 503 */
 } world_result;
 
 world_result world_so_far(void);
@@ -42,9 +42,9 @@
 /* ---- random days ---- */
 
 typedef struct world_day {
-  bool meetings;  /* also incidents that overlap */
-  bool pipelines; /* also jobs that need others */
-  bool upgrade;   /* controllers begin with the former version and are replaced one by one */
+  bool overlapping_faults; /* also incidents that overlap */
+  bool pipelines;          /* also jobs that need others */
+  bool upgrade;            /* controllers begin with the former version and are replaced one by one */
 } world_day;
 
 /* Plays one day with the faults that the seed draws; jobs arrive for busy_s. */
--- a/tests/small.h
+++ b/tests/small.h
@@ -63,8 +63,8 @@
       "answered, %u put off, %u leases over, %.1f s left of a lease\n",
       name, phase, 100 * (sim_load_of(WORLD_NODE_IP(0)).busy_s - m->used_s) / (sim_now() - m->at),
       r.submissions - m->r.submissions, r.accepted - m->r.accepted, r.refused - m->r.refused,
-      r.unanswered - m->r.unanswered, r.told - m->r.told, r.questions - m->r.questions, r.put_off - m->r.put_off,
-      r.lease_kills - m->r.lease_kills, r.lease_left_s);
+      r.unanswered - m->r.unanswered, r.status_answers - m->r.status_answers, r.questions - m->r.questions,
+      r.status_refusals - m->r.status_refusals, r.lease_kills - m->r.lease_kills, r.lease_left_s);
 }
 
 #endif
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -135,7 +135,7 @@
   assert_true(kv_has_key("fc1over/job-000000") && kv_has_key("fc1over/job-000119"));
   sim_run_until(sim_now() + EVERY_S * ROUNDS);
   world_result r = world_so_far();
-  unsigned asked = r.questions - before.questions, put_off = r.put_off - before.put_off;
+  unsigned asked = r.questions - before.questions, put_off = r.status_refusals - before.status_refusals;
   print_message("%u questions about archived jobs, %u put off\n", asked, put_off);
   assert_true(asked > JOBS * ROUNDS * 3 / 4);
   assert_true(put_off * 20 < asked);
--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -16,14 +16,14 @@
   const char *only = g_getenv("FAULT_SEED"), *many = g_getenv("FAULT_SEEDS");
   uint32_t first = only ? (uint32_t)atoi(only) : 1;
   uint32_t count = many ? (uint32_t)atoi(many) : only ? 1 : seeds;
-  unsigned unaccepted = 0, unfinished = 0, starts = 0, late_starts = 0, broken = 0, odd = 0;
+  unsigned unaccepted = 0, unfinished = 0, starts = 0, late_starts = 0, broken = 0, invalid = 0;
   for (uint32_t seed = first; seed < first + count; seed++) {
     world_result r = world_play(seed, BUSY_S, day);
     print_message(
         "seed %u: %u faults, %u crashes, %u starts, %u lease kills; %u jobs: %u accepted, %u done, %u "
         "cancelled, %u open; %u late starts, %u%% served at least, %u odd requests\n",
         seed, r.faults, r.crashes, r.starts, r.lease_kills, r.submitted, r.accepted, r.finished, r.cancelled,
-        r.unfinished, r.late_starts, r.served_least, r.odd);
+        r.unfinished, r.late_starts, r.served_least, r.invalid_requests);
     /* All seeds are played: what one breaks hides nothing of the others. */
     if (r.broken) print_message("seed %u broke %u rules, first at %s\n", seed, r.broken, r.first);
     broken += r.broken;
@@ -31,12 +31,12 @@
     unfinished += r.unfinished;
     starts += r.starts;
     late_starts += r.late_starts;
-    odd += r.odd;
+    invalid += r.invalid_requests;
   }
   print_message("%u days: %u starts, %u of them after a confirmed cancellation\n", count, starts, late_starts);
   assert_int_equal(broken, 0);
   assert_true(starts > 50 * count);
-  assert_true(!day->meetings || count == 1 || odd > 0);
+  assert_true(!day->overlapping_faults || count == 1 || invalid > 0);
   assert_int_equal(unaccepted, 0);
   /* In the quiet end every accepted job has to get there. */
   assert_int_equal(unfinished, 0);
@@ -49,7 +49,7 @@
 
 static void days_with_meetings(void **state) {
   (void)state;
-  play_days(&(world_day){.meetings = true}, SEEDS_WITH_MEETINGS);
+  play_days(&(world_day){.overlapping_faults = true}, SEEDS_WITH_MEETINGS);
 }
 
 static void days_with_pipelines(void **state) {
@@ -59,7 +59,7 @@
 
 static void days_with_pipelines_and_meetings(void **state) {
   (void)state;
-  play_days(&(world_day){.pipelines = true, .meetings = true}, SEEDS_WITH_PIPELINES);
+  play_days(&(world_day){.pipelines = true, .overlapping_faults = true}, SEEDS_WITH_PIPELINES);
 }
 
 /* From the version before pipelines to this one, with its late writes and lower limits. */
@@ -70,7 +70,7 @@
 
 static void days_with_upgrades_and_meetings(void **state) {
   (void)state;
-  play_days(&(world_day){.pipelines = true, .upgrade = true, .meetings = true}, SEEDS_WITH_UPGRADES);
+  play_days(&(world_day){.pipelines = true, .upgrade = true, .overlapping_faults = true}, SEEDS_WITH_UPGRADES);
 }
 
 int main(void) {
--- a/tests/test_repeat.c
+++ b/tests/test_repeat.c
@@ -19,7 +19,7 @@
 } outcome;
 
 static outcome play(void) {
-  outcome o = {.result = world_play(SEED, BUSY_S, &(world_day){.pipelines = true, .meetings = true})};
+  outcome o = {.result = world_play(SEED, BUSY_S, &(world_day){.pipelines = true, .overlapping_faults = true})};
   for (unsigned node = 0; node < WORLD_NODES; node++) o.loads[node] = sim_load_of(WORLD_NODE_IP(node));
   return o;
 }
@@ -50,7 +50,7 @@
   assert_int_equal(a->crashes, b->crashes);
   assert_int_equal(a->faults, b->faults);
   assert_int_equal(a->late_starts, b->late_starts);
-  assert_int_equal(a->odd, b->odd);
+  assert_int_equal(a->invalid_requests, b->invalid_requests);
   assert_int_equal(a->served_least, b->served_least);
   assert_int_equal(a->done_starts, b->done_starts);
   assert_int_equal(a->submissions, b->submissions);
@@ -59,8 +59,8 @@
   assert_true(a->lease_left_s == b->lease_left_s);
   assert_int_equal(a->over_rate, b->over_rate);
   assert_int_equal(a->questions, b->questions);
-  assert_int_equal(a->told, b->told);
-  assert_int_equal(a->put_off, b->put_off);
+  assert_int_equal(a->status_answers, b->status_answers);
+  assert_int_equal(a->status_refusals, b->status_refusals);
 }
 
 static void assert_same_way(const sim_way *a, const sim_way *b) {
--- a/tests/test_small_requests.c
+++ b/tests/test_small_requests.c
@@ -113,7 +113,8 @@
   check_row(f->name, g.answered == g.sent && g.longest_s <= f->within_s);
   check_row(f->name, g.refused_longest_s <= REFUSED_S);
   /* Other users are answered too. */
-  check_row(f->name, r.told + r.put_off - m.r.told - m.r.put_off == r.questions - m.r.questions);
+  check_row(f->name, r.status_answers + r.status_refusals - m.r.status_answers - m.r.status_refusals ==
+                         r.questions - m.r.questions);
   check_row(f->name, r.lease_kills == 0 && r.lease_left_s >= LEASE_LEFT_S);
   check_row(f->name, most_routines <= f->routines);
   check_row(f->name, world_running() >= tasks);
