--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -7,25 +7,7 @@
 #include <sys/mman.h>
 #include <time.h>
 
-#ifdef __SANITIZE_ADDRESS__
-#include <sanitizer/asan_interface.h>
-#else
-#define ASAN_UNPOISON_MEMORY_REGION(p, n) ((void)0)
-#endif
-
-/* Boost.Context's switching functions have a C calling convention but only a C++ header, so they
- * are declared here. They make no system call, unlike the swapcontext() under libpcl
- * (docs/design.md, "Routines"). */
-typedef void *fcontext_t;
-typedef struct {
-  fcontext_t fctx;
-  void *data;
-} transfer_t;
-/* The names are boost_context's. */
-// NOLINTNEXTLINE(readability-identifier-naming)
-extern transfer_t jump_fcontext(fcontext_t to, void *vp);
-// NOLINTNEXTLINE(readability-identifier-naming)
-extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(transfer_t));
+#include "transport/fcontext.h"
 
 /* Of address space: memory is used only for the pages that a routine touches. */
 #define STACK_BYTES ((size_t)96 * 1024)
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -48,4 +48,17 @@
                  jobs->in_s + k * jobs->every_s);
 }
 
+/* Services of priority prod whose tasks have a GPU each and run until they are cancelled; the first
+ * is submitted in 5 s. */
+static inline void scene_submit_services(unsigned count, unsigned tasks, double every_s) {
+  scene_submit(&(scene_jobs){.count = count,
+                             .kind = "service",
+                             .priority = "prod",
+                             .tasks = tasks,
+                             .gpus = 1,
+                             .run_s = 1e6,
+                             .in_s = 5,
+                             .every_s = every_s});
+}
+
 #endif
--- a/tests/sim/routines.c
+++ b/tests/sim/routines.c
@@ -5,25 +5,11 @@
 #include <string.h>
 #include <sys/mman.h>
 
-#ifdef __SANITIZE_ADDRESS__
-#include <sanitizer/asan_interface.h>
-#else
-#define ASAN_UNPOISON_MEMORY_REGION(address, size) ((void)0)
-#endif
-
 #include "network.h"
 #include "sim.h"
+#include "transport/fcontext.h"
 #include "transport/routine.h"
 
-/* Of the library for contexts. */
-typedef void *fcontext_t;
-typedef struct {
-  fcontext_t fctx;
-  void *data;
-} transfer_t;
-extern transfer_t jump_fcontext(fcontext_t to, void *vp);
-extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(transfer_t));
-
 #define STACK_BYTES ((size_t)512 * 1024)
 #define LAG_HALF_LIFE_S 1.0
 #define MOST_DRIFT 0.0005 /* steady clocks run up to so much fast, each at its own rate */
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -9,8 +9,7 @@
 /* Six machines in each zone and so many services of two tasks. */
 static void start_services(uint32_t seed, unsigned jobs) {
   scene_begin(&(scene_setup){.seed = seed, .keep_idle = true, .images_cached = true, .machines = {6, 6}});
-  scene_submit(&(scene_jobs){
-      .count = jobs, .kind = "service", .priority = "prod", .tasks = 2, .gpus = 1, .run_s = 1e6, .in_s = 5});
+  scene_submit_services(jobs, 2, 0);
   sim_run_until(sim_now() + 30);
   assert_int_equal(world_running(), jobs * 2);
 }
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -30,14 +30,7 @@
 static void start_long_jobs(uint32_t seed) {
   scene_begin(&(scene_setup){
       .seed = salted(seed), .capacity = MACHINES / 2, .keep_idle = true, .machines = {MACHINES / 2, MACHINES / 2}});
-  scene_submit(&(scene_jobs){.count = SERVICES,
-                             .kind = "service",
-                             .priority = "prod",
-                             .tasks = 2,
-                             .gpus = 1,
-                             .run_s = 1e6,
-                             .in_s = 5,
-                             .every_s = 0.1});
+  scene_submit_services(SERVICES, 2, 0.1);
   scene_submit(&(scene_jobs){.first = 20,
                              .count = ARRAYS,
                              .kind = "sweep",
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -31,14 +31,7 @@
   world_start_nodes();
   world_machines_up(0, machines / 2);
   world_machines_up(1, machines / 2);
-  scene_submit(&(scene_jobs){.count = services,
-                             .kind = "service",
-                             .priority = "prod",
-                             .tasks = 6,
-                             .gpus = 1,
-                             .run_s = 1e6,
-                             .in_s = 5,
-                             .every_s = 0.02});
+  scene_submit_services(services, 6, 0.02);
   world_submit("job-000500", "sweep", "standard", 150, 1, 1e6, 10);
   sim_run_until(sim_now() + 40);
   assert_int_equal(world_so_far().starts, services * 6 + 150);
@@ -236,14 +229,7 @@
     scene_begin(&(scene_setup){
         .seed = 60 + (uint32_t)i, .capacity = 12, .keep_idle = true, .machines = {rows[i].in_a, rows[i].in_b}});
     unsigned all = rows[i].in_a + rows[i].in_b;
-    scene_submit(&(scene_jobs){.count = 6,
-                               .kind = "service",
-                               .priority = "prod",
-                               .tasks = 4,
-                               .gpus = 1,
-                               .run_s = 1e6,
-                               .in_s = 5,
-                               .every_s = 0.1});
+    scene_submit_services(6, 4, 0.1);
     sim_run_until(sim_now() + 20);
     world_cut_zone(1, 40);
     sim_run_until(sim_now() + 10);
@@ -271,14 +257,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     scene_begin(&(scene_setup){.seed = 80 + (uint32_t)i, .capacity = 8, .machines = {6, 6}});
-    scene_submit(&(scene_jobs){.count = 6,
-                               .kind = "service",
-                               .priority = "prod",
-                               .tasks = 4,
-                               .gpus = 1,
-                               .run_s = 1e6,
-                               .in_s = 5,
-                               .every_s = 0.1});
+    scene_submit_services(6, 4, 0.1);
     sim_run_until(sim_now() + 20);
     for (unsigned n = 0; n < (rows[i].all ? 3 : 1); n++) world_pause_node(n, rows[i].for_s);
     submit_small_arrays(20, 0.5);
