--- a/src/bookkeeping/arrival_stats.c
+++ b/src/bookkeeping/arrival_stats.c
@@ -43,7 +43,6 @@
   if (!job_class) return;
   double decay = decay_factor(stats, job_class, now);
   job_class->weight = job_class->weight * decay + 1;
-  job_class->tasks = job_class->tasks * decay + spec->tasks;
   job_class->task_squares = job_class->task_squares * decay + (double)spec->tasks * spec->tasks;
   job_class->updated_at = now;
   job_class->kind = spec->kind;
--- a/src/bookkeeping/arrival_stats.h
+++ b/src/bookkeeping/arrival_stats.h
@@ -16,7 +16,6 @@
   double cpus, gpus, memory_gb; /* of one task */
   bool spot;
   double weight;       /* decayed number of jobs */
-  double tasks;        /* decayed sum of their task counts */
   double task_squares; /* decayed sum of the squares of their task counts */
   double updated_at;   /* time that the decayed sums hold for */
 } fc_arrival_class;
--- a/src/bookkeeping/cancellation_log.c
+++ b/src/bookkeeping/cancellation_log.c
@@ -2,7 +2,6 @@
 
 /* The greatest age that a frame carries, in seconds: fits into 32 bits of milliseconds. */
 #define MAX_AGE_S 1e6
-#define MS_PER_S 1000
 
 struct fc_cancellation_log {
   GArray *entries;           /* fc_cancellation, by revision */
@@ -78,7 +77,7 @@
   for (size_t i = 0; i < count; i++) {
     g_strlcpy(entries[i].job, first[i].job, sizeof entries[i].job);
     entries[i].revision = first[i].revision;
-    entries[i].age_ms = (uint32_t)(MIN(MAX(now - first[i].since, 0), MAX_AGE_S) * MS_PER_S);
+    entries[i].age_ms = (uint32_t)(MIN(MAX(now - first[i].since, 0), MAX_AGE_S) * FC_MS_PER_S);
   }
   return entries;
 }
--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -65,10 +65,13 @@
   return resources;
 }
 
+fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type) {
+  return (fc_resources){machine_type->cpus, machine_type->gpus, machine_type->memory_gb};
+}
+
 fc_resources fc_machine_capacity(const fc_cluster *cluster, const fc_machine *machine) {
   if (machine->type < 0) return (fc_resources){UNKNOWN_CAPACITY, UNKNOWN_CAPACITY, UNKNOWN_CAPACITY};
-  const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
-  return (fc_resources){machine_type->cpus, machine_type->gpus, machine_type->memory_gb};
+  return fc_machine_type_capacity(cluster->machine_types->pdata[machine->type]);
 }
 
 bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now) {
--- a/src/bookkeeping/cluster_machines.h
+++ b/src/bookkeeping/cluster_machines.h
@@ -28,6 +28,8 @@
 
 /* Resources that no placement uses; none when the type, or the job of some task, is unknown. */
 fc_resources fc_machine_free_resources(const fc_cluster *cluster, const fc_machine *machine);
+/* What an empty machine of the type holds. */
+fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type);
 /* All that the machine may hold, far more than any limit while its type is not known: a
  * controller that has just started knows none, and once took machines full of tasks for empty
  * (fault test, seed 686). */
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -3,8 +3,6 @@
 #include <math.h>
 #include <string.h>
 
-#define ALL_SLICES (~0u)
-
 static fc_dependency *find_dependency(const fc_cluster *cluster, const char *id) {
   return g_hash_table_lookup(cluster->dependencies.by_id, id);
 }
@@ -103,7 +101,7 @@
   job->queue.entered_at = now;
   job->queue.sequence = cluster->next_queue_sequence++;
   if (!fresh) return;
-  job->slices.resolved = ALL_SLICES;
+  job->slices.resolved = FC_ALL_SLICES;
   fc_arrival_stats_add(&cluster->arrivals, &job->spec, now);
 }
 
--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -7,8 +7,6 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "bookkeeping/shard_ownership.h"
 
-#define ALL_SLICES (~0u)
-
 /* Placements that were reported before the job's record was read belong to it too. */
 static void link_placements(fc_cluster *cluster, fc_job *job) {
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
@@ -28,8 +26,8 @@
   job->spec = fc_job_spec_copy(&record->spec);
   job->record.description = record->parts;
   job->slices.count = record->slices;
-  job->slices.resolved = fresh ? ALL_SLICES : 0;
-  job->completion.bitmap = g_new0(uint8_t, (job->spec.tasks + 7) / 8);
+  job->slices.resolved = fresh ? FC_ALL_SLICES : 0;
+  job->completion.bitmap = g_malloc0(fc_task_bitmap_bytes(job->spec.tasks));
   job->placements = g_ptr_array_new();
   job->team = fc_settings_team(cluster->settings, job->spec.team);
   double submitted_at = record->origin.submitted_at;
--- a/src/bookkeeping/job_state.c
+++ b/src/bookkeeping/job_state.c
@@ -20,7 +20,7 @@
 }
 
 bool fc_job_task_done(const fc_job *job, uint32_t index) {
-  return job->completion.bitmap[index / 8] >> (index % 8) & 1;
+  return fc_task_bitmap_has(job->completion.bitmap, index);
 }
 
 unsigned fc_job_slice_of(const fc_job *job, uint32_t index) {
--- a/src/bookkeeping/job_state.h
+++ b/src/bookkeeping/job_state.h
@@ -40,6 +40,9 @@
   uint32_t count;
 } fc_job_completion;
 
+/* In sets with a bit for each slice. */
+#define FC_ALL_SLICES (~0u)
+
 /* The slices that a large array is split into; all others have one. */
 typedef struct fc_job_slices_state {
   unsigned count;
--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -2,8 +2,6 @@
 
 #include "bookkeeping/cluster_machines.h"
 
-#define ALL_SLICES (~0u)
-
 /* The members on whose machines tasks of a slice of ours may be, a bit each; 0: not known. While
  * the members have the same names, no slice and no machine is assigned anew: a slice is started
  * by its owner alone, on machines that are the owner's, and a machine leaves a member only
@@ -37,7 +35,7 @@
 
 void fc_cluster_resolve_slices(const fc_cluster *cluster, fc_job *job) {
   if (!cluster->membership.term_version) return;
-  if (fc_cluster_fully_reconciled(cluster)) job->slices.resolved = ALL_SLICES;
+  if (fc_cluster_fully_reconciled(cluster)) job->slices.resolved = FC_ALL_SLICES;
   job->slices.resolved |= located_slices(cluster, job);
 }
 
--- a/src/bookkeeping/record_writes.c
+++ b/src/bookkeeping/record_writes.c
@@ -31,26 +31,23 @@
   return NULL;
 }
 
-fc_write *fc_job_record_write(const fc_cluster *cluster, const fc_job *job, uint64_t version, fc_job_phase phase,
+fc_write *fc_job_record_write(const fc_cluster *cluster, const fc_job *job, fc_job_phase phase,
                               const uint8_t *completed, char *const *handed_to, const fc_job_origin *origin) {
   json_t *value = encode_job_record(cluster, job, phase, completed, handed_to, origin);
   if (!value) return NULL;
   char *key = g_strconcat(FC_PREFIX_JOB, job->spec.id, NULL);
   fc_write *write = fc_write_new();
-  fc_write_compare(write, key, version);
+  fc_write_compare(write, key, job->record.version);
   fc_write_put(write, key, value);
   g_free(key);
   return write;
 }
 
-static size_t bitmap_bytes(const fc_job *job) {
-  return (job->spec.tasks + 7) / 8;
-}
-
 /* Sets `completed` to the recorded completions and the ended tasks numbered below `end`. */
 static void merge_completions(const fc_job *job, const uint8_t *ended, uint32_t end, uint8_t *completed) {
-  memcpy(completed, job->completion.bitmap, bitmap_bytes(job));
-  for (uint32_t i = 0; i < end; i++) completed[i / 8] |= (uint8_t)(ended[i / 8] & (1u << (i % 8)));
+  memcpy(completed, job->completion.bitmap, fc_task_bitmap_bytes(job->spec.tasks));
+  for (uint32_t i = 0; i < end; i++)
+    if (fc_task_bitmap_has(ended, i)) fc_task_bitmap_set(completed, i);
 }
 
 static bool record_fits(const fc_cluster *cluster, const fc_job *job, const uint8_t *completed) {
@@ -76,7 +73,7 @@
     }
   }
   merge_completions(job, ended, low, completed);
-  return memcmp(completed, job->completion.bitmap, bitmap_bytes(job)) != 0;
+  return memcmp(completed, job->completion.bitmap, fc_task_bitmap_bytes(job->spec.tasks)) != 0;
 }
 
 fc_write *fc_machine_record_write(const char *machine, uint64_t version, uint64_t term_version,
--- a/src/bookkeeping/record_writes.h
+++ b/src/bookkeeping/record_writes.h
@@ -7,11 +7,11 @@
 #include "bookkeeping/cluster.h"
 #include "bookkeeping/group_commit.h"
 
-/* Replaces the job's record, on condition that its key is at `version` (0: does not exist).
+/* Replaces the job's record, on condition that it is still the one that was read.
  * `completed` is a bitmap of its tasks, `handed_to` as in fc_job_record. NULL: the record exceeds
  * the value size of the key-value store, present or announced. The record of a finished job always
  * fits: fields that only matter for placing tasks are left out if need be. */
-fc_write *fc_job_record_write(const fc_cluster *cluster, const fc_job *job, uint64_t version, fc_job_phase phase,
+fc_write *fc_job_record_write(const fc_cluster *cluster, const fc_job *job, fc_job_phase phase,
                               const uint8_t *completed, char *const *handed_to, const fc_job_origin *origin);
 
 /* Fills `completed`, a bitmap of the job's size, with the recorded completions and as many of the
--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -89,9 +89,11 @@
     reassign_machine(cluster, machine, &change, now);
 }
 
-const char *fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone,
-                                      bool spot, unsigned *counts) {
+int fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
+                              const unsigned *expected) {
   const fc_term *term = &cluster->membership.term;
+  unsigned counts[FC_MEMBERS_MAX];
+  memcpy(counts, expected, sizeof counts);
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     const fc_machine_record *record = &machine->record;
@@ -103,6 +105,5 @@
   int best = fc_assign_key(term, id);
   for (size_t member = 0; member < term->count; member++)
     if (counts[member] < counts[best]) best = (int)member;
-  counts[best] += FC_BALANCE_SAME_KIND;
-  return term->members[best].name;
+  return best;
 }
--- a/src/bookkeeping/shard_ownership.h
+++ b/src/bookkeeping/shard_ownership.h
@@ -16,11 +16,10 @@
 void fc_cluster_apply_term(fc_cluster *cluster, const fc_term *term, uint64_t version, bool continuous, double now);
 
 /* The member whose shard should get a new machine: the one with the fewest of its type, those of
- * its zone and kind first. `counts`, by member, is zeroed or holds FC_BALANCE_SAME_KIND for each
- * machine that is on its way there; what one caller assigns in a row is added to it. Returns the
- * member's name, owned by the term. */
+ * its zone and kind first. `expected`, by member (FC_MEMBERS_MAX), holds FC_BALANCE_SAME_KIND for
+ * each machine that is on its way there. */
 #define FC_BALANCE_SAME_KIND 1000u
-const char *fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone,
-                                      bool spot, unsigned *counts);
+int fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
+                              const unsigned *expected);
 
 #endif
--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -1,5 +1,6 @@
 #include "controller/admission.h"
 
+#include "bookkeeping/cluster_machines.h"
 #include "controller/http_answers.h"
 #include "scheduler/slice_assignment.h"
 
@@ -45,16 +46,6 @@
 
 /* ---- refusals ---- */
 
-/* What was accepted once is never refused: refuses the submission only if the job is not known. */
-static void refuse_unless_known(fc_admission *admission, fc_http_response *response, const char *id, int status,
-                                const char *error, double deadline) {
-  if (!fc_job_lookup_prove_current(admission->lookup, id, deadline)) {
-    fc_http_answer_retry(response, 503, "the state service can't be reached");
-  } else if (!fc_job_lookup_answer_if_known(admission->lookup, response, id, false)) {
-    fc_http_answer_error(response, status, error);
-  }
-}
-
 static void refuse_malformed(fc_admission *admission, const fc_http_request *request, fc_http_response *response,
                              const char *error) {
   char id[64];
@@ -63,7 +54,7 @@
     return;
   }
   double deadline = fc_now() + admission->cluster->settings->heartbeat_s;
-  refuse_unless_known(admission, response, id, 400, error, deadline);
+  fc_job_lookup_refuse_unless_known(admission->lookup, response, id, false, 400, error, deadline);
 }
 
 /* Does the team's limit allow the job: of an array one task, otherwise all of them? */
@@ -75,7 +66,7 @@
 }
 
 static bool fits_machine_type(const fc_machine_type *type, const fc_job_spec *spec) {
-  const fc_resources capacity = {type->cpus, type->gpus, type->memory_gb};
+  const fc_resources capacity = fc_machine_type_capacity(type);
   if (!fc_resources_fit(&capacity, spec)) return false;
   for (char **zone = type->zones; *zone; zone++)
     if (fc_job_spec_allows(spec, type->name, *zone, false)) return true;
@@ -107,7 +98,8 @@
   }
   const char *error = never_runs_because(cluster, submitted->spec);
   if (error) {
-    refuse_unless_known(admission, response, submitted->spec->id, 422, error, submitted->deadline);
+    fc_job_lookup_refuse_unless_known(admission->lookup, response, submitted->spec->id, false, 422, error,
+                                      submitted->deadline);
     return false;
   }
   /* A controller that lags behind takes longer than the rate says. */
@@ -130,8 +122,8 @@
       fc_http_answer_retry(response, 503, "another controller can't read jobs that await others yet");
       return false;
     case FC_DEPENDENCIES_REFUSED:
-      refuse_unless_known(admission, response, submitted->spec->id, 422,
-                          "awaits: a job that was never accepted, or a service", submitted->deadline);
+      fc_job_lookup_refuse_unless_known(admission->lookup, response, submitted->spec->id, false, 422,
+                                        "awaits: a job that was never accepted, or a service", submitted->deadline);
       return false;
     default:
       fc_http_answer_retry(response, 503, "the jobs that it awaits can't be looked up now");
--- a/src/controller/cancellations.c
+++ b/src/controller/cancellations.c
@@ -37,6 +37,13 @@
   fc_wakeups_raise(cancellations->wakeups, FC_WAKEUP_REPLICATE);
 }
 
+void fc_cancellations_learned_from_peer(fc_cancellations *cancellations, const fc_frame_cancellation *list,
+                                        size_t count) {
+  double now = fc_now();
+  for (size_t i = 0; i < count; i++)
+    fc_cancellations_learned(cancellations, list[i].job, list[i].revision, now - list[i].age_ms / FC_MS_PER_S);
+}
+
 double fc_cancellations_learned_at(const fc_cancellations *cancellations) {
   return cancellations->learned_at;
 }
--- a/src/controller/cancellations.h
+++ b/src/controller/cancellations.h
@@ -20,6 +20,9 @@
  * on nothing of the job is started, its tasks are stopped, and the peers are informed. `since`: no
  * user had it confirmed before that steady time. */
 void fc_cancellations_learned(fc_cancellations *cancellations, const char *job, uint64_t revision, double since);
+/* The same of those that a peer has sent. */
+void fc_cancellations_learned_from_peer(fc_cancellations *cancellations, const fc_frame_cancellation *list,
+                                        size_t count);
 /* When we last learned of one, or started, in steady time. */
 double fc_cancellations_learned_at(const fc_cancellations *cancellations);
 /* Those newer than a revision, in the form that a peer frame carries: *count of them, which the
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -37,7 +37,6 @@
   fc_machine_probes *probes;
   fc_worker_leases *worker_leases;
   fc_heartbeats *heartbeats;
-  fc_archive_lookup *archive;
   fc_dependency_resolver *resolver;
   fc_peer_views *views;
 };
@@ -64,7 +63,7 @@
   controller->metrics = fc_metrics_new();
   controller->wakeups = fc_wakeups_new();
   controller->leadership = fc_leadership_new(controller->cluster);
-  controller->peers = fc_peers_new(controller->cluster, controller->leadership);
+  controller->peers = fc_peers_new(controller->cluster);
   controller->cancellations = fc_cancellations_new(controller->cluster, controller->wakeups);
 }
 
@@ -113,11 +112,11 @@
 
 static fc_client_server *build_client_server(fc_controller *controller) {
   fc_cluster *cluster = controller->cluster;
-  controller->archive = fc_archive_lookup_new(cluster, controller->kv, controller->commit);
+  fc_archive_lookup *archive = fc_archive_lookup_new(cluster, controller->kv, controller->commit);
   controller->resolver =
-      fc_dependency_resolver_new(cluster, controller->watch, controller->commit, controller->leadership,
-                                 controller->archive, controller->wakeups, controller->metrics);
-  fc_job_lookup *lookup = fc_job_lookup_new(cluster, controller->watch, controller->resolver, controller->archive);
+      fc_dependency_resolver_new(cluster, controller->watch, controller->commit, controller->leadership, archive,
+                                 controller->wakeups, controller->metrics);
+  fc_job_lookup *lookup = fc_job_lookup_new(cluster, controller->watch, controller->resolver, archive);
   fc_description_store *descriptions = fc_description_store_new(cluster, controller->watch, controller->commit);
   const fc_client_server_deps deps = {
       .settings = controller->settings,
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -145,8 +145,8 @@
   const fc_job *job = fc_cluster_find_job(resolver->cluster, id);
   if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED) return;
   if (!fc_leadership_held(resolver->leadership)) return;
-  fc_write *write = fc_job_record_write(resolver->cluster, job, job->record.version, FC_PHASE_CANCELLED,
-                                        job->completion.bitmap, job->record.handed_to, &job->record.origin);
+  fc_write *write = fc_job_record_write(resolver->cluster, job, FC_PHASE_CANCELLED, job->completion.bitmap,
+                                        job->record.handed_to, &job->record.origin);
   if (!write) return;
   const fc_settings *settings = resolver->cluster->settings;
   uint64_t revision = 0;
--- a/src/controller/failure_attribution.c
+++ b/src/controller/failure_attribution.c
@@ -1,6 +1,5 @@
 #include "controller/failure_attribution.h"
 
-#include "bookkeeping/cluster_machines.h"
 #include "transport/routine.h"
 
 #define FAILED_MACHINES_MAX 3u /* a job that has failed on more of them is at fault itself */
--- a/src/controller/handover_execution.c
+++ b/src/controller/handover_execution.c
@@ -1,7 +1,5 @@
 #include "controller/handover_execution.h"
 
-#include <string.h>
-
 #include "bookkeeping/record_writes.h"
 #include "controller/decided_write.h"
 
@@ -48,8 +46,7 @@
     origin.last_transfer[i].term = handover->term_number;
     origin.last_transfer[i].members = handover->machine_owners[i];
   }
-  fc_write *write =
-      fc_job_record_write(cluster, job, handover->version, job->phase, job->completion.bitmap, handed_to, &origin);
+  fc_write *write = fc_job_record_write(cluster, job, job->phase, job->completion.bitmap, handed_to, &origin);
   if (write) fc_write_compare(write, FC_KEY_TERM, handover->term_version);
   return write;
 }
--- a/src/controller/job_lookup.c
+++ b/src/controller/job_lookup.c
@@ -70,3 +70,12 @@
   fc_job_lookup_answer(response, 200, job, counts);
   return true;
 }
+
+void fc_job_lookup_refuse_unless_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts,
+                                       int status, const char *error, double deadline) {
+  if (!fc_job_lookup_prove_current(lookup, id, deadline)) {
+    fc_http_answer_retry(response, 503, "the state service can't be reached");
+  } else if (!fc_job_lookup_answer_if_known(lookup, response, id, counts)) {
+    fc_http_answer_error(response, status, error);
+  }
+}
--- a/src/controller/job_lookup.h
+++ b/src/controller/job_lookup.h
@@ -29,5 +29,9 @@
 /* The cluster state has just been proved current. True: it holds the job, or the archive does, or
  * that can't be said now, and that has been answered. May suspend the calling routine. */
 bool fc_job_lookup_answer_if_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts);
+/* Proves the cluster state current and answers with the job's state; with the error if no such job
+ * is known: what was accepted once is never refused. May suspend the calling routine. */
+void fc_job_lookup_refuse_unless_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts,
+                                       int status, const char *error, double deadline);
 
 #endif
--- a/src/controller/job_queries.c
+++ b/src/controller/job_queries.c
@@ -33,11 +33,7 @@
   }
   /* What may still change has to be proved current. */
   double deadline = fc_now() + queries->cluster->settings->heartbeat_s * POLL_TIMEOUT_HEARTBEATS;
-  if (!fc_job_lookup_prove_current(queries->lookup, id, deadline)) {
-    fc_http_answer_retry(response, 503, "the state service can't be reached");
-  } else if (!fc_job_lookup_answer_if_known(queries->lookup, response, id, true)) {
-    fc_http_answer_error(response, 404, "no such job");
-  }
+  fc_job_lookup_refuse_unless_known(queries->lookup, response, id, true, 404, "no such job", deadline);
 }
 
 typedef enum {
@@ -51,8 +47,8 @@
                                         fc_http_response *response) {
   char *id = g_strdup(job->spec.id); /* the job may be freed during the write */
   cancel_result outcome = CANCEL_FAILED;
-  fc_write *write = fc_job_record_write(queries->cluster, job, job->record.version, FC_PHASE_CANCELLED,
-                                        job->completion.bitmap, job->record.handed_to, &job->record.origin);
+  fc_write *write = fc_job_record_write(queries->cluster, job, FC_PHASE_CANCELLED, job->completion.bitmap,
+                                        job->record.handed_to, &job->record.origin);
   if (!write) goto out;
   uint64_t revision = 0;
   fc_kv_result result = fc_group_commit_write(queries->commit, write, FC_WRITE_PRIORITY_HEARTBEAT, deadline, &revision);
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -31,12 +31,13 @@
 
 bool fc_leadership_in_term(const fc_leadership *leadership) {
   const fc_membership *membership = &leadership->cluster->membership;
-  return membership->self >= 0 && membership->term.members[membership->self].incarnation == leadership->incarnation;
+  return leadership->incarnation && membership->self >= 0 &&
+         membership->term.members[membership->self].incarnation == leadership->incarnation;
 }
 
 bool fc_leadership_held(const fc_leadership *leadership) {
   const fc_membership *membership = &leadership->cluster->membership;
-  if (!leadership->cluster->sync.loaded || !leadership->incarnation || !fc_leadership_in_term(leadership)) return false;
+  if (!leadership->cluster->sync.loaded || !fc_leadership_in_term(leadership)) return false;
   return fc_now() < fc_leader_lease_until(&leadership->lease, &membership->term, leadership->peer_of, membership->self);
 }
 
--- a/src/controller/machine_reachability.c
+++ b/src/controller/machine_reachability.c
@@ -3,13 +3,11 @@
 #include "coordination/leader_lease.h"
 #include "transport/routine.h"
 
-#define MS_PER_S 1000.0
-
 /* Peers repeat which leases they renewed for so long. */
 #define RENEWALS_KNOWN_LEASES 2
 
 static double age_s(uint32_t age_ms) {
-  return age_ms / MS_PER_S;
+  return age_ms / FC_MS_PER_S;
 }
 
 void fc_reachability_note_renewal(fc_cluster *cluster, const fc_frame_lease_renewal *renewal, double now) {
--- a/src/controller/machine_registration.c
+++ b/src/controller/machine_registration.c
@@ -103,8 +103,8 @@
   return g_strv_contains((const gchar *const *)machine_type->zones, heartbeat->zone);
 }
 
-/* The name of the member that is to own the machine. */
-static const char *choose_owner(const fc_machine_registration *registration, const fc_heartbeat *heartbeat) {
+/* The member that is to own the machine. */
+static int choose_owner(const fc_machine_registration *registration, const fc_heartbeat *heartbeat) {
   /* Machines whose records are being written count too: of a fleet that reported for the first
    * time, all at once, hundreds went to the member that had the fewest a moment before. */
   unsigned pending[FC_MEMBERS_MAX];
@@ -121,16 +121,16 @@
   g_strlcpy(record.endpoint, heartbeat->endpoint, sizeof record.endpoint);
   g_strlcpy(record.type, heartbeat->type, sizeof record.type);
   g_strlcpy(record.zone, heartbeat->zone, sizeof record.zone);
-  g_strlcpy(record.owner, choose_owner(registration, heartbeat), sizeof record.owner);
-  int owner = fc_term_find(&cluster->membership.term, record.owner);
-  if (owner >= 0) registration->pending[owner]++;
+  int owner = choose_owner(registration, heartbeat);
+  g_strlcpy(record.owner, cluster->membership.term.members[owner].name, sizeof record.owner);
+  registration->pending[owner]++;
   fc_write *write = fc_machine_record_write(heartbeat->machine, 0, cluster->membership.term_version, &record);
   /* Executed late, it must not bring back the record of a machine that has been recorded, used and
    * returned since. */
   fc_write_compare(write, FC_KEY_RETURNED, cluster->returns_version);
   fc_kv_result result = fc_group_commit_write(registration->commit, write, FC_WRITE_PRIORITY_HEARTBEAT,
                                               fc_now() + RECORD_TIMEOUT_S, revision);
-  if (owner >= 0) registration->pending[owner]--;
+  registration->pending[owner]--;
   return result;
 }
 
--- a/src/controller/peers.c
+++ b/src/controller/peers.c
@@ -13,15 +13,13 @@
 
 struct fc_peers {
   const fc_cluster *cluster;
-  const fc_leadership *leadership;
   size_t count;
   fc_peer items[FC_MEMBERS_MAX];
 };
 
-fc_peers *fc_peers_new(const fc_cluster *cluster, const fc_leadership *leadership) {
+fc_peers *fc_peers_new(const fc_cluster *cluster) {
   fc_peers *peers = g_new0(fc_peers, 1);
   peers->cluster = cluster;
-  peers->leadership = leadership;
   peers->count = cluster->settings->peer_count;
   for (size_t i = 0; i < peers->count; i++) {
     peers->items[i].settings = &cluster->settings->peers[i];
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -8,7 +8,6 @@
 #include <stdint.h>
 
 #include "bookkeeping/cluster.h"
-#include "controller/leadership.h"
 
 /* The view of its machines that we have received from a peer. */
 typedef struct fc_received_view {
@@ -41,9 +40,8 @@
 
 typedef struct fc_peers fc_peers;
 
-/* The cluster state and the leadership have to outlive it. The caller frees it with
- * fc_peers_free(). */
-fc_peers *fc_peers_new(const fc_cluster *cluster, const fc_leadership *leadership);
+/* The cluster state has to outlive it. The caller frees it with fc_peers_free(). */
+fc_peers *fc_peers_new(const fc_cluster *cluster);
 void fc_peers_free(fc_peers *peers);
 
 size_t fc_peers_count(const fc_peers *peers);
--- a/src/controller/quota_plan.c
+++ b/src/controller/quota_plan.c
@@ -4,6 +4,7 @@
 
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/quota_usage.h"
+#include "scheduler/team_quota.h"
 
 #define MIN_CHANGE 1e-6 /* shares that differ by less are equal but for rounding */
 
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -7,6 +7,7 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "controller/quota_plan.h"
 #include "controller/quota_tally.h"
+#include "scheduler/team_quota.h"
 #include "transport/routine.h"
 
 #define WRITE_TIMEOUT_S 2.0
--- a/src/controller/quota_tally.c
+++ b/src/controller/quota_tally.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #include "bookkeeping/cluster_machines.h"
-#include "bookkeeping/dependencies.h"
 #include "scheduler/gang_precedence.h"
 #include "scheduler/pending_tasks.h"
+#include "scheduler/team_quota.h"
 #include "transport/routine.h"
 
 /* ---- usage ---- */
--- a/src/controller/quota_tally.h
+++ b/src/controller/quota_tally.h
@@ -12,11 +12,6 @@
   fc_quota_demand cpus[FC_MEMBERS_MAX][FC_TEAMS_MAX], gpus[FC_MEMBERS_MAX][FC_TEAMS_MAX];
 } fc_quota_tally;
 
-/* Has the team a limit? */
-static inline bool fc_team_limited(const fc_team_settings *team_settings) {
-  return team_settings->cpus_max > 0 || team_settings->gpus_max > 0;
-}
-
 /* Sets *tally to the sums over the cluster state. `pessimistic`: a machine that is not reconciled
  * counts as full of every team's tasks; otherwise it counts as what is known to be on it. */
 void fc_quota_tally_take(const fc_cluster *cluster, bool pessimistic, fc_quota_tally *tally);
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -51,14 +51,14 @@
     return;
   }
   if (term.number <= membership->term.number && membership->term_version) return;
-  bool was_member = fc_leadership_incarnation(applier->leadership) && fc_leadership_in_term(applier->leadership);
-  bool continuous = was_member && names_us(applier, &term);
+  bool ours = names_us(applier, &term);
+  bool continuous = ours && fc_leadership_in_term(applier->leadership);
   bool left = membership->term_version && peer_left(membership, &term);
   fc_peers_forget_acknowledged(applier->peers);
   double now = fc_now();
   fc_cluster_apply_term(cluster, &term, change->version, continuous, now);
   /* Another incarnation under our name owns the shard that is named so. */
-  if (membership->self >= 0 && !names_us(applier, &term)) membership->self = -1;
+  if (membership->self >= 0 && !ours) membership->self = -1;
   fc_leadership_term_applied(applier->leadership, now, left);
   g_info("term number=%" G_GUINT64_FORMAT " members=%zu self=%d continuous=%d", (guint64)term.number, term.count,
          membership->self, continuous);
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -166,17 +166,15 @@
 static void add_machine_record(const fc_cluster *cluster, record_batch *batch, const char *id) {
   const fc_term *term = &cluster->membership.term;
   const fc_rental_record *rental = &batch->rental->record;
-  unsigned counts[FC_MEMBERS_MAX];
-  memcpy(counts, batch->assigned, sizeof counts);
-  const char *balanced_owner = fc_cluster_balanced_owner(cluster, id, rental->type, rental->zone, rental->spot, counts);
-  int member = fc_term_find(term, balanced_owner);
-  if (member >= 0) batch->assigned[member] += FC_BALANCE_SAME_KIND;
+  int balanced_owner =
+      fc_cluster_balanced_owner(cluster, id, rental->type, rental->zone, rental->spot, batch->assigned);
+  batch->assigned[balanced_owner] += FC_BALANCE_SAME_KIND;
   /* The owner that the rental names may have left the term. */
   bool owner_in_term = fc_term_find(term, rental->owner) >= 0;
   fc_machine_record record = {.spot = rental->spot};
   g_strlcpy(record.type, rental->type, sizeof record.type);
   g_strlcpy(record.zone, rental->zone, sizeof record.zone);
-  g_strlcpy(record.owner, owner_in_term ? rental->owner : balanced_owner, sizeof record.owner);
+  g_strlcpy(record.owner, owner_in_term ? rental->owner : term->members[balanced_owner].name, sizeof record.owner);
   char *key = g_strconcat(FC_PREFIX_MACHINE, id, NULL);
   fc_write_compare(batch->write, key, 0);
   fc_write_put(batch->write, key, fc_machine_record_encode(&record));
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -50,36 +50,28 @@
   return placement->status.state == FC_TASK_EXITED && placement->status.cause == FC_CAUSE_DONE;
 }
 
-static size_t bitmap_bytes(const fc_job *job) {
-  return (job->spec.tasks + 7) / 8;
-}
-
-static void set_bit(uint8_t *bitmap, uint32_t index) {
-  bitmap[index / 8] |= (uint8_t)(1u << (index % 8));
-}
-
 static uint32_t count_bits(const uint8_t *bitmap, uint32_t tasks) {
   uint32_t count = 0;
-  for (uint32_t i = 0; i < tasks; i++) count += bitmap[i / 8] >> (i % 8) & 1;
+  for (uint32_t i = 0; i < tasks; i++) count += fc_task_bitmap_has(bitmap, i);
   return count;
 }
 
 /* Fills in the bitmap of the tasks that are done, recorded or not. False: the record shows all. */
 static bool collect_done(const fc_job *job, uint8_t *bitmap) {
   bool unrecorded = false;
-  memcpy(bitmap, job->completion.bitmap, bitmap_bytes(job));
+  memcpy(bitmap, job->completion.bitmap, fc_task_bitmap_bytes(job->spec.tasks));
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
     if (!is_done(placement) || placement->index >= job->spec.tasks) continue;
     if (fc_job_task_done(job, placement->index)) continue;
-    set_bit(bitmap, placement->index);
+    fc_task_bitmap_set(bitmap, placement->index);
     unrecorded = true;
   }
   /* A gang completes together: if one task is done, all are. Waiting for the end of each left a
    * gang incomplete for ever when a machine was lost in between (fault test, seed 23): the rest
    * could not start as a gang again. */
   if (unrecorded && job->spec.kind == FC_JOB_GANG)
-    for (uint32_t i = 0; i < job->spec.tasks; i++) set_bit(bitmap, i);
+    for (uint32_t i = 0; i < job->spec.tasks; i++) fc_task_bitmap_set(bitmap, i);
   return unrecorded;
 }
 
@@ -117,15 +109,15 @@
 }
 
 static fc_write *record_write(const fc_cluster *cluster, const fc_job *job, fc_job_phase phase, const uint8_t *done) {
-  return fc_job_record_write(cluster, job, job->record.version, phase, done, job->record.handed_to,
-                             &job->record.origin);
+  return fc_job_record_write(cluster, job, phase, done, job->record.handed_to, &job->record.origin);
 }
 
 /* The write of what has ended, and *count of the tasks that are done. NULL: nothing has ended, or
  * nothing of it has room in the record before more has. Tasks that are not recorded stay on their
  * machines. */
 static fc_write *prepare_write(const fc_cluster *cluster, const fc_job *job, uint32_t *count) {
-  uint8_t *ended = g_malloc0(bitmap_bytes(job)), *fitting = g_malloc0(bitmap_bytes(job));
+  uint8_t *ended = g_malloc0(fc_task_bitmap_bytes(job->spec.tasks)),
+          *fitting = g_malloc0(fc_task_bitmap_bytes(job->spec.tasks));
   fc_write *write = NULL;
   if (collect_done(job, ended)) {
     *count = count_bits(ended, job->spec.tasks);
--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -1,7 +1,5 @@
 #include "controller/transfer_execution.h"
 
-#include <string.h>
-
 #include "bookkeeping/record_writes.h"
 #include "controller/decided_write.h"
 #include "controller/worker_commands.h"
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -5,13 +5,12 @@
 
 #include "bookkeeping/cluster_machines.h"
 #include "controller/frame_reader.h"
+#include "controller/http_answers.h"
 #include "coordination/leader_lease.h"
 #include "protocol/job.h"
 #include "protocol/routes.h"
 #include "transport/http.h"
 
-#define MS_PER_S 1000.0
-
 /* Ages on the wire are not above this. */
 #define AGE_MAX_S 1e6
 
@@ -37,19 +36,11 @@
 }
 
 static uint32_t age_ms(double since) {
-  return (uint32_t)(MIN(fc_now() - since, AGE_MAX_S) * MS_PER_S);
+  return (uint32_t)(MIN(fc_now() - since, AGE_MAX_S) * FC_MS_PER_S);
 }
 
 /* ---- what a view tells besides machines ---- */
 
-static void learn_cancellations(fc_view_receiver *receiver, const fc_view *view) {
-  for (size_t i = 0; i < view->cancellation_count; i++) {
-    const fc_frame_cancellation *cancelled = &view->cancellations[i];
-    fc_cancellations_learned(receiver->deps.cancellations, cancelled->job, cancelled->revision,
-                             fc_now() - cancelled->age_ms / MS_PER_S);
-  }
-}
-
 /* The rates of the key-value store are one for all members: each takes its share by how many writes
  * are pending where, as far as they have reported to each other. Should the shares add up to too much for
  * a moment, the store refuses and the write is sent again. */
@@ -80,7 +71,7 @@
   double duration_s = fc_leadership_lease_s(leadership);
   /* Before we have entered we can exclude nobody; our entry keeps everybody, and then we wait longer
    * than this grant (fc_leader_lease_entry_wait). */
-  if (!fc_leadership_incarnation(leadership) || !fc_leadership_in_term(leadership)) return duration_s;
+  if (!fc_leadership_in_term(leadership)) return duration_s;
   int sender = fc_term_find(term, view->sender);
   if (sender < 0 || view->incarnation != term->members[sender].incarnation) return 0;
   fc_peer *peer = fc_peers_of_member(receiver->deps.peers, sender);
@@ -90,7 +81,7 @@
 }
 
 static void add_renewal(GArray *renewals, const fc_machine *machine, double now) {
-  fc_frame_lease_renewal renewal = {.age_ms = (uint32_t)((now - machine->lease.answered_at) * MS_PER_S),
+  fc_frame_lease_renewal renewal = {.age_ms = (uint32_t)((now - machine->lease.answered_at) * FC_MS_PER_S),
                                     .bidirectional = !machine->reachability.unidirectional_since,
                                     .epoch = machine->agent.epoch,
                                     .sequence = machine->agent.sequence};
@@ -99,7 +90,7 @@
 }
 
 static void add_probe(GArray *probes, const fc_machine *machine, double now) {
-  fc_frame_probe probe = {.age_ms = (uint32_t)ceil((now - machine->probe.sent_at) * MS_PER_S),
+  fc_frame_probe probe = {.age_ms = (uint32_t)ceil((now - machine->probe.sent_at) * FC_MS_PER_S),
                           .answered = machine->probe.answered};
   g_strlcpy(probe.machine, machine->id, sizeof probe.machine);
   g_array_append_val(probes, probe);
@@ -129,7 +120,7 @@
                 .term = cluster->membership.term.number,
                 .sequence = view->sequence,
                 .applied = result == FC_VIEW_APPLIED,
-                .grant_ms = (uint32_t)(grant_s(receiver, view) * MS_PER_S),
+                .grant_ms = (uint32_t)(grant_s(receiver, view) * FC_MS_PER_S),
                 .no_cancellation_ms = age_ms(fc_cancellations_learned_at(receiver->deps.cancellations)),
                 .kv_read_age_ms = age_ms(cluster->sync.read_at),
                 .revision = cluster->sync.revision};
@@ -161,7 +152,7 @@
  * to be closed. */
 static bool serve_view(fc_view_receiver *receiver, fc_conn *conn, fc_view *view) {
   fc_view_result result = fc_peer_views_apply(receiver->deps.views, view);
-  learn_cancellations(receiver, view);
+  fc_cancellations_learned_from_peer(receiver->deps.cancellations, view->cancellations, view->cancellation_count);
   if (result == FC_VIEW_BROKEN) {
     g_warning("view out of order from=%s seq=%" G_GUINT64_FORMAT " piece=%u", view->sender, (guint64)view->sequence,
               view->piece);
@@ -183,8 +174,7 @@
     res->content_type = "text/plain";
     fc_metrics_page_append(&receiver->metrics_sources, res->body);
   } else {
-    res->status = 404;
-    fc_error_answer(res->body, "no such path");
+    fc_http_answer_error(res, 404, "no such path");
   }
 }
 
--- a/src/controller/view_sender.c
+++ b/src/controller/view_sender.c
@@ -6,8 +6,6 @@
 #include "controller/frame_reader.h"
 #include "controller/machine_reachability.h"
 
-#define MS_PER_S 1000.0
-
 /* All in heartbeat intervals. */
 #define EXCHANGE_TIMEOUT_HEARTBEATS 1.0
 #define CONNECT_TIMEOUT_HEARTBEATS 0.5
@@ -63,17 +61,13 @@
   fc_peer *peer = fc_peers_at(sender->peers, to->peer);
   double now = fc_now();
   peer->heard_at = now;
-  peer->kv_read_at = now - ack->kv_read_age_ms / MS_PER_S;
-  for (size_t i = 0; i < ack->cancellation_count; i++) {
-    const fc_frame_cancellation *cancelled = &ack->cancellations[i];
-    fc_cancellations_learned(sender->cancellations, cancelled->job, cancelled->revision,
-                             now - cancelled->age_ms / MS_PER_S);
-  }
+  peer->kv_read_at = now - ack->kv_read_age_ms / FC_MS_PER_S;
+  fc_cancellations_learned_from_peer(sender->cancellations, ack->cancellations, ack->cancellation_count);
   peer->revision = ack->revision;
   fc_cancellations_trim(sender->cancellations, fc_peers_common_revision(sender->peers));
   /* A peer that has reported all it knows has, for us, learned of no cancellation since our own last
    * read: we know them too, and stop what is cancelled. */
-  double quiet_since = ack->cancellations_complete ? -INFINITY : now - ack->no_cancellation_ms / MS_PER_S;
+  double quiet_since = ack->cancellations_complete ? -INFINITY : now - ack->no_cancellation_ms / FC_MS_PER_S;
   fc_leadership_no_cancellation(sender->leadership, to->peer, sent->sent_at, quiet_since);
 }
 
@@ -115,7 +109,7 @@
     apply_peer_state(to, ack, sent);
     /* Whatever incarnation or term the peer is in: it answers for what it grants us. */
     if (ack->grant_ms > 0 && still_current(sender, sent))
-      fc_leadership_granted(sender->leadership, to->peer, sent->sent_at, ack->grant_ms / MS_PER_S);
+      fc_leadership_granted(sender->leadership, to->peer, sent->sent_at, ack->grant_ms / FC_MS_PER_S);
   }
   if (matches && within_term(sender, ack, sent)) {
     apply_acknowledged(to, ack, sent);
--- a/src/controller/worker_commands.c
+++ b/src/controller/worker_commands.c
@@ -1,6 +1,5 @@
 #include "controller/worker_commands.h"
 
-#include "bookkeeping/cluster_machines.h"
 #include "protocol/worker_api.h"
 #include "transport/routine.h"
 
--- a/src/protocol/job_record.c
+++ b/src/protocol/job_record.c
@@ -197,20 +197,12 @@
 
 /* ---- ranges ---- */
 
-static bool bit_is_set(const uint8_t *bitmap, uint32_t index) {
-  return bitmap[index / 8] & (1u << (index % 8));
-}
-
-static void set_bit(uint8_t *bitmap, uint32_t index) {
-  bitmap[index / 8] |= (uint8_t)(1u << (index % 8));
-}
-
 char *fc_ranges_encode(const uint8_t *bitmap, uint32_t tasks) {
   GString *text = g_string_new(NULL);
   for (uint32_t first = 0; first < tasks; first++) {
-    if (!bit_is_set(bitmap, first)) continue;
+    if (!fc_task_bitmap_has(bitmap, first)) continue;
     uint32_t last = first;
-    while (last + 1 < tasks && bit_is_set(bitmap, last + 1)) last++;
+    while (last + 1 < tasks && fc_task_bitmap_has(bitmap, last + 1)) last++;
     if (text->len) g_string_append_c(text, ',');
     g_string_append_printf(text, "%u", first);
     if (last > first) g_string_append_printf(text, "-%u", last);
@@ -240,7 +232,7 @@
       if (!read_task_number(&next, &last)) return false;
     }
     if (last < first || last >= tasks) return false;
-    for (uint32_t index = first; index <= last; index++) set_bit(bitmap, index);
+    for (uint32_t index = first; index <= last; index++) fc_task_bitmap_set(bitmap, index);
     if (*next == '\0') return true;
     if (*next != ',') return false;
     next++;
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -45,6 +45,17 @@
 bool fc_job_record_decode(const json_t *value, fc_job_record *out);
 void fc_job_record_clear(fc_job_record *record);
 
+/* A bitmap with a bit for each task. */
+static inline size_t fc_task_bitmap_bytes(uint32_t tasks) {
+  return (tasks + 7) / 8;
+}
+static inline bool fc_task_bitmap_has(const uint8_t *bitmap, uint32_t index) {
+  return bitmap[index / 8] >> (index % 8) & 1;
+}
+static inline void fc_task_bitmap_set(uint8_t *bitmap, uint32_t index) {
+  bitmap[index / 8] |= (uint8_t)(1u << (index % 8));
+}
+
 /* The numbers of the set bits among the first `tasks` as ranges; the caller frees the text. */
 char *fc_ranges_encode(const uint8_t *bitmap, uint32_t tasks);
 /* Sets the bits of the ranges. False for a malformed text or a number that is not below `tasks`;
--- a/src/protocol/peer_frame.h
+++ b/src/protocol/peer_frame.h
@@ -12,6 +12,7 @@
 #include "protocol/worker_api.h"
 
 #define FC_FRAME_VERSION 5
+#define FC_MS_PER_S 1000.0 /* ages and durations in frames are in milliseconds */
 #define FC_FRAME_HEAD 8u
 /* Room for the lease renewals of one controller for 65,535 workers, more than it has sockets
  * for. Memory is taken only for what a frame really holds. */
--- a/src/scheduler/free_capacity.c
+++ b/src/scheduler/free_capacity.c
@@ -1,8 +1,9 @@
 #include "scheduler/free_capacity.h"
-#include "bookkeeping/cluster_machines.h"
 
 #include <string.h>
 
+#include "bookkeeping/cluster_machines.h"
+
 bool fc_machine_usable(const fc_cluster *cluster, const fc_machine *machine, double now) {
   if (cluster->membership.self < 0 || !fc_machine_owned_by_self(cluster, machine) || !machine->announced ||
       !fc_machine_reconciled(cluster, machine))
@@ -27,10 +28,6 @@
   return fc_job_spec_allows(&job->spec, machine->record.type, machine->record.zone, machine->record.spot);
 }
 
-fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type) {
-  return (fc_resources){machine_type->cpus, machine_type->gpus, machine_type->memory_gb};
-}
-
 GArray *fc_free_capacity_gather(const fc_cluster *cluster, fc_machine_filter_fn filter, double now) {
   GArray *capacity = g_array_new(FALSE, TRUE, sizeof(fc_free_capacity));
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
--- a/src/scheduler/free_capacity.h
+++ b/src/scheduler/free_capacity.h
@@ -23,8 +23,6 @@
 /* May tasks of the job run on the machine, whatever room it has: by type, zone and spot, and
  * because no task of the job has failed there? */
 bool fc_machine_suits_job(const fc_machine *machine, const fc_job *job);
-/* What an empty machine of the type holds. */
-fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type);
 
 /* The machines (fc_free_capacity) that the filter accepts, in the order of the cluster's table. The
  * caller frees the array. */
--- a/src/scheduler/gang_precedence.c
+++ b/src/scheduler/gang_precedence.c
@@ -4,11 +4,15 @@
 #include "scheduler/job_order.h"
 #include "scheduler/team_quota.h"
 
-static bool gang_pending(const fc_job *job) {
+bool fc_gang_pending(const fc_job *job) {
   return job->spec.kind == FC_JOB_GANG && fc_job_runnable(job) && job->placements->len == 0 &&
          job->completion.count < job->spec.tasks;
 }
 
+bool fc_job_preemptible_for_gang(const fc_job *job, fc_priority gang_priority) {
+  return job->spec.kind == FC_JOB_ARRAY && job->queue.priority < gang_priority;
+}
+
 static unsigned active_placements(const fc_job *job) {
   unsigned count = 0;
   for (guint i = 0; i < job->placements->len; i++) count += fc_placement_active(job->placements->pdata[i]);
@@ -20,7 +24,7 @@
   fc_resources usage = {0, 0, 0};
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
-    if (job->team != team || (job->spec.kind == FC_JOB_ARRAY && job->queue.priority < priority)) continue;
+    if (job->team != team || fc_job_preemptible_for_gang(job, priority)) continue;
     unsigned tasks = active_placements(job);
     usage.cpus += job->spec.cpus * tasks;
     usage.gpus += job->spec.gpus * tasks;
@@ -33,9 +37,8 @@
   GPtrArray *gangs = g_ptr_array_new();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
-    if (job->team < 0 || !gang_pending(job)) continue;
-    const fc_team_settings *team_settings = &cluster->settings->teams[job->team];
-    if (team_settings->cpus_max > 0 || team_settings->gpus_max > 0) g_ptr_array_add(gangs, (gpointer)job);
+    if (job->team < 0 || !fc_gang_pending(job)) continue;
+    if (fc_team_limited(&cluster->settings->teams[job->team])) g_ptr_array_add(gangs, (gpointer)job);
   }
   g_ptr_array_sort(gangs, fc_job_compare_priority_and_id);
   return gangs;
--- a/src/scheduler/gang_precedence.h
+++ b/src/scheduler/gang_precedence.h
@@ -7,6 +7,10 @@
 
 #include "bookkeeping/cluster.h"
 
+/* Is the job a gang that may start, and is nothing of it anywhere? */
+bool fc_gang_pending(const fc_job *job);
+/* May the job's tasks be preempted for a gang of the priority: is it an array of lower priority? */
+bool fc_job_preemptible_for_gang(const fc_job *job, fc_priority gang_priority);
 /* Sets for each team of the settings the gang that has precedence, of those pending in any shard:
  * the first, in an order that is the same on every member, that fits the limit beside what can't be
  * preempted for it. NULL: none, or the team has no limit. */
--- a/src/scheduler/limit_preemption.c
+++ b/src/scheduler/limit_preemption.c
@@ -22,7 +22,7 @@
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (const fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (job->team != gang->team) continue;
-    bool may_preempt = job->spec.kind == FC_JOB_ARRAY && job->queue.priority < gang->queue.priority;
+    bool may_preempt = fc_job_preemptible_for_gang(job, gang->queue.priority);
     for (guint i = 0; i < job->placements->len; i++) {
       fc_placement *placement = job->placements->pdata[i];
       if (!fc_placement_active(placement)) continue;
--- a/src/scheduler/machine_transfer.c
+++ b/src/scheduler/machine_transfer.c
@@ -19,8 +19,7 @@
 } gang_need;
 
 bool fc_preemptible_for_gang(const fc_placement *placement, const fc_job *gang) {
-  return placement->job && placement->job->spec.kind == FC_JOB_ARRAY &&
-         placement->job->queue.priority < gang->queue.priority;
+  return placement->job && fc_job_preemptible_for_gang(placement->job, gang->queue.priority);
 }
 
 /* The machine's room once everything that may be preempted for the gang has been; *whole: nothing
@@ -142,8 +141,7 @@
   GPtrArray *gangs = g_ptr_array_new();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
-    if (job->spec.kind != FC_JOB_GANG || !fc_job_runnable(job) || job->team < 0) continue;
-    if (job->placements->len > 0 || job->completion.count == job->spec.tasks) continue;
+    if (job->team < 0 || !fc_gang_pending(job)) continue;
     if (now >= job->queue.entered_at + cluster->settings->operator_settings.handover_wait_s)
       g_ptr_array_add(gangs, job);
   }
--- a/src/scheduler/pending_tasks.c
+++ b/src/scheduler/pending_tasks.c
@@ -24,15 +24,14 @@
 /* A bitmap of the tasks that are completed or may be running. Uses `stack_bitmap` where that is
  * large enough; the caller frees any other result. */
 static uint8_t *taken_tasks(const fc_job *job, uint8_t stack_bitmap[STACK_BITMAP_BYTES]) {
-  size_t bytes = (job->spec.tasks + BITS_PER_BYTE - 1) / BITS_PER_BYTE;
+  size_t bytes = fc_task_bitmap_bytes(job->spec.tasks);
   uint8_t *taken = bytes <= STACK_BITMAP_BYTES ? stack_bitmap : g_malloc(bytes);
   memcpy(taken, job->completion.bitmap, bytes);
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
     /* A task that exited without completing runs no more; any other may. */
     if (placement->status.state == FC_TASK_EXITED && placement->status.cause != FC_CAUSE_DONE) continue;
-    if (placement->index < job->spec.tasks)
-      taken[placement->index / BITS_PER_BYTE] |= (uint8_t)(1u << (placement->index % BITS_PER_BYTE));
+    if (placement->index < job->spec.tasks) fc_task_bitmap_set(taken, placement->index);
   }
   return taken;
 }
@@ -67,6 +66,10 @@
   return fc_job_pending_tasks_in(job, fc_job_slices_of_member(job, member), limit);
 }
 
+guint fc_job_count_pending_tasks(const fc_job *job, int member, guint limit) {
+  return collect_pending(job, fc_job_slices_of_member(job, member), limit, NULL);
+}
+
 bool fc_job_has_pending_tasks_in(const fc_job *job, unsigned slices) {
   return collect_pending(job, slices, 1, NULL) > 0;
 }
--- a/src/scheduler/pending_tasks.h
+++ b/src/scheduler/pending_tasks.h
@@ -22,6 +22,8 @@
 GArray *fc_job_pending_tasks_in(const fc_job *job, unsigned slices, guint limit);
 /* The same of the slices that belong to `member` (-1: all slices). */
 GArray *fc_job_pending_tasks(const fc_job *job, int member, guint limit);
+/* How many these are; allocates no list. */
+guint fc_job_count_pending_tasks(const fc_job *job, int member, guint limit);
 /* Is any task of the slices pending? Allocates no list. */
 bool fc_job_has_pending_tasks_in(const fc_job *job, unsigned slices);
 /* The same of the slices that belong to `member` (-1: all slices). */
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -149,9 +149,7 @@
 static void pack_job(fc_capacity_model *model, const fc_job *job) {
   /* The bound is high: with 64 tasks at a time the largest arrays were pending for one machine to start up
    * after the other. */
-  GArray *pending = fc_job_pending_tasks(job, -1, FC_PENDING_TASKS_MAX);
-  guint tasks = pending->len;
-  g_array_free(pending, TRUE);
+  guint tasks = fc_job_count_pending_tasks(job, -1, FC_PENDING_TASKS_MAX);
   if (tasks == 0) return;
   job_packing packing = {.job = job, .spread = fc_job_zone_spread(job)};
   if (job->spec.kind == FC_JOB_GANG)
--- a/src/scheduler/rental_choice.c
+++ b/src/scheduler/rental_choice.c
@@ -1,6 +1,6 @@
 #include "scheduler/rental_choice.h"
 
-#include "scheduler/free_capacity.h"
+#include "bookkeeping/cluster_machines.h"
 
 /* Prices that differ by less count as equal. */
 #define PRICE_TOLERANCE 1e-9
--- a/src/scheduler/slice_assignment.c
+++ b/src/scheduler/slice_assignment.c
@@ -1,7 +1,7 @@
 #include "scheduler/slice_assignment.h"
 
+#include "bookkeeping/cluster_machines.h"
 #include "coordination/assignment.h"
-#include "scheduler/free_capacity.h"
 
 /* Does the member's shard have a machine that could run a task of the job when empty? */
 static bool has_suitable_machine(const fc_cluster *cluster, int member, const fc_job_spec *spec) {
--- a/src/scheduler/team_quota.c
+++ b/src/scheduler/team_quota.c
@@ -2,10 +2,9 @@
 
 fc_team_usage fc_cluster_team_usage(const fc_cluster *cluster) {
   fc_team_usage usage = {{0}, {0}};
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->machines);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) fc_machine_add_usage(value, usage.cpus, usage.gpus);
+  fc_machine_iter machine_iter = fc_cluster_machines(cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));)
+    fc_machine_add_usage(machine, usage.cpus, usage.gpus);
   return usage;
 }
 
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -23,6 +23,10 @@
 /* Counts one more task of the job; its team must be in the settings. */
 void fc_team_usage_add(fc_team_usage *usage, const fc_job *job);
 
+/* Has the team a limit? */
+static inline bool fc_team_limited(const fc_team_settings *team_settings) {
+  return team_settings->cpus_max > 0 || team_settings->gpus_max > 0;
+}
 /* Does the team's limit allow a total of so much? */
 bool fc_team_limit_allows(const fc_team_settings *team_settings, double cpus, double gpus);
 /* Does the team use more than its guarantee? A team without one always does. */
--- a/tests/test_peer_view.c
+++ b/tests/test_peer_view.c
@@ -37,7 +37,7 @@
   controller->metrics = fc_metrics_new();
   controller->wakeups = fc_wakeups_new();
   controller->leadership = fc_leadership_new(controller->cluster);
-  controller->peers = fc_peers_new(controller->cluster, controller->leadership);
+  controller->peers = fc_peers_new(controller->cluster);
   controller->cancellations = fc_cancellations_new(controller->cluster, controller->wakeups);
   controller->commit = fc_group_commit_new(NULL, &k_limits);
   controller->views =
--- a/tests/test_record_writes.c
+++ b/tests/test_record_writes.c
@@ -35,7 +35,7 @@
     check_row(rows[i].name, (memcmp(completed, recorded, bytes) == 0) == rows[i].fits);
     for (size_t byte = 0; byte < bytes; byte++) check_row(rows[i].name, (recorded[byte] & ~completed[byte]) == 0);
     fc_write *write =
-        fc_job_record_write(cluster, job, 5, FC_PHASE_ACCEPTED, recorded, job->record.handed_to, &job->record.origin);
+        fc_job_record_write(cluster, job, FC_PHASE_ACCEPTED, recorded, job->record.handed_to, &job->record.origin);
     check_row(rows[i].name, write != NULL);
     fc_write_free(write);
     g_free(ranges);
--- a/tests/worker_bench.h
+++ b/tests/worker_bench.h
@@ -52,7 +52,7 @@
   bench->metrics = fc_metrics_new();
   bench->wakeups = fc_wakeups_new();
   bench->leadership = fc_leadership_new(bench->cluster);
-  bench->peers = fc_peers_new(bench->cluster, bench->leadership);
+  bench->peers = fc_peers_new(bench->cluster);
   worker_bench_build(bench);
   fc_term term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
   fc_cluster_apply_term(bench->cluster, &term, 9, false, 0);
