--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -224,11 +224,17 @@
   return NULL;
 }
 
+int fc_name_index(const char *const *names, size_t count, const char *text) {
+  for (size_t i = 0; i < count; i++)
+    if (strcmp(text, names[i]) == 0) return (int)i;
+  return -1;
+}
+
 int fc_read_choice(fc_reader *reader, const char *field, const char *const *names, int count) {
   const char *text = fc_read_string(reader, field, CHOICE_LENGTH_MAX);
   if (!text) return 0;
-  for (int i = 0; i < count; i++)
-    if (strcmp(text, names[i]) == 0) return i;
+  int choice = fc_name_index(names, (size_t)count, text);
+  if (choice >= 0) return choice;
   fc_reader_fail(reader, field, FC_FIELD_UNKNOWN_VALUE);
   return 0;
 }
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -85,6 +85,8 @@
 bool fc_read_bool_or(fc_reader *reader, const char *field, bool otherwise);
 const json_t *fc_read_array(fc_reader *reader, const char *field);
 const json_t *fc_read_object(fc_reader *reader, const char *field);
+/* The index of the text in `names`; -1: it is none of them. */
+int fc_name_index(const char *const *names, size_t count, const char *text);
 /* The index of the field's value in `names`; 0, and an error, when it is none of them. */
 int fc_read_choice(fc_reader *reader, const char *field, const char *const *names, int count);
 
--- a/src/protocol/worker_api.c
+++ b/src/protocol/worker_api.c
@@ -76,20 +76,18 @@
 }
 
 static void read_state(fc_reader *reader, const char *text, fc_task_status *task) {
-  for (size_t state = 0; state < G_N_ELEMENTS(k_states); state++) {
-    if (strcmp(text, k_states[state]) != 0) continue;
+  int state = fc_name_index(k_states, G_N_ELEMENTS(k_states), text);
+  if (state >= 0)
     task->state = (fc_task_state)state;
-    return;
-  }
-  fc_reader_fail(reader, FIELD_STATE, FC_FIELD_UNKNOWN_VALUE);
+  else
+    fc_reader_fail(reader, FIELD_STATE, FC_FIELD_UNKNOWN_VALUE);
 }
 
 static fc_exit_cause cause_named(const char *text) {
   if (!text) return FC_CAUSE_NONE;
-  for (size_t cause = 0; cause < G_N_ELEMENTS(k_causes); cause++)
-    if (strcmp(text, k_causes[cause]) == 0) return (fc_exit_cause)cause;
+  int cause = fc_name_index(k_causes, G_N_ELEMENTS(k_causes), text);
   /* An exit for a cause of a newer version is still an exit. */
-  return FC_CAUSE_ERROR;
+  return cause >= 0 ? (fc_exit_cause)cause : FC_CAUSE_ERROR;
 }
 
 static bool read_task(fc_reader *heartbeat, const json_t *element, fc_task_status *task) {
@@ -183,8 +181,8 @@
   g_string_append_c(out, '}');
 }
 
-void fc_worker_commands_body(GString *out, uint64_t fencing_token, uint64_t epoch, const fc_command *commands,
-                             size_t count) {
+static void append_commands_body(GString *out, uint64_t fencing_token, uint64_t epoch, const fc_command *commands,
+                                 size_t count) {
   g_string_append_c(out, '{');
   append_number_field(out, FIELD_FENCING_TOKEN, fencing_token);
   g_string_append_c(out, ',');
@@ -212,7 +210,7 @@
                                      const fc_command *commands, size_t count, double deadline,
                                      fc_heartbeat *heartbeat) {
   g_autoptr(GString) body = g_string_new(NULL);
-  fc_worker_commands_body(body, fencing_token, epoch, commands, count);
+  append_commands_body(body, fencing_token, epoch, commands, count);
   fc_http_client *http = fc_http_client_new(at, FC_HTTP_BODY_MAX);
   fc_http_reply reply;
   bool answered = fc_http_call(http, "POST", CALL_PATH, body->str, body->len, deadline, &reply);
--- a/src/protocol/worker_api.h
+++ b/src/protocol/worker_api.h
@@ -71,11 +71,8 @@
   double grace_s; /* of FC_COMMAND_STOP alone */
 } fc_command;
 
-/* Append the answer to a heartbeat, or the body of a direct call, which names the epoch that it
- * is meant for. */
+/* Appends the answer to a heartbeat. */
 void fc_heartbeat_answer(GString *out, uint64_t fencing_token, const fc_command *commands, size_t count);
-void fc_worker_commands_body(GString *out, uint64_t fencing_token, uint64_t epoch, const fc_command *commands,
-                             size_t count);
 /* Appends the body of a 421 answer; NULL: the owner is not known. */
 void fc_worker_redirect(GString *out, const char *controller);
 
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -65,10 +65,8 @@
 
 /* Owners of all slices anew, after a test has put a term of its own in place. */
 static inline void fixture_assign_slices(fc_cluster *cluster) {
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, cluster->jobs);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) fc_cluster_assign_slices(cluster, value);
+  fc_job_iter job_iter = fc_cluster_jobs(cluster);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) fc_cluster_assign_slices(cluster, job);
 }
 
 /* Term 1 of that many members. */
@@ -92,10 +90,10 @@
 static inline fc_job *fixture_job(fc_cluster *cluster, const char *id, const char *kind, const char *priority,
                                   const char *team, unsigned tasks, double gpus, const char *extra) {
   char *text = g_strdup_printf(
-      "{%s\"id\":\"%s\",\"squad\":\"c\",\"club\":\"%s\",\"play\":\"%s\",\"rank\":\"%s\",\"runs\":%u,\"cpus\":%f,"
+      "{\"id\":\"%s\",\"squad\":\"c\",\"club\":\"%s\",\"play\":\"%s\",\"rank\":\"%s\",\"runs\":%u,\"cpus\":%f,"
       "\"gpus\":%f,\"memGb\":10,\"kit\":\"img\",\"pullGb\":1,\"builds\":null,\"ground\":null%s%s,\"loaners\":true,"
       "\"expectS\":10,\"markS\":0,\"stowS\":0,\"whistleS\":null}",
-      "", id, team, kind, priority, tasks, gpus, gpus, strstr(extra, "samePlace") ? "" : ",\"samePlace\":false",
+      id, team, kind, priority, tasks, gpus, gpus, strstr(extra, "samePlace") ? "" : ",\"samePlace\":false",
       strstr(extra, "scatter") ? "" : ",\"scatter\":false");
   GString *full = g_string_new(text);
   if (*extra) {
--- a/tests/sim/cancellations.c
+++ b/tests/sim/cancellations.c
@@ -21,21 +21,22 @@
   g_free(planned);
 }
 
-void user_cancel_in(sim_job *job, int node, double in_s) {
+/* Cancels the job later by that controller first; -1: by any. */
+static void cancel_in(sim_job *job, int node, double in_s) {
   planned_cancellation *planned = g_new(planned_cancellation, 1);
   *planned = (planned_cancellation){job, node};
   sim_after(in_s, cancel_planned, planned);
 }
 
 void world_cancel(const char *id, int node, double in_s) {
-  user_cancel_in(g_hash_table_lookup(g_jobs, id), node, in_s);
+  cancel_in(g_hash_table_lookup(g_jobs, id), node, in_s);
 }
 
 void users_job_completed(sim_job *job) {
   job->completed_at = sim_now();
   if (g_cancel_on_completion_share <= 0 || !sim_chance(g_cancel_on_completion_share)) return;
   /* Its user cancels it, asks for it and submits it again. */
-  user_cancel_in(job, -1, sim_draw(0, 0.6));
+  cancel_in(job, -1, sim_draw(0, 0.6));
   user_ask_status(job, users_pick_node());
   user_repeat_submission(job, users_pick_node());
 }
@@ -58,7 +59,7 @@
   for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < most; i++) {
     const sim_task *task = worker->tasks->pdata[i];
     if (!may_cancel(task)) continue;
-    user_cancel_in(task->job, -1, sim_draw(0, within_s));
+    cancel_in(task->job, -1, sim_draw(0, within_s));
     count++;
   }
   if (count > 0 && hang_s > 0) {
--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -22,13 +22,8 @@
 static unsigned tasks_that_fit(const sim_worker *worker, const sim_job *job) {
   if (!is_usable(worker) || (worker->spot && !job->spot)) return 0;
   if (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0) return 0;
-  double cpus = MACHINE_CPUS, gpus = MACHINE_GPUS;
-  for (guint i = 0; i < worker->tasks->len; i++) {
-    const sim_task *task = worker->tasks->pdata[i];
-    if (!is_active(task) || !task->job) continue;
-    cpus -= task->job->cpus;
-    gpus -= task->job->gpus;
-  }
+  double cpus, gpus;
+  worker_free_room(worker, &cpus, &gpus);
   unsigned count = 0;
   while (count < job->tasks && cpus >= job->cpus - ROUNDING && gpus >= job->gpus - ROUNDING) {
     count++;
--- a/tests/sim/controllers.c
+++ b/tests/sim/controllers.c
@@ -12,7 +12,6 @@
 /* Crashes a controller a moment after its next write of a key. */
 typedef struct crash_trigger {
   const char *prefix; /* of the key; NULL: none is set */
-  unsigned node;
   double after_s, back_in_s;
 } crash_trigger;
 
@@ -54,24 +53,35 @@
   sim_process_still(WORLD_NODE_IP(node), for_s);
 }
 
-static void crash_now(void *arg) {
-  const crash_trigger *trigger = arg;
-  world_crash(trigger->node, trigger->back_in_s);
+typedef struct planned_crash {
+  unsigned node;
+  double back_in_s;
+} planned_crash;
+
+static void crash_planned(void *arg) {
+  const planned_crash *planned = arg;
+  world_crash(planned->node, planned->back_in_s);
   g_free(arg);
 }
 
+void world_crash_in(unsigned node, double in_s, double back_in_s) {
+  planned_crash *planned = g_new(planned_crash, 1);
+  *planned = (planned_crash){node, back_in_s};
+  sim_after(in_s, crash_planned, planned);
+}
+
 void world_key_written(const struct sim_exchange *exchange, const char *key) {
   g_terms_written += strcmp(key, FC_KEY_TERM) == 0;
   int node = links_sender(exchange);
-  if (node < 0 || !g_crash_triggers[node].prefix || !g_str_has_prefix(key, g_crash_triggers[node].prefix)) return;
-  crash_trigger *trigger = g_new(crash_trigger, 1);
-  *trigger = g_crash_triggers[node];
-  g_crash_triggers[node].prefix = NULL;
-  sim_after(trigger->after_s, crash_now, trigger);
+  if (node < 0) return;
+  crash_trigger *trigger = &g_crash_triggers[node];
+  if (!trigger->prefix || !g_str_has_prefix(key, trigger->prefix)) return;
+  trigger->prefix = NULL;
+  world_crash_in((unsigned)node, trigger->after_s, trigger->back_in_s);
 }
 
 void world_crash_at_write(unsigned node, const char *prefix, double after_s, double back_in_s) {
-  g_crash_triggers[node] = (crash_trigger){prefix, node, after_s, back_in_s};
+  g_crash_triggers[node] = (crash_trigger){prefix, after_s, back_in_s};
 }
 
 unsigned world_terms(void) {
--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -23,11 +23,6 @@
   world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
 }
 
-static void end_delayed_commits(void *arg) {
-  (void)arg;
-  world_late_writes(0);
-}
-
 /* One controller after the other; now and then the next before the last is back. Some of their
  * transactions are applied when the last of them has long ended. */
 static void upgrade_next(void *arg) {
@@ -39,7 +34,7 @@
     sim_after(sim_draw(2, 15), upgrade_next, GUINT_TO_POINTER(node + 1));
     return;
   }
-  sim_after(0.1, end_delayed_commits, NULL);
+  world_late_writes_end(0.1);
   sim_after(sim_draw(1, 60), lower_limits, NULL);
 }
 
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -41,14 +41,9 @@
   world_cut_inbound(from, to, random_length());
 }
 
-static void end_delayed_commits(void *arg) {
-  (void)arg;
-  world_late_writes(0);
-}
-
 static void delay_commits(void) {
   world_late_writes(sim_draw(0.03, 0.4));
-  sim_after(random_length(), end_delayed_commits, NULL);
+  world_late_writes_end(random_length());
 }
 
 static void slow_kv(void) {
@@ -130,25 +125,13 @@
   next_leader_change(GUINT_TO_POINTER(LEADER_CHANGES));
 }
 
-typedef struct crash_later {
-  unsigned node;
-  double back_in_s;
-} crash_later;
-
-static void crash_now(void *arg) {
-  const crash_later *planned = arg;
-  world_crash(planned->node, planned->back_in_s);
-  g_free(arg);
-}
-
 /* Heartbeats of now arrive after a crash, at those that are leaders by then. */
 static void deliver_heartbeats_late(void) {
   unsigned node = any_node(), from, to;
   draw_machines(&from, &to);
-  crash_later *planned = g_new(crash_later, 1);
-  *planned = (crash_later){node, sim_draw(0.1, LEASE_S * 1.5)};
+  double back_in = sim_draw(0.1, LEASE_S * 1.5);
   double crash_in = sim_draw(0.1, 2);
-  sim_after(crash_in, crash_now, planned);
+  world_crash_in(node, crash_in, back_in);
   for (unsigned i = from; i < to; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     if (!worker->up || worker->terminated) continue;
--- a/tests/sim/kv_faults.c
+++ b/tests/sim/kv_faults.c
@@ -62,6 +62,15 @@
   g_delayed_commit_share = share;
 }
 
+static void end_late_writes(void *arg) {
+  (void)arg;
+  world_late_writes(0);
+}
+
+void world_late_writes_end(double in_s) {
+  sim_after(in_s, end_late_writes, NULL);
+}
+
 void world_late_only(const char *text) {
   g_delayed_commit_text = text;
 }
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -74,8 +74,8 @@
 static sim_traffic *traffic(uint32_t ip, uint32_t other, bool sent) {
   sim_load *load = load_of(ip);
   bool peer = other >> 16 == ip >> 16; /* the other controllers are in its network */
-  bool sim_worker = other >> 16 == (10u << 8 | 1);
-  sim_way *way = peer ? &load->peers : sim_worker ? &load->workers : &load->others;
+  bool worker = other >> 16 == WORKER_NETWORK;
+  sim_way *way = peer ? &load->peers : worker ? &load->workers : &load->others;
   return sent ? &way->sent : &way->got;
 }
 
--- a/tests/sim/requests.c
+++ b/tests/sim/requests.c
@@ -17,19 +17,19 @@
   reply->came = true;
 }
 
-void world_send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body) {
+static void send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body) {
   memset(reply, 0, sizeof *reply);
   reply->took = sim_now();
   sim_call(WORLD_USER_IP, ip, method, path, body, REQUEST_TIMEOUT_S, on_reply, reply);
 }
 
 void world_send(world_reply *reply, unsigned node, const char *method, const char *path, const char *body) {
-  world_send_to(reply, WORLD_NODE_IP(node), method, path, body);
+  send_to(reply, WORLD_NODE_IP(node), method, path, body);
 }
 
 world_reply world_request_to(uint32_t ip, const char *method, const char *path, const char *body) {
   static world_reply reply;
-  world_send_to(&reply, ip, method, path, body);
+  send_to(&reply, ip, method, path, body);
   while (!reply.came) sim_run_until(sim_now() + POLL_STEP_S);
   return reply;
 }
--- a/tests/sim/requests.h
+++ b/tests/sim/requests.h
@@ -13,10 +13,8 @@
   bool came;
 } world_reply;
 
-/* Sends a request to the address and returns at once. *reply gets the answer later: the caller
- * keeps it alive until reply->came. */
-void world_send_to(world_reply *reply, uint32_t ip, const char *method, const char *path, const char *body);
-/* The same, to a controller's address for users. */
+/* Sends a request to a controller's address for users and returns at once. *reply gets the answer
+ * later: the caller keeps it alive until reply->came. */
 void world_send(world_reply *reply, unsigned node, const char *method, const char *path, const char *body);
 /* Sends it and runs the simulation on until the answer has come. */
 world_reply world_request_to(uint32_t ip, const char *method, const char *path, const char *body);
--- a/tests/sim/stand_ins.h
+++ b/tests/sim/stand_ins.h
@@ -152,6 +152,8 @@
 void workers_init(void);
 /* A new machine, which boots in boot_s. */
 sim_worker *worker_new(int zone, bool spot, double boot_s);
+/* The room that the tasks on the machine leave. */
+void worker_free_room(const sim_worker *worker, double *cpus, double *gpus);
 /* The machine restarts at once, with no tasks, under the same name. */
 void worker_restart_empty(sim_worker *worker);
 
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -83,13 +83,8 @@
 static unsigned room_for(const sim_worker *worker, const sim_job *job) {
   if (worker->terminated || !worker->up || worker->hung_until > sim_now() || worker->preemption_notice_at > 0) return 0;
   if ((worker->spot && !job->spot) || (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0)) return 0;
-  double cpus = MACHINE_CPUS, gpus = MACHINE_GPUS;
-  for (guint i = 0; i < worker->tasks->len; i++) {
-    const sim_task *task = worker->tasks->pdata[i];
-    if (task->state == TASK_EXITED || !task->job) continue;
-    cpus -= task->job->cpus;
-    gpus -= task->job->gpus;
-  }
+  double cpus, gpus;
+  worker_free_room(worker, &cpus, &gpus);
   return (unsigned)MAX(0, MIN(cpus / job->cpus, gpus / job->gpus) + ROUNDING);
 }
 
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -37,11 +37,6 @@
 /* Checks the status in the answer's body against what was known, and notes it. */
 void question_read_status(const job_question *question, const char *body);
 
-/* ---- cancellations.c ---- */
-
-/* Cancels the job later by that controller first; -1: by any. */
-void user_cancel_in(sim_job *job, int node, double in_s);
-
 /* ---- invalid_requests.c ---- */
 
 void invalid_requests_init(void);
--- a/tests/sim/workers.c
+++ b/tests/sim/workers.c
@@ -94,3 +94,14 @@
   sim_after(WORKER_STEP_S, worker_step, worker);
   return worker;
 }
+
+void worker_free_room(const sim_worker *worker, double *cpus, double *gpus) {
+  *cpus = MACHINE_CPUS;
+  *gpus = MACHINE_GPUS;
+  for (guint i = 0; i < worker->tasks->len; i++) {
+    const sim_task *task = worker->tasks->pdata[i];
+    if (task->state == TASK_EXITED || !task->job) continue;
+    *cpus -= task->job->cpus;
+    *gpus -= task->job->gpus;
+  }
+}
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -119,6 +119,7 @@
 /* ---- controllers ---- */
 
 void world_crash(unsigned node, double back_in_s);
+void world_crash_in(unsigned node, double in_s, double back_in_s);
 /* It crashes that long after it next writes a key with the prefix: before the answer arrives it
  * doesn't know of the write. */
 void world_crash_at_write(unsigned node, const char *prefix, double after_s, double back_in_s);
@@ -167,6 +168,7 @@
 void world_kv_announce_limits(double value_kb, unsigned txn_ops, double write_rps);
 /* That share of transactions gets no answer in time and is applied 2 to 12 s late. */
 void world_late_writes(double share);
+void world_late_writes_end(double in_s);
 void world_lateness(double least_s, double most_s); /* of those; instead of 2 to 12 s */
 void world_late_only(const char *text);             /* of those whose body holds that; NULL: all */
 void kv_set_down(bool down);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -9,6 +9,7 @@
 #include "protocol/kv_store.h"
 #include "protocol/records.h"
 #include "protocol/worker_api.h"
+#include "scene.h"
 #include "sim/requests.h"
 #include "sim/world.h"
 #include "transport/routine.h"
@@ -43,12 +44,7 @@
 
 /* Three controllers that hold the leases they need, with two machines. */
 static void set_up(void) {
-  world_set_up(1, 0);
-  world_capacity(4, 0);
-  world_keep_idle();
-  world_images_there();
-  world_start_nodes();
-  world_machines_up(0, 2);
+  scene_begin(&(scene_setup){.seed = 1, .capacity = 4, .keep_idle = true, .images_cached = true, .machines = {2, 0}});
   sim_run_until(sim_now() + 10);
 }
 
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -257,9 +257,7 @@
 static unsigned play_delayed_transactions(const delay_row *row, uint32_t seed) {
   char name[80];
   g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed);
-  world_set_up(seed, 0);
-  world_capacity(5, 3);
-  world_start_nodes();
+  scene_begin(&(scene_setup){.seed = seed, .capacity = 5, .spot_capacity = 3});
   sim_run_until(sim_now() + 4);
   double at = sim_now();
   submit_jobs_of_every_kind();
--- a/tests/test_peer_view.c
+++ b/tests/test_peer_view.c
@@ -125,10 +125,8 @@
 
 static unsigned placements_of(const view_controller *controller) {
   unsigned count = 0;
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init(&iter, controller->cluster->machines);
-  while (g_hash_table_iter_next(&iter, NULL, &value)) count += ((fc_machine *)value)->placements->len;
+  fc_machine_iter machine_iter = fc_cluster_machines(controller->cluster);
+  for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) count += machine->placements->len;
   return count;
 }
 
