--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -77,7 +77,7 @@
 bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now) {
   const fc_settings *settings = cluster->settings;
   double timeout_s = MAX(settings->lease_s * NEVER_HEARD_LEASES, settings->heartbeat_s * NEVER_HEARD_HEARTBEATS);
-  return machine->announced && !machine->agent.reported && now > machine->owned_since + timeout_s;
+  return machine->endpoint_recorded && !machine->agent.reported && now > machine->owned_since + timeout_s;
 }
 
 bool fc_machine_suspect(const fc_cluster *cluster, const fc_machine *machine, double now) {
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -89,19 +89,19 @@
 /* A machine as this controller knows it. All times are steady. */
 struct fc_machine {
   char id[64];
-  fc_machine_record record;  /* endpoint, type, zone, recorded owner */
-  uint64_t record_version;   /* 0: no record, must not be used */
-  bool record_write_pending; /* a change of the record is under way */
-  bool announced;            /* the record has its address; nothing is started before */
-  bool announcing;           /* that is being written */
-  int type;                  /* index into the machine types; -1: not known */
-  unsigned zone;             /* index into the zones of the settings; FC_ZONES_MAX: none of them */
-  int owner;                 /* index into the present term; -1: none */
-  double first_seen;         /* when we first knew of it */
-  double owned_since;        /* when we became its owner, as far as we know */
-  double idle_since;         /* 0: in use */
-  uint64_t reconciled_term;  /* the term in which its task list was last fenced, or it was proved gone */
-  bool command_in_flight;    /* a direct command is under way */
+  fc_machine_record record;    /* endpoint, type, zone, recorded owner */
+  uint64_t record_version;     /* 0: no record, must not be used */
+  bool record_write_pending;   /* a change of the record is under way */
+  bool endpoint_recorded;      /* the record has its address; nothing is started before */
+  bool endpoint_write_pending; /* that is being written */
+  int type;                    /* index into the machine types; -1: not known */
+  unsigned zone;               /* index into the zones of the settings; FC_ZONES_MAX: none of them */
+  int owner;                   /* index into the present term; -1: none */
+  double first_seen;           /* when we first knew of it */
+  double owned_since;          /* when we became its owner, as far as we know */
+  double idle_since;           /* 0: in use */
+  uint64_t reconciled_term;    /* the term in which its task list was last fenced, or it was proved gone */
+  bool command_in_flight;      /* a direct command is under way */
   fc_machine_agent agent;
   fc_machine_lease lease;
   fc_machine_reachability reachability;
--- a/src/bookkeeping/quota_usage.c
+++ b/src/bookkeeping/quota_usage.c
@@ -48,7 +48,7 @@
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (!fc_machine_owned_by_self(cluster, machine)) continue;
-    if (machine->announced && !fc_machine_reconciled(cluster, machine)) {
+    if (machine->endpoint_recorded && !fc_machine_reconciled(cluster, machine)) {
       fc_resources capacity = fc_machine_capacity(cluster, machine);
       unseen.cpus += capacity.cpus;
       unseen.gpus += capacity.gpus;
--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -51,7 +51,7 @@
     /* Nothing was ever started on a machine whose address is not recorded. With a wait for such
      * machines too, a fleet that keeps scaling out would start nothing for long after every
      * change of term: one is always booting. */
-    if (!machine->announced || fc_machine_reconciled(cluster, machine)) continue;
+    if (!machine->endpoint_recorded || fc_machine_reconciled(cluster, machine)) continue;
     *all = false;
     if (machine->owner >= 0) left |= 1u << machine->owner;
   }
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -213,7 +213,7 @@
   /* As it was before the heartbeat is applied. */
   bool takes_commands = fc_heartbeat_order_is_newer(machine, &from->heartbeat) || machine->agent.restarted;
   if (!accept_heartbeat(heartbeats, machine, from)) return false;
-  fc_machine_registration_announce(heartbeats->registration, machine);
+  fc_machine_registration_record_endpoint(heartbeats->registration, machine);
   machine->lease.connection = from->connection;
   if (!takes_commands || !fc_machine_reconciled(heartbeats->cluster, machine)) {
     respond(heartbeats, out, NULL);
--- a/src/controller/machine_disposal.c
+++ b/src/controller/machine_disposal.c
@@ -69,7 +69,7 @@
    * has not tried. While its lease was waited for instead, hung machines blocked a team's freed
    * share for up to 14 s (scene team_limit_after_a_cancellation). */
   if (fc_leadership_peer_left_at(disposal->leadership) > since &&
-      !fc_reachability_probed_in_vain(disposal->cluster, disposal->leadership, machine))
+      !fc_reachability_all_probes_failed(disposal->cluster, disposal->leadership, machine))
     return false;
   double coverage_s = disposal->cluster->settings->heartbeat_s * PEER_COVERAGE_HEARTBEATS;
   return fc_peers_all_covered(disposal->peers, fc_now() - coverage_s);
@@ -102,7 +102,7 @@
   if (machine->agent.reported || machine->type < 0) return false;
   /* A machine that has an address was up: assigned anew while its zone is cut off, it says nothing
    * to its new owner, and was returned before the zone was back. */
-  bool cut_off = machine->announced && fc_outage_suspicion_covers(&now->suspicion, machine) &&
+  bool cut_off = machine->endpoint_recorded && fc_outage_suspicion_covers(&now->suspicion, machine) &&
                  now->now <= machine->owned_since + settings->lease_s * OUTAGE_LEASES;
   const fc_machine_type *type = disposal->cluster->machine_types->pdata[machine->type];
   double timeout_s = STARTUP_TIMES * type->boot_s;
--- a/src/controller/machine_probes.c
+++ b/src/controller/machine_probes.c
@@ -54,7 +54,8 @@
   /* It takes tasks again as soon as it shows its epoch. */
   if (fc_machine_awaits_epoch(cluster, machine, now)) machine->probe.wanted = true;
   /* A member whose incarnation has ended may have renewed its lease: is the machine still there? */
-  if (fc_reachability_may_be_renewed(probes->leadership, settings, now) && fc_machine_suspect(cluster, machine, now))
+  if (fc_reachability_peer_left_recently(probes->leadership, settings, now) &&
+      fc_machine_suspect(cluster, machine, now))
     machine->probe.wanted = true;
   return machine->probe.wanted;
 }
@@ -103,8 +104,8 @@
 static bool may_probe(const fc_machine_probes *probes, const fc_machine *machine) {
   const fc_settings *settings = probes->cluster->settings;
   double now = fc_now();
-  if (machine->probe.in_flight || machine->owner < 0 || !machine->announced || !machine->record.endpoint[0] ||
-      !fc_reachability_may_be_renewed(probes->leadership, settings, now))
+  if (machine->probe.in_flight || machine->owner < 0 || !machine->endpoint_recorded || !machine->record.endpoint[0] ||
+      !fc_reachability_peer_left_recently(probes->leadership, settings, now))
     return false;
   if (!owner_needs_help(probes, machine, now)) return false;
   if (now < machine->probe.sent_at + settings->heartbeat_s * PROBE_SPACING_HEARTBEATS) return false;
--- a/src/controller/machine_reachability.c
+++ b/src/controller/machine_reachability.c
@@ -52,13 +52,13 @@
   }
 }
 
-bool fc_reachability_may_be_renewed(const fc_leadership *leadership, const fc_settings *settings, double now) {
+bool fc_reachability_peer_left_recently(const fc_leadership *leadership, const fc_settings *settings, double now) {
   double left_at = fc_leadership_peer_left_at(leadership);
   return left_at > 0 && now < left_at + settings->lease_s * RENEWALS_KNOWN_LEASES;
 }
 
-bool fc_reachability_probed_in_vain(const fc_cluster *cluster, const fc_leadership *leadership,
-                                    const fc_machine *machine) {
+bool fc_reachability_all_probes_failed(const fc_cluster *cluster, const fc_leadership *leadership,
+                                       const fc_machine *machine) {
   const fc_membership *membership = &cluster->membership;
   double left_at = fc_leadership_peer_left_at(leadership);
   /* A probe of long ago shows nothing of now. */
--- a/src/controller/machine_reachability.h
+++ b/src/controller/machine_reachability.h
@@ -18,10 +18,10 @@
                                 double now);
 /* Has another member's incarnation ended so lately that a worker whose lease it renewed last may
  * not have come to others yet? The leases are over well before that. */
-bool fc_reachability_may_be_renewed(const fc_leadership *leadership, const fc_settings *settings, double now);
+bool fc_reachability_peer_left_recently(const fc_leadership *leadership, const fc_settings *settings, double now);
 /* Has every member probed the machine in vain, lately and since the last incarnation of a member
  * ended? */
-bool fc_reachability_probed_in_vain(const fc_cluster *cluster, const fc_leadership *leadership,
-                                    const fc_machine *machine);
+bool fc_reachability_all_probes_failed(const fc_cluster *cluster, const fc_leadership *leadership,
+                                       const fc_machine *machine);
 
 #endif
--- a/src/controller/machine_registration.c
+++ b/src/controller/machine_registration.c
@@ -59,19 +59,20 @@
                             &revision) == FC_KV_OK)
     (void)fc_kv_watch_wait_revision(registration->watch, revision, fc_now() + timeout_s);
   machine = fc_cluster_find_machine(cluster, routine.machine);
-  if (machine) machine->announcing = false;
+  if (machine) machine->endpoint_write_pending = false;
   fc_wakeups_raise(registration->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
-void fc_machine_registration_announce(fc_machine_registration *registration, fc_machine *machine) {
-  if (machine->announced || machine->announcing || machine->record_write_pending || !machine->record.endpoint[0])
+void fc_machine_registration_record_endpoint(fc_machine_registration *registration, fc_machine *machine) {
+  if (machine->endpoint_recorded || machine->endpoint_write_pending || machine->record_write_pending ||
+      !machine->record.endpoint[0])
     return;
   announce_routine *routine = g_new0(announce_routine, 1);
   routine->registration = registration;
   g_strlcpy(routine->machine, machine->id, sizeof routine->machine);
-  machine->announcing = true;
+  machine->endpoint_write_pending = true;
   if (!fc_routine_spawn(run_announce, routine)) {
-    machine->announcing = false;
+    machine->endpoint_write_pending = false;
     g_free(routine);
   }
 }
--- a/src/controller/machine_registration.h
+++ b/src/controller/machine_registration.h
@@ -25,6 +25,6 @@
 /* Has a routine add the machine's address to its record, unless it is there. Returns at once.
  * Nothing is started on a machine before that: whoever takes over its shard can reach every machine
  * that may hold something, and knows that the others hold nothing. */
-void fc_machine_registration_announce(fc_machine_registration *registration, fc_machine *machine);
+void fc_machine_registration_record_endpoint(fc_machine_registration *registration, fc_machine *machine);
 
 #endif
--- a/src/controller/outage_suspicion.c
+++ b/src/controller/outage_suspicion.c
@@ -28,7 +28,7 @@
   silence_count own = {0, 0}, fleet = {0, 0}, zones[FC_ZONES_MAX + 1] = {{0, 0}};
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
-    if (!machine->record_version || !machine->announced || machine->owner < 0) continue;
+    if (!machine->record_version || !machine->endpoint_recorded || machine->owner < 0) continue;
     bool silent = fc_machine_suspect(cluster, machine, now);
     bool known = state_known(cluster, peers, machine, silent);
     /* Machines of unknown state don't speak for their zone either: assigned anew as a member in it
--- a/src/controller/quota_plan.c
+++ b/src/controller/quota_plan.c
@@ -101,7 +101,7 @@
 static void find_unreconciled(const fc_cluster *cluster, bool unreconciled[FC_MEMBERS_MAX]) {
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
-    if (machine->owner >= 0 && machine->announced && !fc_machine_reconciled(cluster, machine))
+    if (machine->owner >= 0 && machine->endpoint_recorded && !fc_machine_reconciled(cluster, machine))
       unreconciled[machine->owner] = true;
   }
 }
--- a/src/controller/quota_tally.c
+++ b/src/controller/quota_tally.c
@@ -32,7 +32,7 @@
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     if (machine->owner < 0) continue;
-    if (pessimistic && machine->announced && !fc_machine_reconciled(cluster, machine)) {
+    if (pessimistic && machine->endpoint_recorded && !fc_machine_reconciled(cluster, machine)) {
       count_as_full(cluster, machine, tally);
     } else {
       count_placements(machine, tally);
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -157,9 +157,9 @@
   }
   machine = fc_cluster_ensure_machine(cluster, id, fc_now());
   if (machine->record_version >= change->version) return;
-  bool announced = record.endpoint[0] != '\0';
+  bool endpoint_recorded = record.endpoint[0] != '\0';
   /* An address learned from the worker itself stays. */
-  if (!announced) g_strlcpy(record.endpoint, machine->record.endpoint, sizeof record.endpoint);
+  if (!endpoint_recorded) g_strlcpy(record.endpoint, machine->record.endpoint, sizeof record.endpoint);
   machine->record = record;
   machine->record_version = change->version;
   fc_cluster_locate_machine(cluster, machine);
@@ -167,8 +167,8 @@
   /* Announced within this term: it has never held anything, for anybody. */
   const fc_membership *membership = &cluster->membership;
   bool this_term = ordered && membership->term_version && change->version > membership->term_version;
-  if (announced && !machine->announced && this_term) machine->reconciled_term = membership->term.number;
-  machine->announced = announced;
+  if (endpoint_recorded && !machine->endpoint_recorded && this_term) machine->reconciled_term = membership->term.number;
+  machine->endpoint_recorded = endpoint_recorded;
 }
 
 static void apply_member(fc_record_applier *applier, const char *name, const fc_kv_change *change) {
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -124,7 +124,7 @@
   end_placements(machine);
   /* In a new term the machine may only have to be marked as reconciled. */
   bool ends_anything = machine->agent.epoch_shown || tasks > 0;
-  if (ends_anything && machine->announced) log_expiry(cluster, machine, renewal, tasks);
+  if (ends_anything && machine->endpoint_recorded) log_expiry(cluster, machine, renewal, tasks);
   leases->metrics->counters.expired_leases += ends_anything;
   end_epoch(&machine->agent);
   machine->reconciled_term = cluster->membership.term.number;
--- a/src/scheduler/capacity_model.c
+++ b/src/scheduler/capacity_model.c
@@ -13,8 +13,8 @@
 /* Nothing is planned on such a machine, though it is not given up yet. */
 static bool startup_overdue(const fc_cluster *cluster, const fc_machine *machine, double now) {
   const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
-  return !machine->announced && now > machine->first_seen + OVERDUE_STARTUP_FACTOR * machine_type->boot_s +
-                                          cluster->settings->lease_s * OVERDUE_LEASE_FACTOR;
+  return !machine->endpoint_recorded && now > machine->first_seen + OVERDUE_STARTUP_FACTOR * machine_type->boot_s +
+                                                  cluster->settings->lease_s * OVERDUE_LEASE_FACTOR;
 }
 
 static void add_existing_machines(fc_capacity_model *model, double now) {
--- a/src/scheduler/free_capacity.c
+++ b/src/scheduler/free_capacity.c
@@ -5,7 +5,7 @@
 #include "bookkeeping/cluster_machines.h"
 
 bool fc_machine_usable(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  if (cluster->membership.self < 0 || !fc_machine_owned_by_self(cluster, machine) || !machine->announced ||
+  if (cluster->membership.self < 0 || !fc_machine_owned_by_self(cluster, machine) || !machine->endpoint_recorded ||
       !fc_machine_reconciled(cluster, machine))
     return false;
   if (fc_machine_cordoned(machine) || machine->record_write_pending || machine->type < 0 ||
@@ -15,7 +15,8 @@
 }
 
 bool fc_machine_usable_by_owner(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  if (!machine->announced || machine->owner < 0 || machine->type < 0 || !fc_machine_reconciled(cluster, machine))
+  if (!machine->endpoint_recorded || machine->owner < 0 || machine->type < 0 ||
+      !fc_machine_reconciled(cluster, machine))
     return false;
   if (fc_machine_cordoned(machine) || machine->drain.owner_cordoned || machine->drain.spot_notice_until ||
       machine->record_write_pending)
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -55,7 +55,7 @@
   g_strlcpy(machine->record.owner, "paddock-0", sizeof machine->record.owner);
   machine->record.spot = spot;
   machine->record_version = 2;
-  machine->announced = true;
+  machine->endpoint_recorded = true;
   fc_cluster_locate_machine(cluster, machine);
   fc_cluster_assign_machine(cluster, machine, 0);
   machine->reconciled_term = cluster->membership.term.number;
--- a/tests/test_bin_packing.c
+++ b/tests/test_bin_packing.c
@@ -157,7 +157,7 @@
         machine->drain.spot_notice_until = 100;
         break;
       case UNANNOUNCED:
-        machine->announced = false;
+        machine->endpoint_recorded = false;
         break;
       case UNRESOLVED:
         job->slices.resolved = 0;
--- a/tests/test_heartbeats.c
+++ b/tests/test_heartbeats.c
@@ -21,31 +21,31 @@
       {"theirs, and we don't hear of them: lease renewed here", 1, true, false, 5, 200, "\"calls\":[]"},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = false;
-    if (!rows[i].lease) fc_leadership_lease_lost(bench->leadership);
-    if (!rows[i].owner_heard) fc_peers_at(bench->peers, 0)->heard_at = -1e9;
+    if (!rows[i].lease) fc_leadership_lease_lost(fixture->leadership);
+    if (!rows[i].owner_heard) fc_peers_at(fixture->peers, 0)->heard_at = -1e9;
     GString *out = g_string_new(NULL);
-    check_row(rows[i].name, send_heartbeat(bench, 1, 1, rows[i].fencing_token, "", out) == rows[i].status);
-    check_row(rows[i].name, says(out, rows[i].text));
+    check_row(rows[i].name, send_heartbeat(fixture, 1, 1, rows[i].fencing_token, "", out) == rows[i].status);
+    check_row(rows[i].name, body_contains(out, rows[i].text));
     /* Who renews the lease of a peer's machine remembers it: the owner must be informed. */
     check_row(rows[i].name, (machine->lease.answered_at > 0) == (rows[i].status == 200));
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
 static void worker_back_from_its_owner_is_answered(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fixture_machine(bench->cluster, "vm-1", "a", false)->owner = 1;
+  worker_fixture *fixture = worker_fixture_new();
+  fixture_machine(fixture->cluster, "vm-1", "a", false)->owner = 1;
   GString *out = g_string_new(NULL);
-  assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 421);
-  assert_int_equal(send_heartbeat(bench, 1, 2, 5, "", out), 200);
+  assert_int_equal(send_heartbeat(fixture, 1, 1, 5, "", out), 421);
+  assert_int_equal(send_heartbeat(fixture, 1, 2, 5, "", out), 200);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 /* A copy of a heartbeat may come at any later time, also to a member that has just become the
@@ -63,45 +63,45 @@
       {"of an earlier epoch", 1, 99, 5, 503},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_cluster *cluster = bench->cluster;
+    worker_fixture *fixture = worker_fixture_new();
+    fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
-    assert_int_equal(send_heartbeat(bench, 2, 10, 5, RUNNING(0), out), 200);
+    assert_int_equal(send_heartbeat(fixture, 2, 10, 5, RUNNING(0), out), 200);
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 1, 2, 0);
     double answered = machine->lease.answered_at = machine->agent.heard_at = machine->agent.heard_at - 3;
-    check_row(rows[i].name, send_heartbeat(bench, rows[i].epoch, rows[i].sequence, rows[i].fencing_token, RUNNING(3),
+    check_row(rows[i].name, send_heartbeat(fixture, rows[i].epoch, rows[i].sequence, rows[i].fencing_token, RUNNING(3),
                                            out) == rows[i].status);
-    check_row(rows[i].name, !says(out, "start") && !placement->start.sent);
+    check_row(rows[i].name, !body_contains(out, "start") && !placement->start.sent);
     check_row(rows[i].name, machine->placements->len == 2 && machine->agent.sequence == 10);
     check_row(rows[i].name, machine->lease.answered_at == answered); /* the lease is not extended */
     check_row(rows[i].name, machine->probe.wanted);                  /* the machine itself is probed */
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
 /* What a peer knows of a machine stays when it becomes the owner: a copy does not deceive it. */
 static void late_copy_after_a_change_of_owner(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_cluster *cluster = bench->cluster;
+  worker_fixture *fixture = worker_fixture_new();
+  fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->owner = 1;
-  fc_peers_at(bench->peers, 0)->heard_at = -1e9; /* we renew its lease for its owner */
+  fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* we renew its lease for its owner */
   GString *out = g_string_new(NULL);
-  assert_int_equal(send_heartbeat(bench, 1, 20, 5, "", out), 200);
+  assert_int_equal(send_heartbeat(fixture, 1, 20, 5, "", out), 200);
   double answered = machine->lease.answered_at;
-  assert_int_equal(send_heartbeat(bench, 1, 19, 5, "", out), 503); /* nobody waits for this answer */
+  assert_int_equal(send_heartbeat(fixture, 1, 19, 5, "", out), 503); /* nobody waits for this answer */
   assert_true(machine->lease.answered_at == answered);
   fc_cluster_assign_machine(cluster, machine, 1);
   assert_int_equal(machine->owner, 0);
-  (void)send_heartbeat(bench, 1, 18, 5, RUNNING(0), out);
+  (void)send_heartbeat(fixture, 1, 18, 5, RUNNING(0), out);
   assert_int_equal(machine->placements->len, 0);
   assert_true(!fc_machine_reconciled(cluster, machine));
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 /* Heartbeats that arrive show that a worker can send. Whether it receives our answers is shown by
@@ -125,23 +125,23 @@
       {"on a connection that is not known", 6, -1, 0, 0, 6, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_cluster *cluster = bench->cluster;
+    worker_fixture *fixture = worker_fixture_new();
+    fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     machine->lease.answered_at = fc_now() - rows[i].since_answer;
     machine->lease.connection = rows[i].before;
-    bench->connection = rows[i].now;
-    bench->settings.heartbeat_s = rows[i].heartbeat_s;
+    fixture->connection = rows[i].now;
+    fixture->settings.heartbeat_s = rows[i].heartbeat_s;
     if (rows[i].unidirectional_s >= 0) machine->reachability.unidirectional_since = fc_now() - rows[i].unidirectional_s;
     GString *out = g_string_new(NULL);
-    assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 200);
+    assert_int_equal(send_heartbeat(fixture, 1, 1, 5, "", out), 200);
     double now = machine->agent.heard_at;
     check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].unidirectional);
     check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
     /* One that may not hear us is probed, and is usable again once it answers. */
-    check_row(rows[i].name, fc_machine_probes_check(bench->probes, machine) == !rows[i].usable);
+    check_row(rows[i].name, fc_machine_probes_check(fixture->probes, machine) == !rows[i].usable);
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -149,8 +149,8 @@
  * sends itself, and must not hide what runs there. */
 static void restarted_worker(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_cluster *cluster = bench->cluster;
+  worker_fixture *fixture = worker_fixture_new();
+  fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   machine->agent.restarted = true;
@@ -160,24 +160,24 @@
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   placement->start.sent = placement->status.reported = true;
   GString *out = g_string_new(NULL);
-  assert_int_equal(send_heartbeat(bench, 1, 90, 5, "", out), 200);
+  assert_int_equal(send_heartbeat(fixture, 1, 90, 5, "", out), 200);
   assert_int_equal(machine->placements->len, 1);
   assert_int_equal(machine->agent.sequence, 3);
   assert_true(machine->probe.wanted);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 /* A heartbeat that does not match the machine's record is refused at once, nothing is applied. */
 static void heartbeat_contradicts_the_record(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
+  worker_fixture *fixture = worker_fixture_new();
+  fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
   GString *out = g_string_new(NULL);
-  assert_int_equal(send_heartbeat(bench, 1, 1, 5, "", out), 503);
+  assert_int_equal(send_heartbeat(fixture, 1, 1, 5, "", out), 503);
   assert_int_equal(machine->agent.sequence, 0);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 int main(void) {
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -20,14 +20,14 @@
       {"few sockets in all", 8, 1, true, false, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     if (!rows[i].reconciled) machine->reconciled_term = 0;
     machine->probe.wanted = rows[i].probe;
-    bench->settings.fd_limit = rows[i].limit;
-    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(bench->calls);
-    check_row(rows[i].name, fc_worker_calls_available(bench->calls, machine) == rows[i].available);
-    worker_bench_free(bench);
+    fixture->settings.fd_limit = rows[i].limit;
+    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(fixture->calls);
+    check_row(rows[i].name, fc_worker_calls_available(fixture->calls, machine) == rows[i].available);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -52,8 +52,8 @@
       {"older, the machine is another member's", 2, 8, 5, 0, 1, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
     machine->agent.reported = machine->agent.epoch_shown = true;
     machine->agent.epoch = 2;
@@ -62,9 +62,9 @@
     machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
     fc_frame_lease_renewal renewal = {.machine = "vm-1", .epoch = rows[i].epoch, .sequence = rows[i].sequence};
     renewal.age_ms = (uint32_t)(rows[i].answered_s * 1000);
-    fc_reachability_note_renewal(bench->cluster, &renewal, now);
+    fc_reachability_note_renewal(fixture->cluster, &renewal, now);
     check_row(rows[i].name, machine->probe.wanted == rows[i].probes);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -97,21 +97,21 @@
       {"theirs is long ago", 60, 2, false, 29, false, 0.5, false, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     double now = fc_now();
-    fc_leadership_term_applied(bench->leadership, now - rows[i].ended, true);
+    fc_leadership_term_applied(fixture->leadership, now - rows[i].ended, true);
     machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
     machine->probe.answered = rows[i].answered;
     fc_frame_probe probe = {
         .machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
-    if (rows[i].theirs >= 0) fc_reachability_note_probe(bench->cluster, 0, &probe, now - rows[i].view, now);
+    if (rows[i].theirs >= 0) fc_reachability_note_probe(fixture->cluster, 0, &probe, now - rows[i].view, now);
     probe.age_ms = (uint32_t)(rows[i].again * 1000);
     probe.answered = false;
-    if (rows[i].again > 0) fc_reachability_note_probe(bench->cluster, 0, &probe, now, now);
+    if (rows[i].again > 0) fc_reachability_note_probe(fixture->cluster, 0, &probe, now, now);
     check_row(rows[i].name,
-              fc_reachability_probed_in_vain(bench->cluster, bench->leadership, machine) == rows[i].unreachable);
-    worker_bench_free(bench);
+              fc_reachability_all_probes_failed(fixture->cluster, fixture->leadership, machine) == rows[i].unreachable);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -122,7 +122,7 @@
     const char *name;
     int owner;
     double ended; /* ago */
-    bool reconciled, owner_suspects, announced;
+    bool reconciled, owner_suspects, endpoint_recorded;
     double term, asked; /* ago */
     unsigned under_way;
     bool probes;
@@ -133,29 +133,29 @@
       {"and has not had the time", 1, 2, false, false, true, 2, 10, 0, false},
       {"without an owner", -1, 5, false, false, true, 5, 10, 0, false},
       {"probed already", 1, 5, true, true, true, 5, 1, 0, false},
-      {"never announced", 1, 5, true, true, false, 5, 10, 0, false},
+      {"its endpoint is not recorded", 1, 5, true, true, false, 5, 10, 0, false},
       {"no incarnation has ended for long", 1, 100, true, true, true, 5, 10, 0, false},
       {"the last socket for it", 1, 5, true, true, true, 5, 10, 24, true},
       {"no socket left for it", 1, 5, true, true, true, 5, 10, 25, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     double now = fc_now();
-    bench->settings.fd_limit = 800;
-    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(bench->calls);
-    fc_leadership_term_applied(bench->leadership, now - rows[i].ended, true);
-    fc_leadership_term_applied(bench->leadership, now - rows[i].term, false);
+    fixture->settings.fd_limit = 800;
+    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(fixture->calls);
+    fc_leadership_term_applied(fixture->leadership, now - rows[i].ended, true);
+    fc_leadership_term_applied(fixture->leadership, now - rows[i].term, false);
     machine->owner = rows[i].owner;
-    machine->announced = rows[i].announced;
+    machine->endpoint_recorded = rows[i].endpoint_recorded;
     machine->reachability.owner_suspects = rows[i].owner_suspects;
     machine->probe.sent_at = now - rows[i].asked;
     machine->reconciled_term = rows[i].reconciled ? 5 : 0;
     g_strlcpy(machine->record.endpoint, "10.1.0.2:9000", sizeof machine->record.endpoint);
-    fc_machine_probes_assist_owner(bench->probes, machine);
+    fc_machine_probes_assist_owner(fixture->probes, machine);
     check_row(rows[i].name, machine->probe.in_flight == rows[i].probes);
-    check_row(rows[i].name, fc_worker_calls_in_flight(bench->calls) == rows[i].under_way + rows[i].probes);
-    worker_bench_free(bench);
+    check_row(rows[i].name, fc_worker_calls_in_flight(fixture->calls) == rows[i].under_way + rows[i].probes);
+    worker_fixture_free(fixture);
   }
 }
 
--- a/tests/test_reconciler.c
+++ b/tests/test_reconciler.c
@@ -4,8 +4,8 @@
 /* No command before the worker has shown that it refuses older ones. */
 static void fenced_before_commanded(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_cluster *cluster = bench->cluster;
+  worker_fixture *fixture = worker_fixture_new();
+  fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   machine->agent.reported = false;
@@ -13,16 +13,16 @@
   fc_cluster_add_placement(cluster, machine, "job-000001", 3, 9, 0)->start.sent =
       true; /* what an earlier incarnation may have sent */
   GString *out = g_string_new(NULL);
-  assert_int_equal(send_heartbeat(bench, 1, 1, 4, RUNNING(0), out), 200);
-  assert_true(says(out, "\"calls\":[]"));
+  assert_int_equal(send_heartbeat(fixture, 1, 1, 4, RUNNING(0), out), 200);
+  assert_true(body_contains(out, "\"calls\":[]"));
   assert_int_equal(machine->reconciled_term, 0);
-  assert_int_equal(send_heartbeat(bench, 1, 2, 5, RUNNING(0), out), 200);
+  assert_int_equal(send_heartbeat(fixture, 1, 2, 5, RUNNING(0), out), 200);
   assert_int_equal(machine->reconciled_term, 5);
   /* The list is now all there is: what was only thought to be there is gone. */
   assert_int_equal(machine->placements->len, 1);
   assert_int_equal(((fc_placement *)machine->placements->pdata[0])->index, 0);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 static void heartbeats_in_order(void **state) {
@@ -41,18 +41,18 @@
       {"new epoch", 3, 1, "", 200, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_cluster *cluster = bench->cluster;
+    worker_fixture *fixture = worker_fixture_new();
+    fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
     machine->agent.reported = false;
-    assert_int_equal(send_heartbeat(bench, 2, 10, 5, RUNNING(0), out), 200);
+    assert_int_equal(send_heartbeat(fixture, 2, 10, 5, RUNNING(0), out), 200);
     check_row(rows[i].name,
-              send_heartbeat(bench, rows[i].epoch, rows[i].sequence, 5, rows[i].tasks, out) == rows[i].status);
+              send_heartbeat(fixture, rows[i].epoch, rows[i].sequence, 5, rows[i].tasks, out) == rows[i].status);
     check_row(rows[i].name, machine->placements->len == rows[i].left);
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -76,23 +76,23 @@
       {"a later epoch of a restarted worker, the one that it named", 5, 2, 5, 2, 1, 5, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = rows[i].seen_token;
-    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     /* It was listed and has ended without its work: to be forgotten, or not yet. */
-    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
+    fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
     placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
     placement->start.direct_token = rows[i].sent_token;
     placement->start.direct_epoch = rows[i].sent_epoch;
     GString *out = g_string_new(NULL);
-    send_heartbeat(bench, rows[i].epoch, rows[i].sequence, rows[i].token, EXITED(0, "stopped"), out);
+    send_heartbeat(fixture, rows[i].epoch, rows[i].sequence, rows[i].token, EXITED(0, "stopped"), out);
     check_row(rows[i].name, (placement->start.direct == FC_DIRECT_START_UNACKNOWLEDGED) == rows[i].may_arrive);
-    check_row(rows[i].name, says(out, "clear") == !rows[i].may_arrive);
+    check_row(rows[i].name, body_contains(out, "clear") == !rows[i].may_arrive);
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -101,19 +101,19 @@
 static void unlisted_starts_in_a_new_epoch(void **state) {
   (void)state;
   for (unsigned named = 1; named <= 3; named++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = 5;
-    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
+    fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     placement->start = (fc_placement_start){
         .sent = true, .direct = FC_DIRECT_START_UNACKNOWLEDGED, .direct_token = 5, .direct_epoch = named};
     GString *out = g_string_new(NULL);
-    send_heartbeat(bench, 2, 1, 5, "", out);
+    send_heartbeat(fixture, 2, 1, 5, "", out);
     assert_int_equal(machine->placements->len, named == 1 ? 0 : 1);
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -137,32 +137,32 @@
       {"a later epoch, not wanted any more", 2, 5, true, false, true, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = 4;
     machine->owned_since = fc_now() - 50;
     if (!rows[i].fenced) machine->reconciled_term = 4;
-    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, fc_now() - 10);
+    fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, fc_now() - 10);
     placement->start = (fc_placement_start){
         .sent = true, .direct = FC_DIRECT_START_UNACKNOWLEDGED, .direct_token = 4, .direct_epoch = 1};
     placement->status.reported = rows[i].reported;
     placement->stop.requested = rows[i].stopping;
     GString *out = g_string_new(NULL);
-    check_row(rows[i].name, send_heartbeat(bench, rows[i].epoch, 2, rows[i].token, "", out) == 200);
+    check_row(rows[i].name, send_heartbeat(fixture, rows[i].epoch, 2, rows[i].token, "", out) == 200);
     check_row(rows[i].name, machine->placements->len == 1 && fc_placement_copy_outstanding(placement));
-    check_row(rows[i].name, says(out, "\"call\":\"start\"") == rows[i].started_again);
+    check_row(rows[i].name, body_contains(out, "\"call\":\"start\"") == rows[i].started_again);
     check_row(rows[i].name, fc_machine_vacant(machine) == rows[i].stopping);
     /* What runs there again is listed, and its end frees the machine. */
     if (rows[i].started_again) {
-      (void)send_heartbeat(bench, rows[i].epoch, 3, rows[i].token, EXITED(0, "stopped"), out);
-      check_row(rows[i].name, says(out, "clear"));
-      (void)send_heartbeat(bench, rows[i].epoch, 4, rows[i].token, "", out);
+      (void)send_heartbeat(fixture, rows[i].epoch, 3, rows[i].token, EXITED(0, "stopped"), out);
+      check_row(rows[i].name, body_contains(out, "clear"));
+      (void)send_heartbeat(fixture, rows[i].epoch, 4, rows[i].token, "", out);
       check_row(rows[i].name, machine->placements->len == 0);
     }
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -186,13 +186,13 @@
       {"asked once it would drop it, a direct copy may arrive", 20, 9, 1.5, true, true, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->agent.epoch = 1;
     machine->agent.sequence = 3;
     machine->agent.fencing_token = 5;
-    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
+    fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     double now = fc_now();
     placement->start.sent = true;
     placement->start.heartbeat_sequence = rows[i].sent_sequence;
@@ -202,29 +202,29 @@
     placement->start.direct_epoch = 1;
     placement->stop.requested = rows[i].stopping;
     fc_heartbeat heartbeat = {.machine = "vm-1", .epoch = 1, .sequence = 4, .fencing_token = 5, .spot_notice_s = -1};
-    fc_worker_calls_apply_answer(bench->calls, machine, &heartbeat, now - rows[i].asked_s);
+    fc_worker_calls_apply_answer(fixture->calls, machine, &heartbeat, now - rows[i].asked_s);
     check_row(rows[i].name, machine->placements->len == (rows[i].left ? 1 : 0));
     if (rows[i].left) check_row(rows[i].name, placement->start.sent == rows[i].sent);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
 /* What was placed before the machine is reconciled is in no view that a peer has acknowledged. */
 static void reconciled_machine_is_in_no_earlier_view(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_cluster *cluster = bench->cluster;
+  worker_fixture *fixture = worker_fixture_new();
+  fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   placement->start.sent = true;
   cluster->view_number = 7; /* views that showed the machine as not reconciled */
   GString *out = g_string_new(NULL);
-  assert_int_equal(send_heartbeat(bench, 1, 1, 5, RUNNING(0), out), 200);
+  assert_int_equal(send_heartbeat(fixture, 1, 1, 5, RUNNING(0), out), 200);
   assert_int_equal(machine->reconciled_term, 5);
   assert_int_equal(placement->first_view, 8);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 int main(void) {
--- a/tests/test_reconciliation_progress.c
+++ b/tests/test_reconciliation_progress.c
@@ -43,7 +43,7 @@
   (void)state;
   static const struct {
     const char *name;
-    bool announced;
+    bool endpoint_recorded;
     uint64_t reconciled_term;
     bool complete;
   } rows[] = {
@@ -57,7 +57,7 @@
     fc_cluster *cluster = fixture_cluster(&settings);
     cluster->reconciliation.complete_in_term = 0;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
-    machine->announced = rows[i].announced;
+    machine->endpoint_recorded = rows[i].endpoint_recorded;
     machine->reconciled_term = rows[i].reconciled_term;
     check_row(rows[i].name, fc_cluster_update_reconciled(cluster) == rows[i].complete);
     fc_cluster_free(cluster);
--- a/tests/test_worker_commands.c
+++ b/tests/test_worker_commands.c
@@ -5,28 +5,28 @@
  * start may still arrive. */
 static void start_is_repeated_until_listed(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_cluster *cluster = bench->cluster;
+  worker_fixture *fixture = worker_fixture_new();
+  fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   GString *out = g_string_new(NULL);
-  send_heartbeat(bench, 1, 1, 5, "", out);
-  assert_true(says(out, "start"));
-  send_heartbeat(bench, 1, 2, 5, "", out); /* not carried out: sent again */
-  assert_true(says(out, "start"));
+  send_heartbeat(fixture, 1, 1, 5, "", out);
+  assert_true(body_contains(out, "start"));
+  send_heartbeat(fixture, 1, 2, 5, "", out); /* not carried out: sent again */
+  assert_true(body_contains(out, "start"));
   assert_int_equal(machine->placements->len, 1);
   placement->stop.requested = true; /* not wanted any more: the next heartbeat decides */
   placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
   placement->start.direct_token = 5;
   placement->start.direct_epoch = 1;
-  send_heartbeat(bench, 1, 3, 5, "", out);
+  send_heartbeat(fixture, 1, 3, 5, "", out);
   assert_int_equal(machine->placements->len, 1); /* a direct copy may still arrive */
   placement->start.direct = FC_DIRECT_START_NONE;
-  send_heartbeat(bench, 1, 4, 5, "", out);
+  send_heartbeat(fixture, 1, 4, 5, "", out);
   assert_int_equal(machine->placements->len, 0);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 /* Whether a start is still wanted is decided when it is sent: its job may have been cancelled since
@@ -52,8 +52,8 @@
       {"running for another, a job never read", BY_PEER_UNKNOWN, false, true, "\"call\":\"halt\"", "start", 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_cluster *cluster = bench->cluster;
+    worker_fixture *fixture = worker_fixture_new();
+    fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_job *job = NULL;
     if (rows[i].cancelled != BY_PEER_UNKNOWN)
@@ -67,15 +67,15 @@
     }
     if (!rows[i].owner) {
       machine->owner = 1;
-      fc_peers_at(bench->peers, 0)->heard_at = -1e9;
+      fc_peers_at(fixture->peers, 0)->heard_at = -1e9;
     }
     if (rows[i].cancelled == READ) job->phase = FC_PHASE_CANCELLED;
     if (rows[i].cancelled >= BY_PEER) fc_cluster_apply_cancellation(cluster, "job-000001", 99, fc_now(), fc_now());
     GString *out = g_string_new(NULL);
-    check_row(rows[i].name, send_heartbeat(bench, 1, 1, 5, rows[i].running ? RUNNING(0) : "", out) == 200);
-    check_row(rows[i].name, says(out, rows[i].says) && !says(out, rows[i].says_not));
+    check_row(rows[i].name, send_heartbeat(fixture, 1, 1, 5, rows[i].running ? RUNNING(0) : "", out) == 200);
+    check_row(rows[i].name, body_contains(out, rows[i].says) && !body_contains(out, rows[i].says_not));
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -93,13 +93,13 @@
       {"a copy of its start under way", EXITED(0, "error"), false, true, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_cluster *cluster = bench->cluster;
+    worker_fixture *fixture = worker_fixture_new();
+    fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
     /* It is being recorded already: the answer to the heartbeat must not wait for that. */
-    fc_task_completion_record(bench->completion, "job-000001");
+    fc_task_completion_record(fixture->completion, "job-000001");
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
     placement->start.direct = rows[i].unacknowledged ? FC_DIRECT_START_UNACKNOWLEDGED : FC_DIRECT_START_NONE;
@@ -108,10 +108,10 @@
     GString *out = g_string_new(NULL);
     machine->agent.fencing_token = 5;
     machine->agent.epoch = 1;
-    check_row(rows[i].name, send_heartbeat(bench, 1, 1, 5, rows[i].tasks, out) == 200);
-    check_row(rows[i].name, says(out, "clear") == rows[i].forgotten);
+    check_row(rows[i].name, send_heartbeat(fixture, 1, 1, 5, rows[i].tasks, out) == 200);
+    check_row(rows[i].name, body_contains(out, "clear") == rows[i].forgotten);
     g_string_free(out, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -120,18 +120,18 @@
 static void calls_name_a_shown_epoch(void **state) {
   (void)state;
   for (int shown = 0; shown <= 1; shown++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->agent.epoch = 7;
     machine->agent.epoch_shown = shown;
-    fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
-    GArray *commands = fc_worker_commands_for_call(bench->commands, machine);
+    fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+    fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
+    GArray *commands = fc_worker_commands_for_call(fixture->commands, machine);
     assert_int_equal(commands->len, shown);
     assert_int_equal(placement->start.sent, shown);
     assert_int_equal(placement->start.direct_epoch, shown ? 7 : 0);
     g_array_free(commands, TRUE);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -26,41 +26,41 @@
       {"alone, and somebody may have entered", 20, 100, 0, 0, true, 10, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_cluster *cluster = bench->cluster;
+    worker_fixture *fixture = worker_fixture_new();
+    fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0)->start.sent = true;
     double now = fc_now();
-    fc_peers_at(bench->peers, 0)->acknowledged.renewals_known_until = now + 100;
+    fc_peers_at(fixture->peers, 0)->acknowledged.renewals_known_until = now + 100;
     machine->owned_since = now - 100;
-    fc_leadership_term_applied(bench->leadership, now - 100, false);
+    fc_leadership_term_applied(fixture->leadership, now - 100, false);
     machine->lease.answered_at = now - rows[i].answered_s;
     machine->agent.epoch_began_at = now - rows[i].epoch_s;
     machine->agent.reported = machine->agent.epoch_shown = true;
     machine->agent.epoch = 1;
     machine->agent.sequence = 9;
-    bench->cluster->sync.read_at = now - rows[i].read_s;
+    fixture->cluster->sync.read_at = now - rows[i].read_s;
     if (rows[i].alone) cluster->membership.term.count = 1;
     fc_frame_lease_renewal renewal = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].renewed_s * 1000), .epoch = 1};
     renewal.sequence = rows[i].renewed_sequence;
-    if (renewal.sequence) fc_reachability_note_renewal(bench->cluster, &renewal, now);
-    fc_worker_leases_expire(bench->leases);
+    if (renewal.sequence) fc_reachability_note_renewal(fixture->cluster, &renewal, now);
+    fc_worker_leases_expire(fixture->leases);
     check_row(rows[i].name, (machine->placements->len == 0) == rows[i].expired);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
 /* A machine of ours in epoch 1, whose lease nobody has renewed for longer than it lasts and that has
  * answered a direct call heard_s ago; a task runs on it. */
-static fc_machine *overdue_machine(const worker_bench *bench, double heard_s) {
-  fc_machine *machine = fixture_machine(bench->cluster, "vm-1", "a", false);
-  fixture_job(bench->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-  fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 0, 1, 0);
+static fc_machine *overdue_machine(const worker_fixture *fixture, double heard_s) {
+  fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
+  fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
+  fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
   placement->start.sent = placement->status.reported = true;
   double now = fc_now();
-  fc_peers_at(bench->peers, 0)->acknowledged.renewals_known_until = now + 100;
-  fc_leadership_term_applied(bench->leadership, now - 100, false);
+  fc_peers_at(fixture->peers, 0)->acknowledged.renewals_known_until = now + 100;
+  fc_leadership_term_applied(fixture->leadership, now - 100, false);
   machine->owned_since = now - 100;
   machine->lease.answered_at = now - 20;
   machine->agent.epoch_began_at = now - 100;
@@ -71,8 +71,8 @@
   return machine;
 }
 
-static fc_placement *add_direct_start(const worker_bench *bench, fc_machine *machine, uint64_t epoch) {
-  fc_placement *placement = fc_cluster_add_placement(bench->cluster, machine, "job-000001", 1, 2, 0);
+static fc_placement *add_direct_start(const worker_fixture *fixture, fc_machine *machine, uint64_t epoch) {
+  fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 1, 2, 0);
   placement->start.sent = true;
   placement->start.direct = FC_DIRECT_START_IN_FLIGHT;
   placement->start.direct_token = 5;
@@ -84,23 +84,23 @@
  * takes it for proof of anything that came after, and the epoch does not run ahead. */
 static void expiry_ends_one_epoch(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_machine *machine = overdue_machine(bench, 3);
-  fc_worker_leases_expire(bench->leases);
+  worker_fixture *fixture = worker_fixture_new();
+  fc_machine *machine = overdue_machine(fixture, 3);
+  fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->placements->len, 0);
   assert_int_equal(machine->agent.epoch, 2);
   assert_false(machine->agent.epoch_shown);
-  (void)add_direct_start(bench, machine, 2);
-  fc_worker_leases_expire(bench->leases);
+  (void)add_direct_start(fixture, machine, 2);
+  fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->placements->len, 1);
   assert_int_equal(machine->agent.epoch, 2);
-  assert_int_equal(bench->metrics->counters.expired_leases, 1);
+  assert_int_equal(fixture->metrics->counters.expired_leases, 1);
   machine->reconciled_term = 4; /* as at a new term */
-  fc_worker_leases_expire(bench->leases);
+  fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->reconciled_term, 5);
   assert_int_equal(machine->placements->len, 1);
   assert_int_equal(machine->agent.epoch, 2);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 /* A direct start is given up with the epoch that it named, and not with an earlier one: a restarted
@@ -108,12 +108,12 @@
 static void expiry_gives_up_starts_of_its_epoch(void **state) {
   (void)state;
   for (uint64_t epoch = 1; epoch <= 3; epoch++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = overdue_machine(bench, 3);
-    (void)add_direct_start(bench, machine, epoch);
-    fc_worker_leases_expire(bench->leases);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = overdue_machine(fixture, 3);
+    (void)add_direct_start(fixture, machine, epoch);
+    fc_worker_leases_expire(fixture->leases);
     assert_int_equal(machine->placements->len, epoch == 1 ? 0 : 1);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -137,21 +137,21 @@
        false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = overdue_machine(bench, 3);
-    fc_placement *placement = add_direct_start(bench, machine, 1);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = overdue_machine(fixture, 3);
+    fc_placement *placement = add_direct_start(fixture, machine, 1);
     placement->created_at = machine->owned_since + (rows[i].owned_since_then ? 50 : -50);
     placement->start.direct = rows[i].direct;
     placement->stop.requested = rows[i].stopping;
     if (rows[i].exited) placement->status = (fc_placement_status){.state = FC_TASK_EXITED, .reported = true};
-    fc_worker_leases_expire(bench->leases);
+    fc_worker_leases_expire(fixture->leases);
     check_row(rows[i].name, machine->placements->len == (rows[i].kept ? 1 : 0));
     if (rows[i].kept) {
       check_row(rows[i].name, fc_placement_copy_outstanding(placement));
       check_row(rows[i].name, !placement->start.sent && !placement->status.reported);
       check_row(rows[i].name, fc_machine_vacant(machine) == rows[i].abandoned);
     }
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
@@ -175,65 +175,65 @@
       {"asked after, restarted", -1, 1, 2, true, 1, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    worker_bench *bench = worker_bench_new();
-    fc_machine *machine = overdue_machine(bench, 3);
+    worker_fixture *fixture = worker_fixture_new();
+    fc_machine *machine = overdue_machine(fixture, 3);
     double now = fc_now();
-    fc_worker_leases_expire(bench->leases);
-    check_row(rows[i].name, !fc_machine_reachable(bench->cluster, machine, now));
-    check_row(rows[i].name, fc_machine_probes_check(bench->probes, machine));
+    fc_worker_leases_expire(fixture->leases);
+    check_row(rows[i].name, !fc_machine_reachable(fixture->cluster, machine, now));
+    check_row(rows[i].name, fc_machine_probes_check(fixture->probes, machine));
     fc_heartbeat answer = {.machine = "vm-1",
                            .epoch = rows[i].epoch,
                            .sequence = rows[i].sequence,
                            .fencing_token = 5,
                            .spot_notice_s = -1};
-    uint64_t wakeups = fc_wakeups_count(bench->wakeups, FC_WAKEUP_SCHEDULE);
-    if (rows[i].epoch) fc_worker_calls_apply_answer(bench->calls, machine, &answer, now - rows[i].asked_s);
-    check_row(rows[i].name, fc_machine_reachable(bench->cluster, machine, now) == rows[i].reachable);
-    bool woken = fc_wakeups_count(bench->wakeups, FC_WAKEUP_SCHEDULE) > wakeups;
+    uint64_t wakeups = fc_wakeups_count(fixture->wakeups, FC_WAKEUP_SCHEDULE);
+    if (rows[i].epoch) fc_worker_calls_apply_answer(fixture->calls, machine, &answer, now - rows[i].asked_s);
+    check_row(rows[i].name, fc_machine_reachable(fixture->cluster, machine, now) == rows[i].reachable);
+    bool woken = fc_wakeups_count(fixture->wakeups, FC_WAKEUP_SCHEDULE) > wakeups;
     check_row(rows[i].name, woken == (rows[i].reachable && !rows[i].restarted));
     check_row(rows[i].name, machine->agent.epoch == rows[i].epoch_after);
     check_row(rows[i].name, machine->agent.restarted == rows[i].restarted);
     /* The epoch that it has shown has a lease of its own. */
-    (void)add_direct_start(bench, machine, machine->agent.epoch);
-    fc_worker_leases_expire(bench->leases);
+    (void)add_direct_start(fixture, machine, machine->agent.epoch);
+    fc_worker_leases_expire(fixture->leases);
     check_row(rows[i].name, machine->placements->len == 1);
-    worker_bench_free(bench);
+    worker_fixture_free(fixture);
   }
 }
 
 /* Nobody asks a machine that was silent for so long that it took no tasks before the expiry. */
 static void silent_machine_is_not_asked(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_machine *machine = overdue_machine(bench, 12);
-  fc_worker_leases_expire(bench->leases);
+  worker_fixture *fixture = worker_fixture_new();
+  fc_machine *machine = overdue_machine(fixture, 12);
+  fc_worker_leases_expire(fixture->leases);
   assert_false(machine->agent.epoch_shown);
-  assert_false(fc_machine_probes_check(bench->probes, machine));
-  worker_bench_free(bench);
+  assert_false(fc_machine_probes_check(fixture->probes, machine));
+  worker_fixture_free(fixture);
 }
 
 /* A new owner has renewed the worker's lease for the one before it, and hears nothing itself: a late
  * heartbeat of the epoch that has ended is refused, and shows no task. */
 static void expiry_at_a_new_owner(void **state) {
   (void)state;
-  worker_bench *bench = worker_bench_new();
-  fc_machine *machine = overdue_machine(bench, 30);
+  worker_fixture *fixture = worker_fixture_new();
+  fc_machine *machine = overdue_machine(fixture, 30);
   GString *out = g_string_new(NULL);
   machine->owner = 1;
   machine->agent.epoch_shown = false;
-  fc_peers_at(bench->peers, 0)->heard_at = -1e9; /* so that the worker is not sent there */
-  assert_int_equal(send_heartbeat(bench, 3, 20, 5, RUNNING(0), out), 200);
+  fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* so that the worker is not sent there */
+  assert_int_equal(send_heartbeat(fixture, 3, 20, 5, RUNNING(0), out), 200);
   machine->owner = 0;
   fc_machine_forget_owner(machine, fc_now() - 100);
   machine->reconciled_term = 4;
   machine->lease.answered_at = fc_now() - 20;
-  fc_worker_leases_expire(bench->leases);
+  fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->reconciled_term, 5);
   assert_int_equal(machine->agent.epoch, 4);
-  assert_int_equal(send_heartbeat(bench, 3, 21, 5, RUNNING(0), out), 503);
+  assert_int_equal(send_heartbeat(fixture, 3, 21, 5, RUNNING(0), out), 503);
   assert_int_equal(machine->placements->len, 0);
   g_string_free(out, TRUE);
-  worker_bench_free(bench);
+  worker_fixture_free(fixture);
 }
 
 int main(void) {
--- a/tests/worker_bench.h
+++ b/tests/worker_bench.h
@@ -10,7 +10,7 @@
 #include "fixture.h"
 #include "transport/routine.h"
 
-typedef struct worker_bench {
+typedef struct worker_fixture {
   fc_settings settings;
   fc_cluster *cluster;
   fc_metrics *metrics;
@@ -26,65 +26,67 @@
   fc_worker_leases *leases;
   fc_heartbeats *heartbeats;
   uint64_t connection; /* that heartbeats come on */
-} worker_bench;
+} worker_fixture;
 
 /* No key-value store: nothing is written, as no routine runs. */
-static inline void worker_bench_build(worker_bench *bench) {
-  bench->completion = fc_task_completion_new(bench->cluster, NULL, NULL, bench->metrics);
-  bench->reconciler = fc_reconciler_new(bench->cluster, bench->completion, bench->wakeups, bench->metrics);
-  bench->commands = fc_worker_commands_new(bench->cluster, bench->completion);
-  bench->calls =
-      fc_worker_calls_new(bench->cluster, bench->leadership, bench->commands, bench->reconciler, bench->metrics);
-  bench->probes = fc_machine_probes_new(bench->cluster, bench->leadership, bench->calls);
-  bench->registration = fc_machine_registration_new(bench->cluster, bench->leadership, NULL, NULL, bench->wakeups);
-  bench->leases = fc_worker_leases_new(bench->cluster, bench->leadership, bench->peers, bench->wakeups, bench->metrics);
-  bench->heartbeats = fc_heartbeats_new(bench->cluster, bench->leadership, bench->peers, bench->registration,
-                                        bench->reconciler, bench->commands, bench->calls, bench->metrics);
+static inline void worker_fixture_build(worker_fixture *fixture) {
+  fixture->completion = fc_task_completion_new(fixture->cluster, NULL, NULL, fixture->metrics);
+  fixture->reconciler = fc_reconciler_new(fixture->cluster, fixture->completion, fixture->wakeups, fixture->metrics);
+  fixture->commands = fc_worker_commands_new(fixture->cluster, fixture->completion);
+  fixture->calls = fc_worker_calls_new(fixture->cluster, fixture->leadership, fixture->commands, fixture->reconciler,
+                                       fixture->metrics);
+  fixture->probes = fc_machine_probes_new(fixture->cluster, fixture->leadership, fixture->calls);
+  fixture->registration =
+      fc_machine_registration_new(fixture->cluster, fixture->leadership, NULL, NULL, fixture->wakeups);
+  fixture->leases =
+      fc_worker_leases_new(fixture->cluster, fixture->leadership, fixture->peers, fixture->wakeups, fixture->metrics);
+  fixture->heartbeats = fc_heartbeats_new(fixture->cluster, fixture->leadership, fixture->peers, fixture->registration,
+                                          fixture->reconciler, fixture->commands, fixture->calls, fixture->metrics);
 }
 
 /* A controller with authority, in term 5, as paddock-0 beside paddock-1. */
-static inline worker_bench *worker_bench_new(void) {
-  worker_bench *bench = g_new0(worker_bench, 1);
-  bench->settings = fixture_settings();
-  bench->settings.peer_count = 1;
-  bench->settings.peers[0].name = "paddock-1";
-  bench->cluster = fixture_cluster(&bench->settings);
-  bench->metrics = fc_metrics_new();
-  bench->wakeups = fc_wakeups_new();
-  bench->leadership = fc_leadership_new(bench->cluster);
-  bench->peers = fc_peers_new(bench->cluster);
-  worker_bench_build(bench);
+static inline worker_fixture *worker_fixture_new(void) {
+  worker_fixture *fixture = g_new0(worker_fixture, 1);
+  fixture->settings = fixture_settings();
+  fixture->settings.peer_count = 1;
+  fixture->settings.peers[0].name = "paddock-1";
+  fixture->cluster = fixture_cluster(&fixture->settings);
+  fixture->metrics = fc_metrics_new();
+  fixture->wakeups = fc_wakeups_new();
+  fixture->leadership = fc_leadership_new(fixture->cluster);
+  fixture->peers = fc_peers_new(fixture->cluster);
+  worker_fixture_build(fixture);
   fc_term term = {.number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 2}}, .count = 2};
-  fc_cluster_apply_term(bench->cluster, &term, 9, false, 0);
-  fc_leadership_term_applied(bench->leadership, 0, false);
-  fc_leadership_set_incarnation(bench->leadership, 1);
-  bench->cluster->sync.loaded = true;
+  fc_cluster_apply_term(fixture->cluster, &term, 9, false, 0);
+  fc_leadership_term_applied(fixture->leadership, 0, false);
+  fc_leadership_set_incarnation(fixture->leadership, 1);
+  fixture->cluster->sync.loaded = true;
   double now = fc_now();
-  fc_peers_at(bench->peers, 0)->heard_at = now;
-  fc_leadership_lease_renewed(bench->leadership, now);
-  fc_leadership_read_fresh(bench->leadership, now);
-  return bench;
+  fc_peers_at(fixture->peers, 0)->heard_at = now;
+  fc_leadership_lease_renewed(fixture->leadership, now);
+  fc_leadership_read_fresh(fixture->leadership, now);
+  return fixture;
 }
 
-static inline void worker_bench_free(worker_bench *bench) {
-  fc_heartbeats_free(bench->heartbeats);
-  fc_worker_leases_free(bench->leases);
-  fc_machine_registration_free(bench->registration);
-  fc_machine_probes_free(bench->probes);
-  fc_worker_calls_free(bench->calls);
-  fc_worker_commands_free(bench->commands);
-  fc_reconciler_free(bench->reconciler);
-  fc_task_completion_free(bench->completion);
-  fc_peers_free(bench->peers);
-  fc_leadership_free(bench->leadership);
-  fc_wakeups_free(bench->wakeups);
-  fc_metrics_free(bench->metrics);
-  fc_cluster_free(bench->cluster);
-  g_free(bench);
+static inline void worker_fixture_free(worker_fixture *fixture) {
+  fc_heartbeats_free(fixture->heartbeats);
+  fc_worker_leases_free(fixture->leases);
+  fc_machine_registration_free(fixture->registration);
+  fc_machine_probes_free(fixture->probes);
+  fc_worker_calls_free(fixture->calls);
+  fc_worker_commands_free(fixture->commands);
+  fc_reconciler_free(fixture->reconciler);
+  fc_task_completion_free(fixture->completion);
+  fc_peers_free(fixture->peers);
+  fc_leadership_free(fixture->leadership);
+  fc_wakeups_free(fixture->wakeups);
+  fc_metrics_free(fixture->metrics);
+  fc_cluster_free(fixture->cluster);
+  g_free(fixture);
 }
 
 /* Sends a heartbeat of vm-1 and returns the HTTP status; the answer's body replaces *out. */
-static inline int send_heartbeat(worker_bench *bench, unsigned epoch, unsigned sequence, unsigned fencing_token,
+static inline int send_heartbeat(worker_fixture *fixture, unsigned epoch, unsigned sequence, unsigned fencing_token,
                                  const char *tasks, GString *out) {
   char *text = g_strdup_printf(
       "{\"paddock\":\"vm-1\",\"endpoint\":\"10.1.0.2:9000\",\"build\":\"g4\",\"ground\":\"a\",\"loaners\":false,"
@@ -92,12 +94,12 @@
       epoch, sequence, fencing_token, tasks);
   int status = 0;
   g_string_truncate(out, 0);
-  fc_heartbeats_answer(bench->heartbeats, text, strlen(text), bench->connection, &status, out);
+  fc_heartbeats_answer(fixture->heartbeats, text, strlen(text), fixture->connection, &status, out);
   g_free(text);
   return status;
 }
 
-static inline bool says(const GString *out, const char *what) {
+static inline bool body_contains(const GString *out, const char *what) {
   return strstr(out->str, what) != NULL;
 }
 
