--- a/src/controller/heartbeats.h
+++ b/src/controller/heartbeats.h
@@ -1,6 +1,6 @@
-/* Heartbeats: accepts and answers what workers send at regular intervals. The owner of the machine
- * answers with commands. Another member sends the worker to the owner or, where that can't be
- * reached, renews the worker's lease and stops what must not run. */
+/* Heartbeats: accepts and answers the reports that workers send at regular intervals. The owner of the
+ * machine answers with commands. Another member redirects the worker to the owner or, when the owner
+ * can't be reached, renews the worker's lease and stops tasks of cancelled jobs. */
 #ifndef FC_CONTROLLER_HEARTBEATS_H
 #define FC_CONTROLLER_HEARTBEATS_H
 
@@ -18,14 +18,15 @@
 
 typedef struct fc_heartbeats fc_heartbeats;
 
-/* The arguments have to outlive it. The caller frees it with fc_heartbeats_free(). */
+/* The arguments must outlive the result, which the caller frees with fc_heartbeats_free(). */
 fc_heartbeats *fc_heartbeats_new(fc_cluster *cluster, const fc_leadership *leadership, fc_peers *peers,
                                  fc_machine_registration *registration, fc_reconciler *reconciler,
                                  fc_worker_commands *commands, fc_worker_calls *calls, fc_metrics *metrics);
 void fc_heartbeats_free(fc_heartbeats *heartbeats);
 
-/* Answers the body of a heartbeat that has come on that connection (0: not known): sets the HTTP
- * status and appends the body of the answer to *out. May suspend the calling routine. */
+/* Handles a heartbeat request. `body`: its body of `length` bytes; `connection`: the number of the
+ * connection that it came on, 0 if not known. Sets *status to the HTTP status and appends the body
+ * of the response to *out. May suspend the calling routine. */
 void fc_heartbeats_answer(fc_heartbeats *heartbeats, const char *body, size_t length, uint64_t connection, int *status,
                           GString *out);
 
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -13,7 +13,7 @@
   double entered_at;
   double term_since;
   double peer_left_at;
-  int peer_of[FC_MEMBERS_MAX]; /* by member of the present term; -1: none */
+  int peer_of[FC_MEMBERS_MAX]; /* index of a member of the current term among the peers; -1: none */
 };
 
 fc_leadership *fc_leadership_new(const fc_cluster *cluster) {
@@ -96,7 +96,7 @@
   const fc_cluster *cluster = leadership->cluster;
   leadership->term_since = now;
   if (peer_left) leadership->peer_left_at = now;
-  /* Such a write was conditional on the version of the term that is now past. */
+  /* A pending write of the term was conditional on the version of the previous term, and fails. */
   leadership->term_write_pending = false;
   fc_leader_lease_new_term(&leadership->lease);
   for (size_t member = 0; member < cluster->membership.term.count; member++)
--- a/src/controller/machine_probes.c
+++ b/src/controller/machine_probes.c
@@ -7,12 +7,12 @@
 #include "protocol/worker_api.h"
 #include "transport/routine.h"
 
-#define UNIDIRECTIONAL_LEASES 0.2   /* heartbeats that show no answer for so long are a reason to probe */
-#define PEER_RENEWAL_HEARTBEATS 2.0 /* how long a lease renewal by a peer counts */
-#define RECONCILE_HEARTBEATS 1.5    /* an owner should have reconciled its machines so soon after a new term */
+#define UNIDIRECTIONAL_LEASES 0.2   /* probed after this long without a sign that answers arrive */
+#define PEER_RENEWAL_HEARTBEATS 2.0 /* how long a lease renewal by a peer counts as recent */
+#define RECONCILE_HEARTBEATS 1.5    /* after a new term, the time for an owner to reconcile its machines */
 #define PROBE_SPACING_HEARTBEATS 1.0
 #define PROBE_TIMEOUT_HEARTBEATS 0.75
-#define SOCKETS_PER_PROBE 32u /* one in so many of all sockets; calls to our own machines come first */
+#define SOCKETS_PER_PROBE 32u /* probes use one in so many sockets; calls to owned machines come first */
 #define PROBES_MIN 1u
 #define MACHINE_ID_BYTES 64
 
@@ -47,13 +47,13 @@
   const fc_machine_reachability *reach = &machine->reachability;
   if (reach->unidirectional_since && now > reach->unidirectional_since + settings->lease_s * UNIDIRECTIONAL_LEASES)
     machine->probe.wanted = true;
-  /* A peer renews its lease, and sends it back to us once we have reached it again. */
+  /* A peer renews its lease, and redirects the worker here once we have reached it again. */
   if (reach->peer_bidirectional_at > now - settings->heartbeat_s * PEER_RENEWAL_HEARTBEATS &&
       fc_machine_suspect(cluster, machine, now))
     machine->probe.wanted = true;
-  /* It takes tasks again as soon as it shows its epoch. */
+  /* Its lease has expired: it takes tasks again as soon as it shows its epoch. */
   if (fc_machine_awaits_epoch(cluster, machine, now)) machine->probe.wanted = true;
-  /* A member whose incarnation has ended may have renewed its lease: is the machine still there? */
+  /* A member that has left may have renewed its lease last: check whether the machine is still there. */
   if (fc_reachability_peer_left_recently(probes->leadership, settings, now) &&
       fc_machine_suspect(cluster, machine, now))
     machine->probe.wanted = true;
@@ -62,7 +62,7 @@
 
 /* ---- other members' machines ---- */
 
-/* Probes the machine once, and notes whether it has answered. */
+/* Probes the machine once, and records whether it answered. Suspends the calling routine. */
 static void probe(fc_machine_probes *probes, const char *id) {
   const fc_cluster *cluster = probes->cluster;
   const fc_machine *known = fc_cluster_find_machine(cluster, id);
@@ -76,14 +76,14 @@
   bool answered = fc_worker_call_answered(result);
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
   if (machine) {
-    /* Another machine may have got its address since; then that one has answered. */
+    /* Its address may belong to another machine by now, which would be the one that answered. */
     machine->probe.answered = answered && strcmp(heartbeat.machine, machine->id) == 0;
     machine->probe.sent_at = asked_at;
   }
   if (answered) fc_heartbeat_clear(&heartbeat);
 }
 
-/* The routine of one probe. */
+/* The routine that carries out one probe. */
 static void run_probe(void *arg) {
   const probe_routine routine = *(probe_routine *)arg;
   g_free(arg);
@@ -94,7 +94,7 @@
   fc_worker_calls_end(probes->calls);
 }
 
-/* Is the owner out of touch with the machine, or late in reconciling it? */
+/* Returns whether the owner suspects that the machine is lost, or is late in reconciling it. */
 static bool owner_needs_help(const fc_machine_probes *probes, const fc_machine *machine, double now) {
   if (fc_machine_reconciled(probes->cluster, machine)) return machine->reachability.owner_suspects;
   double reconcile_s = probes->cluster->settings->heartbeat_s * RECONCILE_HEARTBEATS;
--- a/src/controller/machine_reachability.c
+++ b/src/controller/machine_reachability.c
@@ -3,7 +3,7 @@
 #include "coordination/leader_lease.h"
 #include "transport/routine.h"
 
-/* Peers repeat which leases they renewed for so long. */
+/* For how long peers repeat which leases they renewed. */
 #define RENEWALS_KNOWN_LEASES 2
 
 static double age_s(uint32_t age_ms) {
@@ -15,16 +15,16 @@
   if (!machine) return;
   double renewed_at = now - age_s(renewal->age_ms);
   const fc_machine_agent *agent = &machine->agent;
-  /* A heartbeat from before what has come to us is a late copy, or the machine was restarted and
-   * its lease is renewed in its new incarnation. The copy may cost a lease of waiting; when the
-   * new incarnation was taken for a copy its tasks were started twice, as a direct start that was
-   * held back reached it (fault test, seed 158). */
+  /* A heartbeat older than the last one received here is either a delayed copy, or the machine was
+   * restarted and its new incarnation has its lease renewed. Counting a copy as a renewal may delay
+   * the expiry by one lease. Ignoring the new incarnation as a copy started its tasks twice, because
+   * a delayed direct start reached it (fault test, seed 158). */
   bool outdated =
       renewal->epoch < agent->epoch || (renewal->epoch == agent->epoch && renewal->sequence < agent->sequence);
   machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, renewed_at);
-  /* Peers repeat what they answered for two leases. What a machine has answered directly since
-   * then decides: probed again at every acknowledgement, machines that had come back from another
-   * member cost more than all heartbeats. */
+  /* Peers repeat a renewal for two leases. A direct answer since the renewal makes another probe
+   * needless; with a probe at every acknowledgement, machines that had returned from another member
+   * cost more than all heartbeats. */
   double latest = renewed_at + age_s(renewal->age_ms) * 2 * FC_CLOCK_DRIFT;
   if (outdated && machine->owner == cluster->membership.self && latest >= machine->probe.confirmed_at)
     machine->probe.wanted = true;
@@ -42,8 +42,8 @@
                                 double now) {
   fc_machine *machine = fc_cluster_find_machine(cluster, probe->machine);
   if (!machine) return;
-  /* The age was taken between `sent_at` and now. If in question the machine counts as reached: the
-   * latest time for an answer, the earliest for none. */
+  /* The peer computed the age at some time between `sent_at` and `now`. The uncertainty favours a
+   * reachable machine: an answer counts from the latest possible time, a failure from the earliest. */
   if (probe->answered) {
     machine->probe.peer_answered_at = MAX(machine->probe.peer_answered_at, now - age_s(probe->age_ms));
   } else {
@@ -61,7 +61,7 @@
                                        const fc_machine *machine) {
   const fc_membership *membership = &cluster->membership;
   double left_at = fc_leadership_peer_left_at(leadership);
-  /* A probe of long ago shows nothing of now. */
+  /* An old probe says nothing about the present. */
   double since = MAX(left_at, fc_now() - fc_machine_silence_timeout_s(cluster->settings));
   if (machine->probe.answered || machine->probe.sent_at <= since || machine->probe.peer_answered_at > left_at)
     return false;
--- a/src/controller/machine_reachability.h
+++ b/src/controller/machine_reachability.h
@@ -1,5 +1,5 @@
-/* Which members reach a machine: any member may renew a worker's lease by answering its
- * heartbeat, and may probe a machine directly; its owner learns of that from acknowledgements. */
+/* Which members reach a machine. Any member may renew a worker's lease by answering its heartbeat, and
+ * may probe a machine directly; the owner learns of both from the acknowledgements of peers. */
 #ifndef FC_CONTROLLER_MACHINE_REACHABILITY_H
 #define FC_CONTROLLER_MACHINE_REACHABILITY_H
 
@@ -10,17 +10,17 @@
 #include "controller/leadership.h"
 #include "protocol/peer_frame.h"
 
-/* Another member has renewed the lease of the machine's worker. `now`: steady time. */
+/* Records that another member has renewed the lease of a machine's worker. `now`: steady time. */
 void fc_reachability_note_renewal(fc_cluster *cluster, const fc_frame_lease_renewal *renewal, double now);
-/* A peer (by the order of the settings) has probed the machine directly. `sent_at`: when we sent
- * the view that it acknowledges. */
+/* Records that a peer (by its index in the settings) has probed a machine directly. `sent_at`: steady
+ * time at which the view was sent whose acknowledgement reports the probe. */
 void fc_reachability_note_probe(fc_cluster *cluster, size_t peer, const fc_frame_probe *probe, double sent_at,
                                 double now);
-/* Has another member's incarnation ended so lately that a worker whose lease it renewed last may
- * not have come to others yet? The leases are over well before that. */
+/* Returns whether another member's incarnation ended so recently that a worker whose lease it renewed
+ * last may not have contacted other members yet. The period is well above the duration of a lease. */
 bool fc_reachability_peer_left_recently(const fc_leadership *leadership, const fc_settings *settings, double now);
-/* Has every member probed the machine in vain, lately and since the last incarnation of a member
- * ended? */
+/* Returns whether every member has probed the machine without an answer, recently and since the last
+ * time that an incarnation of another member ended. */
 bool fc_reachability_all_probes_failed(const fc_cluster *cluster, const fc_leadership *leadership,
                                        const fc_machine *machine);
 
--- a/src/controller/machine_registration.c
+++ b/src/controller/machine_registration.c
@@ -9,7 +9,7 @@
 #include "transport/routine.h"
 
 #define CONFIRM_TIMEOUT_HEARTBEATS 0.5
-#define ANNOUNCE_TIMEOUT_HEARTBEATS 1.0 /* for the write, and again for its outcome */
+#define ENDPOINT_TIMEOUT_HEARTBEATS 1.0 /* for the write, and again for reading it back */
 #define RECORD_TIMEOUT_S 2.0
 #define RECORD_OUTCOME_TIMEOUT_S 1.5
 #define RECORD_RETRY_TIMEOUT_S 1.0
@@ -21,13 +21,13 @@
   fc_group_commit *commit;
   fc_kv_watch *watch;
   fc_wakeups *wakeups;
-  unsigned pending[FC_MEMBERS_MAX]; /* machines whose records, being written, name this member as owner */
+  unsigned pending[FC_MEMBERS_MAX]; /* by member: records being written that name it as owner */
 };
 
-typedef struct announce_routine {
+typedef struct endpoint_routine {
   fc_machine_registration *registration;
   char machine[MACHINE_ID_BYTES];
-} announce_routine;
+} endpoint_routine;
 
 fc_machine_registration *fc_machine_registration_new(fc_cluster *cluster, const fc_leadership *leadership,
                                                      fc_group_commit *commit, fc_kv_watch *watch, fc_wakeups *wakeups) {
@@ -41,15 +41,15 @@
   g_free(registration);
 }
 
-/* ---- addresses ---- */
+/* ---- endpoints ---- */
 
-/* The routine that adds one machine's address to its record. */
-static void run_announce(void *arg) {
-  const announce_routine routine = *(announce_routine *)arg;
+/* The routine that adds one machine's endpoint to its record. */
+static void run_endpoint_write(void *arg) {
+  const endpoint_routine routine = *(endpoint_routine *)arg;
   g_free(arg);
   fc_machine_registration *registration = routine.registration;
   const fc_cluster *cluster = registration->cluster;
-  double timeout_s = cluster->settings->heartbeat_s * ANNOUNCE_TIMEOUT_HEARTBEATS;
+  double timeout_s = cluster->settings->heartbeat_s * ENDPOINT_TIMEOUT_HEARTBEATS;
   fc_machine *machine = fc_cluster_find_machine(cluster, routine.machine);
   if (!machine) return;
   fc_write *write = fc_machine_record_write(routine.machine, machine->record_version, cluster->membership.term_version,
@@ -67,11 +67,11 @@
   if (machine->endpoint_recorded || machine->endpoint_write_pending || machine->record_write_pending ||
       !machine->record.endpoint[0])
     return;
-  announce_routine *routine = g_new0(announce_routine, 1);
+  endpoint_routine *routine = g_new0(endpoint_routine, 1);
   routine->registration = registration;
   g_strlcpy(routine->machine, machine->id, sizeof routine->machine);
   machine->endpoint_write_pending = true;
-  if (!fc_routine_spawn(run_announce, routine)) {
+  if (!fc_routine_spawn(run_endpoint_write, routine)) {
     machine->endpoint_write_pending = false;
     g_free(routine);
   }
@@ -79,9 +79,10 @@
 
 /* ---- records ---- */
 
-/* Does such a machine exist? A heartbeat without a record may be of a late rental, or a late copy
- * from a machine that was returned: only the machine itself can tell. Without this a returned
- * machine came back into the table. Suspends the calling routine. */
+/* Returns whether the machine exists, by calling it. A heartbeat of a machine without a record may
+ * come from a delayed rental, or be a delayed copy from a machine that was returned; only the machine
+ * itself can tell. Without this check a returned machine was recorded again. Suspends the calling
+ * routine. */
 static bool confirm_machine(const fc_machine_registration *registration, const fc_heartbeat *heartbeat) {
   const fc_cluster *cluster = registration->cluster;
   fc_endpoint endpoint;
@@ -96,7 +97,7 @@
   return same;
 }
 
-/* Does the cloud offer machines of that type in that zone? */
+/* Returns whether the cloud offers machines of that type in that zone. */
 static bool type_and_zone_known(const fc_cluster *cluster, const fc_heartbeat *heartbeat) {
   int type = fc_cluster_find_machine_type(cluster, heartbeat->type);
   if (type < 0) return false;
@@ -104,10 +105,10 @@
   return g_strv_contains((const gchar *const *)machine_type->zones, heartbeat->zone);
 }
 
-/* The member that is to own the machine. */
+/* Returns the index of the member that is to own the machine. */
 static int choose_owner(const fc_machine_registration *registration, const fc_heartbeat *heartbeat) {
-  /* Machines whose records are being written count too: of a fleet that reported for the first
-   * time, all at once, hundreds went to the member that had the fewest a moment before. */
+  /* Records that are still being written count too: without them, when a whole fleet sent its first
+   * heartbeats at once, hundreds of machines went to the member that had the fewest just before. */
   unsigned pending[FC_MEMBERS_MAX];
   for (size_t i = 0; i < FC_MEMBERS_MAX; i++) pending[i] = registration->pending[i] * FC_BALANCE_SAME_KIND;
   return fc_cluster_balanced_owner(registration->cluster, heartbeat->machine, heartbeat->type, heartbeat->zone,
@@ -126,8 +127,8 @@
   g_strlcpy(record.owner, cluster->membership.term.members[owner].name, sizeof record.owner);
   registration->pending[owner]++;
   fc_write *write = fc_machine_record_write(heartbeat->machine, 0, cluster->membership.term_version, &record);
-  /* Executed late, it must not bring back the record of a machine that has been recorded, used and
-   * returned since. */
+  /* A delayed write must not bring back the record of a machine that has been recorded, used and
+   * returned in the meantime. */
   fc_write_compare(write, FC_KEY_RETURNED, cluster->returns_version);
   fc_kv_result result = fc_group_commit_write(registration->commit, write, FC_WRITE_PRIORITY_HEARTBEAT,
                                               fc_now() + RECORD_TIMEOUT_S, revision);
@@ -137,7 +138,7 @@
 
 bool fc_machine_registration_record(fc_machine_registration *registration, const fc_heartbeat *heartbeat) {
   fc_cluster *cluster = registration->cluster;
-  /* One of an unknown type or zone is never used; scaling returns it. */
+  /* A machine of unknown type or zone is never used, and is returned as an orphan. */
   if (!type_and_zone_known(cluster, heartbeat) || !confirm_machine(registration, heartbeat) ||
       !fc_leadership_held(registration->leadership))
     return false;
--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -2,18 +2,18 @@
 
 #include <string.h>
 
-/* Requests to the key-value store, and the reads after them, are given up after so long. */
+/* Timeouts of requests to the key-value store, and of waiting until their outcome has been read. */
 #define REQUEST_TIMEOUT_S 1.0
 #define READ_TIMEOUT_S 2.0
 
-/* Pauses before a retry, as upper bounds of a random time. */
+/* Upper bounds of the random delay before a retry. */
 #define LEASE_RETRY_S 0.3
 #define ENTRY_RETRY_S 0.1
 
-/* Parts of the member's lease. */
+/* Shares of the member lease. */
 #define TICK_LEASES 0.04
 #define RENEWAL_LEASES 0.25
-#define ABSENCE_LEASES 0.15 /* a member that is away for less is not excluded: shards would move */
+#define ABSENCE_LEASES 0.15 /* a shorter absence does not exclude a member: its shard would be reassigned */
 
 struct fc_membership_duty {
   fc_cluster *cluster;
@@ -22,7 +22,7 @@
   fc_leadership *leadership;
   fc_peers *peers;
   fc_metrics *metrics;
-  uint64_t lease; /* in the store; 0: none */
+  uint64_t lease; /* id of the lease in the store; 0: none */
 };
 
 fc_membership_duty *fc_membership_duty_new(fc_cluster *cluster, fc_kv *kv, fc_kv_watch *watch,
@@ -53,13 +53,13 @@
   return true;
 }
 
-/* Draws the number of this incarnation: the revision of our member key. */
-static bool draw_incarnation(fc_membership_duty *duty) {
+/* Assigns this incarnation its number: the revision at which the member key is written. */
+static bool assign_incarnation(fc_membership_duty *duty) {
   const char *name = duty->cluster->settings->name;
   const fc_member_key *known = g_hash_table_lookup(duty->cluster->membership.keys, name);
   char *key = member_key(name);
   fc_txn *txn = fc_txn_new();
-  /* Conditional: a late copy of an earlier attempt must not replace this one. */
+  /* Conditional, so that a delayed earlier attempt can't overwrite this one. */
   fc_txn_compare(txn, key, known ? known->version : 0);
   fc_txn_put_leased(txn, key, fc_member_key_encode(), duty->lease);
   g_free(key);
@@ -74,8 +74,8 @@
   return false;
 }
 
-/* Commits `next` in place of the present term. `excluded`: a member whose lease must have expired
- * at that very moment; NULL: none is. */
+/* Replaces the current term by `next`. `excluded`: the commit also requires that the lease of this
+ * member has expired; NULL: no member is excluded. */
 static fc_kv_result commit_term(fc_membership_duty *duty, const fc_term *next, const char *excluded) {
   fc_txn *txn = fc_txn_new();
   fc_txn_compare(txn, FC_KEY_TERM, duty->cluster->membership.term_version);
@@ -101,8 +101,8 @@
   return strcmp(((const fc_member *)left)->name, ((const fc_member *)right)->name);
 }
 
-/* Every start enters by a new term: commands of an earlier incarnation may still be under way
- * with the old fencing token. */
+/* Joins by committing a new term, also when the current one already lists this member: commands of
+ * an earlier incarnation may still be in flight with the old fencing token. */
 static bool enter_term(fc_membership_duty *duty) {
   const fc_membership *membership = &duty->cluster->membership;
   const char *name = duty->cluster->settings->name;
@@ -130,7 +130,7 @@
   return g_hash_table_lookup(duty->cluster->membership.keys, name) == NULL;
 }
 
-/* When the member's lease was first seen to be expired. */
+/* Steady time at which the member's lease was first seen expired; inserts the present time if new. */
 static double absent_since(GHashTable *absences, const char *name) {
   double *since = g_hash_table_lookup(absences, name);
   if (!since) {
@@ -141,7 +141,8 @@
   return *since;
 }
 
-/* Live members before us in the term: they exclude first. */
+/* Number of live members listed before this one in the term. Each of them adds to the delay before
+ * this member excludes anybody, so that members don't compete to commit the same exclusion. */
 static unsigned live_members_before(const fc_membership_duty *duty) {
   const fc_membership *membership = &duty->cluster->membership;
   unsigned live = 0;
@@ -163,10 +164,11 @@
   next.number++;
   next.names_since = next.number;
   fc_kv_result result = commit_term(duty, &next, name);
-  g_info("excluded member=%s result=%d", name, result);
+  g_info("exclusion from the term member=%s result=%d", name, result);
 }
 
-/* Excludes the first member whose lease has expired, once nothing forbids it. */
+/* Excludes the first member that has been absent for long enough and whose grant from us, if any, has
+ * expired. */
 static void exclude_expired(fc_membership_duty *duty, GHashTable *absences) {
   const fc_membership *membership = &duty->cluster->membership;
   if (!fc_leadership_may_exclude(duty->leadership)) return;
@@ -188,7 +190,7 @@
 
 typedef enum { LEASE_HELD, LEASE_GONE } lease_state;
 
-/* Renews the lease when it is time. *renewed_at: when that last succeeded. */
+/* Renews the lease when it is due. *renewed_at: steady time of the last successful renewal. */
 static lease_state renew_lease(fc_membership_duty *duty, double *renewed_at) {
   double now = fc_now();
   if (now < *renewed_at + fc_leadership_lease_s(duty->leadership) * RENEWAL_LEASES) return LEASE_HELD;
@@ -203,8 +205,9 @@
   return LEASE_HELD;
 }
 
-/* Stays a member as long as the lease and the term allow. */
-static void stay_member(fc_membership_duty *duty) {
+/* Renews the lease and excludes absent members until this member loses its lease or its place in the
+ * term. */
+static void serve_as_member(fc_membership_duty *duty) {
   GHashTable *absences = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   double renewed_at = fc_now();
   while (!fc_routine_cancelled()) {
@@ -240,11 +243,11 @@
       continue;
     }
     while (!fc_leadership_incarnation(leadership) && lease_valid(duty))
-      if (!draw_incarnation(duty)) pause_before_retry(ENTRY_RETRY_S);
+      if (!assign_incarnation(duty)) pause_before_retry(ENTRY_RETRY_S);
     if (!fc_leadership_incarnation(leadership)) continue;
     while (!fc_leadership_in_term(leadership) && lease_valid(duty))
       if (!enter_term(duty)) pause_before_retry(ENTRY_RETRY_S);
-    if (fc_leadership_in_term(leadership)) stay_member(duty);
+    if (fc_leadership_in_term(leadership)) serve_as_member(duty);
   }
 }
 
--- a/src/controller/membership.h
+++ b/src/controller/membership.h
@@ -1,5 +1,5 @@
-/* Membership: opens and renews this controller's lease in the key-value store, enters the term,
- * and excludes members whose leases have expired (failover). */
+/* Membership: opens and renews this controller's lease in the key-value store, joins the term, and
+ * excludes members whose leases have expired (failover). */
 #ifndef FC_CONTROLLER_MEMBERSHIP_H
 #define FC_CONTROLLER_MEMBERSHIP_H
 
@@ -7,10 +7,11 @@
 
 typedef struct fc_membership_duty fc_membership_duty;
 
-/* The arguments have to outlive it, and it lives as long as its routine. */
+/* The arguments must outlive the result, which is never freed: its routine runs as long as the
+ * process. */
 fc_membership_duty *fc_membership_duty_new(fc_cluster *cluster, fc_kv *kv, fc_kv_watch *watch,
                                            fc_leadership *leadership, fc_peers *peers, fc_metrics *metrics);
-/* Starts its routine; false: out of memory. */
+/* Starts the membership routine. Returns false when out of memory. */
 bool fc_membership_duty_start(fc_membership_duty *duty);
 
 #endif
--- a/src/controller/reconciler.c
+++ b/src/controller/reconciler.c
@@ -13,11 +13,11 @@
   fc_metrics *metrics;
 };
 
-/* Where a worker's task list came from, and what it proves. */
+/* The source of a worker's task list, and what the list proves. */
 typedef struct list_origin {
-  double asked_at; /* the direct call that it answers was sent then; 0: it came with a heartbeat */
-  bool reconciles; /* it is the first with the fencing token of this term */
-  bool new_epoch;  /* the worker has stopped everything since the last list */
+  double asked_at; /* steady time at which the direct call was sent that it answers; 0: it came with a heartbeat */
+  bool reconciles; /* it is the first list with the fencing token of this term */
+  bool new_epoch;  /* the epoch has changed since the last list, so the worker has stopped all earlier tasks */
 } list_origin;
 
 fc_reconciler *fc_reconciler_new(fc_cluster *cluster, fc_task_completion *completion, fc_wakeups *wakeups,
@@ -33,11 +33,12 @@
 
 /* ---- the machine ---- */
 
-/* A direct start of which we don't know whether it arrived is refused once the worker has shown a
- * higher fencing token than the start carried, or a later epoch than it named. The token of the machine's last
- * heartbeat is not the measure: a controller that owns a machine across a change of term sends its first start before
- * the worker has shown the new token, and the next heartbeat, which does, was taken for proof; the copy came after the
- * task had been forgotten, and ran (fault test, seed 1106). */
+/* Marks direct starts of unknown outcome as outdated once the worker is certain to refuse them: it has
+ * shown a higher fencing token than the start carried, or a later epoch than it named. The token is
+ * compared with that of the start, not with that of the machine's last heartbeat: an owner that
+ * stays the owner in a new term sends its first start before the worker has shown the new token.
+ * When the next heartbeat, the first with that token, counted as proof, the task was forgotten, and
+ * the copy arrived later and ran (fault test, seed 1106). */
 static void outdate_copies(fc_machine *machine, const fc_heartbeat *heartbeat) {
   for (guint i = 0; i < machine->placements->len; i++) {
     fc_placement *placement = machine->placements->pdata[i];
@@ -61,9 +62,10 @@
   if (heartbeat->spot_notice_s >= 0 && !machine->drain.spot_notice_until)
     machine->drain.spot_notice_until = now + heartbeat->spot_notice_s;
   if (heartbeat->endpoint[0]) g_strlcpy(machine->record.endpoint, heartbeat->endpoint, sizeof machine->record.endpoint);
-  bool hears_us = origin->asked_at > 0 || origin->reconciles; /* it answers us, or has the token of this term */
-  if (hears_us) machine->reachability.unidirectional_since = 0;
-  if (origin->reconciles) machine->agent.restarted = false; /* its incarnation before never had this token */
+  /* The worker has received a call of ours, or the token of this term. */
+  bool receives_messages = origin->asked_at > 0 || origin->reconciles;
+  if (receives_messages) machine->reachability.unidirectional_since = 0;
+  if (origin->reconciles) machine->agent.restarted = false; /* heartbeats from before the restart lack this token */
 }
 
 static void update_idle_time(fc_machine *machine, double now) {
@@ -101,32 +103,33 @@
   fc_task_completion_update(reconciler->completion, placement);
 }
 
-/* Is a task that the list does not name certainly gone from the machine? If its start was certainly
- * not carried out, it is marked to be sent again. */
+/* Returns whether a task that the list does not name is certainly gone from the machine. A start that
+ * was certainly not executed is also marked to be sent again. */
 static bool is_gone(fc_placement *placement, const fc_heartbeat *heartbeat, const list_origin *origin) {
   const fc_placement_start *start = &placement->start;
-  if (origin->reconciles) return true; /* fenced: what it does not list can't start any more */
+  if (origin->reconciles) return true; /* fenced: an unlisted task can't start any more */
   if (!start->sent) return false;      /* only planned so far */
-  /* A restarted worker counts its epochs anew, and may come to the one that a start named. */
+  /* A restarted worker counts its epochs from the beginning, and may reach the one that a start named. */
   if (origin->new_epoch) return start->direct == FC_DIRECT_START_NONE;
   if (placement->status.reported) return true;
-  /* Sent, never listed. While a direct copy of the start may arrive nothing is known. Then the
-   * heartbeat after the one whose answer carried the start decides; so does the answer to a direct
-   * call that was sent when the worker would have dropped that other answer. A restarted machine is
-   * believed by its direct answers alone: such a start was never decided there, counted against its
-   * team's limit, and a gang waited for ever (fault test with meetings, seed 241). */
+  /* Sent but never listed. The outcome is unknown while a direct copy of the start may arrive. After
+   * that it is decided by the heartbeat that follows the one whose answer carried the start, or by
+   * the answer to a direct call sent after the worker's request timeout for that heartbeat. Of a
+   * restarted machine only direct answers count: when they decided nothing, such a start counted
+   * against its team's limit for good, and a gang waited forever (fault test with meetings, seed 241). */
   if (start->direct) return false;
   if (origin->asked_at <= 0 && heartbeat->sequence <= start->heartbeat_sequence) return false;
   double answer_lost_at = start->sent_at + FC_WORKER_REQUEST_TIMEOUT_S * (1 + 2 * FC_CLOCK_DRIFT);
   if (origin->asked_at > 0 && start->heartbeat_sequence && origin->asked_at < answer_lost_at) return false;
-  /* It was not carried out: it is sent again, or dropped if the task is not wanted any more. */
+  /* The start was not executed: it is sent again, or dropped if the task is to be stopped. */
   if (!placement->stop.requested) placement->start.sent = false;
   return placement->stop.requested;
 }
 
-/* The worker is without the task. As long as a copy of its start is outstanding it may begin there, if
- * only after a restart of the worker: started elsewhere, it ran twice (scene test_restarted_workers).
- * The same attempt is started there again, beside which a copy has no effect. */
+/* Ends the placement of a task that the worker does not hold. While a copy of its start is
+ * outstanding the task may still begin there, even if only after a restart of the worker; started
+ * elsewhere, it ran twice (scene test_restarted_workers). So the same attempt is started there again,
+ * which makes the copy a duplicate without effect. */
 static void end_unlisted(fc_placement *placement) {
   if (fc_placement_outlives_worker(placement)) {
     fc_placement_start_again(placement);
@@ -146,7 +149,7 @@
   }
 }
 
-/* The worker's list replaces what was thought to be on the machine. */
+/* Replaces the placements of the machine by the worker's task list. */
 static void update_tasks(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat,
                          const list_origin *origin, double now) {
   for (guint i = 0; i < machine->placements->len; i++)
@@ -162,14 +165,14 @@
   end_all_unlisted(reconciler, machine, heartbeat, origin);
 }
 
-/* From here on nothing can start on the machine but what we send in this term. */
+/* From here on a task can start on the machine only by a command sent in this term. */
 static void mark_reconciled(fc_reconciler *reconciler, fc_machine *machine) {
   fc_cluster *cluster = reconciler->cluster;
   uint64_t term = cluster->membership.term.number;
   machine->reconciled_term = term;
-  /* No view so far has shown the machine as reconciled, and only that counts: a slice was handed
-   * over to a member that had acknowledged a view without it, and started there again (fault test,
-   * seed 285). */
+  /* Only views that show the machine as reconciled count as showing its placements, and none so far
+   * has. Without this a slice was handed over to a member that had acknowledged an earlier view, and
+   * started there a second time (fault test, seed 285). */
   for (guint i = 0; i < machine->placements->len; i++)
     ((fc_placement *)machine->placements->pdata[i])->first_view = cluster->view_number + 1;
   fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_REPLICATE);
@@ -188,11 +191,11 @@
       .reconciles = !was_reconciled && heartbeat->fencing_token == cluster->membership.term.number,
       .new_epoch = machine->agent.reported && heartbeat->epoch > machine->agent.epoch,
   };
-  /* Its lease had expired: from here on it takes tasks again. */
+  /* Its lease had expired; now that it shows its epoch it can take tasks again. */
   bool usable_again = machine->agent.reported && !machine->agent.epoch_shown;
   if (usable_again) fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_SCHEDULE);
   update_machine(machine, heartbeat, &origin, now);
-  if (!was_reconciled && !origin.reconciles) return; /* not fenced yet: its list proves nothing */
+  if (!was_reconciled && !origin.reconciles) return; /* not fenced yet: the list proves nothing */
   update_tasks(reconciler, machine, heartbeat, &origin, now);
   if (origin.reconciles) mark_reconciled(reconciler, machine);
   update_idle_time(machine, now);
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -5,7 +5,7 @@
 #include "coordination/leader_lease.h"
 #include "transport/routine.h"
 
-#define EXPIRY_MARGIN_HEARTBEATS 0.25 /* for a worker to stop its tasks */
+#define EXPIRY_MARGIN_HEARTBEATS 0.25 /* time for a worker to stop its tasks */
 
 struct fc_worker_leases {
   fc_cluster *cluster;
@@ -15,9 +15,9 @@
   fc_metrics *metrics;
 };
 
-/* When a worker's lease was last renewed, as far as we know. */
+/* The last known renewal of a worker's lease. */
 typedef struct lease_renewal {
-  double at;
+  double at;      /* steady time */
   const char *by; /* for the log */
 } lease_renewal;
 
@@ -33,18 +33,18 @@
   g_free(leases);
 }
 
-/* The last renewal, if nobody whom we have not heard of has answered the worker. Any member may
- * answer its heartbeats, so each has to have informed us until when it did not; what incarnations
- * that have ended answered, they did before we learned of the term. */
+/* The last renewal known here. Any member may answer the worker's heartbeats, so this is final only
+ * once each has reported its answers (renewals_known_until()). An incarnation that has left the
+ * term answered nothing after the term was applied here. */
 static lease_renewal last_renewal(const fc_worker_leases *leases, const fc_machine *machine) {
   const lease_renewal candidates[] = {
       {machine->lease.answered_at, "self"},
       {machine->lease.peer_renewed_at, "peer"},
       {machine->owned_since, "former owner"},
       {fc_leadership_term_since(leases->leadership), "former term"},
-      /* A new epoch has the full lease from its own beginning, though nobody has answered it yet:
-       * what was started in it by direct commands alone was once taken for gone, and started
-       * elsewhere (fault test, seed 43). */
+      /* A new epoch has a full lease from its beginning, even before any answer. Without this, tasks
+       * started in it by direct commands alone were considered gone and started elsewhere (fault
+       * test, seed 43). */
       {machine->agent.epoch_began_at, "epoch"},
   };
   lease_renewal last = candidates[0];
@@ -53,33 +53,34 @@
   return last;
 }
 
-/* When the worker has certainly stopped its tasks. */
+/* Steady time from which the worker has certainly stopped its tasks. */
 static double expires_at(const fc_worker_leases *leases, const lease_renewal *renewal) {
   const fc_settings *settings = leases->cluster->settings;
   return renewal->at + settings->lease_s * (1 + 2 * FC_CLOCK_DRIFT) + settings->heartbeat_s * EXPIRY_MARGIN_HEARTBEATS;
 }
 
-/* Has everybody who might have answered the worker informed us of all answers until then? */
+/* Returns whether every controller that may have answered the worker has reported its answers up to
+ * steady time `until`. */
 static bool renewals_known_until(const fc_worker_leases *leases, double until) {
   const fc_cluster *cluster = leases->cluster;
   if (!fc_peers_all_covered(leases->peers, until)) return false;
-  /* A controller that was no member may have entered since we last read of it, and renewed the
-   * lease: alone in a term, and cut off from the key-value store, we started its tasks again
-   * (fault test, seed 353). */
+  /* A controller outside the term may have joined since the last read of the store, and renewed the
+   * lease. A sole member that was cut off from the key-value store started such a worker's tasks a
+   * second time (fault test, seed 353). */
   bool all_are_members = cluster->membership.term.count >= cluster->settings->peer_count + 1;
   return all_are_members || cluster->sync.read_at >= until;
 }
 
-/* The epoch that the worker is in at least, as its lease has expired. An expiry ends the epoch that
- * the worker has shown, and proves nothing of those after it: counted on at each round, the epoch ran
- * ahead of the worker's own. */
+/* The lowest epoch that the worker may be in after its lease has expired. An expiry ends the epoch
+ * that the worker has shown and proves nothing about later ones: incremented on every round, the
+ * epoch got ahead of the worker's own. */
 static uint64_t lowest_epoch_after(const fc_machine_agent *agent) {
   return agent->epoch_shown ? agent->epoch + 1 : agent->epoch;
 }
 
-/* The worker has stopped its tasks and is in a later epoch, or will be when it goes on. A
- * heartbeat of the epoch before may still come, newer than any that we have received: tasks that
- * had been started elsewhere were once said to run here as well (scene
+/* Ends the epoch that the worker has shown: it has stopped its tasks and is in a later epoch, or will
+ * be once it resumes. A heartbeat of the ended epoch may still arrive, newer than any received so
+ * far; applied, it reported tasks here that had been started elsewhere (scene
  * heartbeats_after_lease_expiry). */
 static void end_epoch(fc_machine_agent *agent) {
   if (!agent->epoch_shown) return;
@@ -89,10 +90,10 @@
   agent->expired_at = fc_now();
 }
 
-/* The placement's epoch has ended. An expired lease proves that the worker has stopped the task, and
- * that it refuses copies of the start that name the epoch; but a worker that is restarted counts its
- * epochs anew and would carry them out (scene test_restarted_workers). With such a copy on its way the
- * task stays with the machine, and is started there again by the same attempt. */
+/* Ends a placement of the ended epoch. The expired lease proves that the worker has stopped the task
+ * and refuses copies of the start that name that epoch. A restarted worker, however, counts its
+ * epochs from the beginning and would execute such a copy (scene test_restarted_workers). While a
+ * copy is in flight the task stays on the machine, and the same attempt is started there again. */
 static void end_placement(fc_placement *placement, uint64_t lowest_epoch) {
   if (!fc_placement_start_outdated(placement, lowest_epoch)) return;
   if (!fc_placement_outlives_worker(placement)) {
@@ -108,8 +109,8 @@
   for (guint i = machine->placements->len; i-- > 0;) end_placement(machine->placements->pdata[i], lowest_epoch);
 }
 
-/* Before the epoch ends; `tasks` were on the machine, of which it keeps those whose starts may still
- * be carried out. */
+/* Called before the epoch is ended. `tasks`: the placements before the expiry, of which those remain
+ * whose starts may still be executed. */
 static void log_expiry(const fc_cluster *cluster, const fc_machine *machine, const lease_renewal *renewal,
                        unsigned tasks) {
   g_info("worker lease expired machine=%s tasks=%u starts_kept=%u term=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT
@@ -122,7 +123,7 @@
   fc_cluster *cluster = leases->cluster;
   unsigned tasks = machine->placements->len;
   end_placements(machine);
-  /* In a new term the machine may only have to be marked as reconciled. */
+  /* False in a new term when the machine only has to be marked as reconciled. */
   bool ends_anything = machine->agent.epoch_shown || tasks > 0;
   if (ends_anything && machine->endpoint_recorded) log_expiry(cluster, machine, renewal, tasks);
   leases->metrics->counters.expired_leases += ends_anything;
@@ -131,7 +132,8 @@
   if (fc_cluster_update_reconciled(cluster)) fc_wakeups_raise(leases->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
-/* Has the expiry anything to end? What it left there when it was found it never ends. */
+/* Returns whether an expiry has placements to end. Those left by an earlier expiry of the same epoch
+ * (`epoch_shown` is false then) are not ended again. */
 static bool ends_placements(const fc_machine *machine) {
   return machine->placements->len > 0 && machine->agent.epoch_shown;
 }
--- a/src/controller/worker_leases.h
+++ b/src/controller/worker_leases.h
@@ -1,6 +1,6 @@
-/* Expiry of worker leases: a worker that nobody has answered for the length of its lease has
- * stopped all its tasks. Any member may renew a lease by answering a heartbeat; the owner of the
- * machine learns of it from acknowledgements. */
+/* Expiry of worker leases: a worker that no member has answered for the duration of its lease has
+ * stopped all its tasks. Any member renews a lease by answering a heartbeat; the owner of the
+ * machine learns of such renewals from the acknowledgements that peers send. */
 #ifndef FC_CONTROLLER_WORKER_LEASES_H
 #define FC_CONTROLLER_WORKER_LEASES_H
 
@@ -12,13 +12,13 @@
 
 typedef struct fc_worker_leases fc_worker_leases;
 
-/* The arguments have to outlive it. The caller frees it with fc_worker_leases_free(). */
+/* The arguments must outlive the result, which the caller frees with fc_worker_leases_free(). */
 fc_worker_leases *fc_worker_leases_new(fc_cluster *cluster, const fc_leadership *leadership, fc_peers *peers,
                                        fc_wakeups *wakeups, fc_metrics *metrics);
 void fc_worker_leases_free(fc_worker_leases *leases);
 
-/* Removes the placements of every machine of ours whose worker's lease has certainly expired, and
- * counts the machine as reconciled. */
+/* Ends the placements on every owned machine whose worker's lease has certainly expired, and marks the
+ * machine as reconciled. A placement whose start may still be carried out stays on the machine. */
 void fc_worker_leases_expire(fc_worker_leases *leases);
 
 #endif
