--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -3,12 +3,12 @@
 #include "bookkeeping/cluster_machines.h"
 #include "transport/routine.h"
 
-/* The time reserved for the return, the longer of both: calls may fail, and the cloud's rate is
- * limited. */
+/* The time before the deadline that is reserved for the return, the longer of both: calls may fail, and
+ * the cloud limits their rate. */
 #define RESERVE_LEASES 0.5
 #define RESERVE_HEARTBEATS 3
 
-/* The same without the key-value store, both together. */
+/* The same while the key-value store is unreachable, the sum of both. */
 #define OUTAGE_RESERVE_LEASES 1
 #define OUTAGE_RESERVE_HEARTBEATS 1.5
 
@@ -33,16 +33,16 @@
   return deadline;
 }
 
-/* May the task run there, or begin yet? */
+/* Returns whether the task may be running on its machine, or may still begin there. */
 static bool may_run(const fc_placement *placement) {
   if (fc_placement_copy_outstanding(placement)) return true;
   return placement->start.sent && placement->status.state != FC_TASK_EXITED;
 }
 
-/* Without the key-value store our authority may end as soon as a member is missing, and with it the
- * right to return anything, while the leases that we renewed last a lease longer: a late start was
- * carried out just before the deadline, and its task outlasted it (fault test, upgrades_and_meetings
- * 20169). */
+/* The reserved time in seconds. While the key-value store is unreachable, our leadership may end as soon
+ * as another member fails, and with it the right to return machines, whereas worker leases that we
+ * have renewed last for one more lease. With the usual reserve a delayed start was executed just
+ * before the deadline, and its task ran past it (fault test, upgrades_and_meetings 20169). */
 static double reserve_s(const fc_cluster *cluster, double now) {
   const fc_settings *settings = cluster->settings;
   double reserve_s = MAX(settings->lease_s * RESERVE_LEASES, settings->heartbeat_s * RESERVE_HEARTBEATS);
@@ -52,18 +52,18 @@
   return MAX(reserve_s, outage_reserve_s);
 }
 
-/* Has the machine to be returned for a cancelled task that is not proved gone? */
+/* Returns whether the machine must be returned because of a cancelled task that is not proved gone. */
 static bool deadline_near(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  double returned_after_s = cluster->settings->cancel_s - reserve_s(cluster, now);
+  double return_after_s = cluster->settings->cancel_s - reserve_s(cluster, now);
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
-    if (may_run(placement) && now > fc_cluster_cancelled_since(cluster, placement->job_id) + returned_after_s)
+    if (may_run(placement) && now > fc_cluster_cancelled_since(cluster, placement->job_id) + return_after_s)
       return true;
   }
   return false;
 }
 
-/* Marks the machines to be returned. Returns their ids. */
+/* Marks the machines to be returned. Returns their ids in an array that the caller frees. */
 static GPtrArray *begin_returns(const fc_cluster *cluster) {
   double now = fc_now();
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
@@ -77,9 +77,9 @@
   return ids;
 }
 
-/* What else runs on the machine is lost, and the suspicion that our own connection is cut does not
- * count: the deadline comes first. The record is removed with the next returns, as the key-value
- * store may be out of reach. */
+/* Other tasks on the machines are lost, and a suspected outage of our own connection is ignored: the
+ * deadline takes precedence. The records are left to the next run of the disposal, as the key-value
+ * store may be unreachable. */
 static void return_overdue(const fc_cancellation_deadline *deadline) {
   GPtrArray *ids = begin_returns(deadline->cluster);
   double timeout_s = deadline->cluster->settings->heartbeat_s * CLOUD_TIMEOUT_HEARTBEATS;
--- a/src/controller/machine_disposal.c
+++ b/src/controller/machine_disposal.c
@@ -8,17 +8,17 @@
 
 #define CLOUD_TIMEOUT_S 4.0
 
-/* All in leases. */
-#define OUTAGE_LEASES 5 /* silence of this length is no outage any more, whoever's it was */
+/* In worker leases. */
+#define OUTAGE_LEASES 5 /* after a longer silence a suspected outage no longer protects a machine */
 #define LOST_START_LEASES 2
 #define STARTUP_RESERVE_LEASES 1
 
-/* All in heartbeat intervals. */
-#define REDIRECTION_HEARTBEATS 2   /* in which a worker comes back to a member it has just come to */
-#define PEER_COVERAGE_HEARTBEATS 2 /* peers have reported all renewals up to so long ago */
+/* In heartbeat intervals. */
+#define REDIRECTION_HEARTBEATS 2   /* time for the next heartbeat to a member that the worker has just changed to */
+#define PEER_COVERAGE_HEARTBEATS 2 /* peers must have reported all their renewals up to this long ago */
 #define RENEWAL_DELAY_HEARTBEATS 1
 
-#define STARTUP_TIMES 3 /* so many times its usual start-up time a machine may take */
+#define STARTUP_TIMES 3 /* a machine may take this multiple of its type's usual start-up time */
 
 struct fc_machine_disposal {
   fc_cluster *cluster;
@@ -28,11 +28,11 @@
   fc_machine_returns *returns;
 };
 
-/* What one run judges all machines by. */
+/* What one run shares between the checks of all machines. */
 typedef struct assessment {
   double now;
   fc_outage_suspicion suspicion;
-  GHashTable *surplus; /* a set of idle machines; NULL: none has asked for it yet */
+  GHashTable *surplus; /* the set of surplus idle machines; NULL: not computed yet */
 } assessment;
 
 fc_machine_disposal *fc_machine_disposal_new(fc_cluster *cluster, fc_cloud_access *cloud,
@@ -46,28 +46,31 @@
 
 /* ---- lost machines ---- */
 
-/* Has the worker just come to another member, having tried us in vain? Only its next heartbeat
- * there shows whether answers reach it: cut off from its owner alone, a machine full of work was
- * returned within the second (scene unreachable_machines_at_a_leader_change). */
-static bool just_redirected(const fc_machine_disposal *disposal, const fc_machine *machine) {
+/* Returns whether the worker has just changed to another member after failing to reach us. Only its
+ * next heartbeat there shows whether answers reach it. Without this check a machine full of work that
+ * was cut off from its owner alone was returned within a second (scene
+ * unreachable_machines_at_a_leader_change). */
+static bool just_changed_member(const fc_machine_disposal *disposal, const fc_machine *machine) {
   const fc_machine_reachability *reach = &machine->reachability;
   double redirection_s = disposal->cluster->settings->heartbeat_s * REDIRECTION_HEARTBEATS;
   return reach->peer_unidirectional_at > reach->peer_bidirectional_at &&
          fc_now() < reach->peer_unidirectional_at + redirection_s;
 }
 
-/* Has no other member renewed the worker's lease since then? Others may reach it when we can't. */
+/* Returns whether no other member has renewed the worker's lease since steady time `since`: others may
+ * reach a machine that we can't. */
 static bool unrenewed_by_peers(const fc_machine_disposal *disposal, const fc_machine *machine, double since) {
   if (machine->reachability.peer_bidirectional_at > since) return false;
-  if (just_redirected(disposal, machine)) return false;
-  /* What another member's incarnation renewed just before it ended, nobody can tell us. From there
-   * the worker's next heartbeat takes up to 1.25 intervals, and each member that it tries in vain
-   * its timeout and a second: with two of three, about its lease. A machine full of work was
-   * returned as lost on that way, seconds after the member that had renewed its lease was back
-   * (scenes ten_leader_changes_in_two_minutes, unreachable_machines_at_a_leader_change). No shorter
-   * time is safe; so every member probes such a machine directly, and it stays if one reaches it or
-   * has not tried. While its lease was waited for instead, hung machines blocked a team's freed
-   * share for up to 14 s (scene team_limit_after_a_cancellation). */
+  if (just_changed_member(disposal, machine)) return false;
+  /* Renewals by a member just before its incarnation ended are not reported by anybody. The worker's
+   * next heartbeat follows up to 1.25 intervals later, and each member that it fails to reach costs
+   * it the request timeout and a second: with two of three members, about the duration of its lease.
+   * During that time a machine full of work was returned as lost, seconds after the member that had
+   * renewed its lease was back (scenes ten_leader_changes_in_two_minutes,
+   * unreachable_machines_at_a_leader_change). No shorter wait is safe. Instead every member probes such
+   * a machine directly, and it stays if one reaches it or has not tried yet. Waiting for the lease to
+   * expire let hung machines block a team's freed share for up to 14 s (scene
+   * team_limit_after_a_cancellation). */
   if (fc_leadership_peer_left_at(disposal->leadership) > since &&
       !fc_reachability_all_probes_failed(disposal->cluster, disposal->leadership, machine))
     return false;
@@ -75,48 +78,51 @@
   return fc_peers_all_covered(disposal->peers, fc_now() - coverage_s);
 }
 
-static bool lost(const fc_machine_disposal *disposal, const fc_machine *machine, const assessment *now) {
+/* Returns whether the machine counts as lost: silent or unreachable for longer than its timeout. */
+static bool is_lost(const fc_machine_disposal *disposal, const fc_machine *machine, const assessment *state) {
   const fc_cluster *cluster = disposal->cluster;
   const fc_settings *settings = cluster->settings;
   double silence_s = fc_machine_silence_timeout_s(settings);
-  bool outage = fc_outage_suspicion_covers(&now->suspicion, machine);
+  bool outage = fc_outage_suspicion_covers(&state->suspicion, machine);
   double timeout_s = outage ? settings->lease_s * OUTAGE_LEASES : silence_s;
-  /* What others renew reaches us up to half a heartbeat interval later, and a heartbeat that was
-   * sent to us in vain is with nobody for a whole one more. */
+  /* Renewals by peers are reported up to half a heartbeat interval later, and a heartbeat that failed
+   * to reach us takes a whole interval more until it reaches another member. */
   double renewal_s = silence_s + settings->heartbeat_s * RENEWAL_DELAY_HEARTBEATS;
-  if (machine->agent.reported && fc_machine_unreachable_since(machine, now->now - timeout_s) &&
-      unrenewed_by_peers(disposal, machine, now->now - renewal_s))
+  if (machine->agent.reported && fc_machine_unreachable_since(machine, state->now - timeout_s) &&
+      unrenewed_by_peers(disposal, machine, state->now - renewal_s))
     return true;
-  /* One whose lease another member has renewed since we own it, or just before, was there; it gets
-   * the time that it takes to come back from us and to show there that answers reach it. */
+  /* A machine whose lease another member has renewed since we became its owner, or just before, was
+   * alive then. It gets the time that its worker needs to try us, return to that member and show there
+   * that answers reach it. */
   bool at_once = !outage && machine->lease.peer_renewed_at <= machine->owned_since - silence_s;
-  return fc_machine_never_heard(cluster, machine, now->now) &&
-         (at_once || now->now > machine->owned_since + timeout_s) &&
+  return fc_machine_never_heard(cluster, machine, state->now) &&
+         (at_once || state->now > machine->owned_since + timeout_s) &&
          unrenewed_by_peers(disposal, machine, machine->owned_since);
 }
 
 /* ---- machines that did not start up ---- */
 
-static bool never_up(const fc_machine_disposal *disposal, const fc_machine *machine, const assessment *now) {
+/* Returns whether the machine has sent no heartbeat within its start-up time. */
+static bool failed_to_start(const fc_machine_disposal *disposal, const fc_machine *machine, const assessment *state) {
   const fc_settings *settings = disposal->cluster->settings;
   if (machine->agent.reported || machine->type < 0) return false;
-  /* A machine that has an address was up: assigned anew while its zone is cut off, it says nothing
-   * to its new owner, and was returned before the zone was back. */
-  bool cut_off = machine->endpoint_recorded && fc_outage_suspicion_covers(&now->suspicion, machine) &&
-                 now->now <= machine->owned_since + settings->lease_s * OUTAGE_LEASES;
+  /* A machine whose endpoint is recorded was up once. Assigned to a new owner while its zone is cut off,
+   * it sends that owner nothing; without this it was returned before the zone was back. */
+  bool cut_off = machine->endpoint_recorded && fc_outage_suspicion_covers(&state->suspicion, machine) &&
+                 state->now <= machine->owned_since + settings->lease_s * OUTAGE_LEASES;
   const fc_machine_type *type = disposal->cluster->machine_types->pdata[machine->type];
   double timeout_s = STARTUP_TIMES * type->boot_s;
   return !cut_off && type->boot_s > 0 &&
-         now->now >
+         state->now >
              MAX(machine->first_seen, machine->owned_since) + timeout_s + settings->lease_s * STARTUP_RESERVE_LEASES;
 }
 
 /* ---- unacknowledged starts ---- */
 
-/* Is there a start from before `since` that can only be ruled out by returning the machine? A lost
- * direct start may arrive minutes later, and its task may not be started elsewhere before that is
- * ruled out; a gang not even when the attempt has ended, for a copy of the start would begin it
- * again. Without the return the job was pending forever (fault test, seeds 555 and 847). */
+/* Returns whether the machine has a start from before `since` that only its return can rule out. A lost
+ * direct start may arrive minutes later, and until that is ruled out its task may not be started
+ * elsewhere; a gang's task not even after the attempt has ended, because a copy of the start would
+ * begin it again. Without the return the job was pending forever (fault test, seeds 555 and 847). */
 static bool holds_lost_start(const fc_machine *machine, double since) {
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
@@ -126,14 +132,16 @@
       continue;
     if (placement->job && placement->job->spec.kind == FC_JOB_GANG && placement->job->phase == FC_PHASE_ACCEPTED)
       return true;
-    /* Such an ended task is never resolved, so the machine is never empty enough to be transferred,
-     * while scale-out counted on it (fault test, seed 450: a gang was pending forever). */
+    /* The ended task is never resolved, so the machine never becomes empty enough to be transferred,
+     * while scale-out counts on its capacity: a gang was pending forever (fault test, seed 450). */
     if (fc_machine_vacant(machine)) return true;
   }
   return false;
 }
 
-static bool faulty(const fc_machine_disposal *disposal, fc_machine *machine, double now) {
+/* Returns whether the machine is faulty and can be returned. Marks it as faulty, and cordons it, when it
+ * holds a start that was lost long enough ago. */
+static bool is_faulty(const fc_machine_disposal *disposal, fc_machine *machine, double now) {
   double lost_start_s = disposal->cluster->settings->lease_s * LOST_START_LEASES;
   if (!machine->health.faulty && holds_lost_start(machine, now - lost_start_s)) {
     machine->health.faulty = true;
@@ -144,27 +152,28 @@
 
 /* ---- surplus machines ---- */
 
-static bool surplus(const fc_cluster *cluster, const fc_machine *machine, assessment *now) {
+/* Returns whether the machine has been idle for too long and is surplus. */
+static bool is_surplus(const fc_cluster *cluster, const fc_machine *machine, assessment *state) {
   if (!fc_machine_reconciled(cluster, machine) || !machine->agent.reported ||
-      !fc_machine_idle_too_long(cluster, machine, now->now))
+      !fc_machine_idle_too_long(cluster, machine, state->now))
     return false;
-  if (!now->surplus) now->surplus = fc_scale_in_surplus(cluster, now->now);
-  return g_hash_table_contains(now->surplus, machine);
+  if (!state->surplus) state->surplus = fc_scale_in_surplus(cluster, state->now);
+  return g_hash_table_contains(state->surplus, machine);
 }
 
 /* ---- all reasons ---- */
 
-static fc_return_reason reason_to_return(const fc_machine_disposal *disposal, fc_machine *machine, assessment *now) {
-  if (lost(disposal, machine, now)) return FC_RETURN_LOST;
-  if (never_up(disposal, machine, now)) return FC_RETURN_NEVER_UP;
-  if (faulty(disposal, machine, now->now)) return FC_RETURN_FAULTY;
-  if (surplus(disposal->cluster, machine, now)) return FC_RETURN_IDLE;
-  /* Begun and not ended: the machine may be gone and its record still there (fault test, seed 183:
-   * the record stayed for good). */
+static fc_return_reason reason_to_return(const fc_machine_disposal *disposal, fc_machine *machine, assessment *state) {
+  if (is_lost(disposal, machine, state)) return FC_RETURN_LOST;
+  if (failed_to_start(disposal, machine, state)) return FC_RETURN_NEVER_UP;
+  if (is_faulty(disposal, machine, state->now)) return FC_RETURN_FAULTY;
+  if (is_surplus(disposal->cluster, machine, state)) return FC_RETURN_IDLE;
+  /* A return that has begun and not ended is tried again: the machine may be gone while its record is
+   * still there; without this it stayed there for good (fault test, seed 183). */
   return fc_machine_returning(machine) ? FC_RETURN_BEGUN : FC_RETURN_NONE;
 }
 
-/* Marks the machines to be returned. Returns their ids. */
+/* Marks the machines to be returned. Returns their ids in an array that the caller frees. */
 static GPtrArray *begin_returns(const fc_machine_disposal *disposal) {
   const fc_cluster *cluster = disposal->cluster;
   double now = fc_now();
@@ -187,8 +196,8 @@
                           fc_now() + CLOUD_TIMEOUT_S) == FC_CLOUD_OK;
 }
 
-/* The records go only after the cloud has confirmed; until then the machines take no tasks, and
- * their return is tried again. */
+/* The records are removed only after the cloud has confirmed the return; until then the machines take
+ * no tasks, and their return is retried. */
 void fc_machine_disposal_run(fc_machine_disposal *disposal) {
   GPtrArray *ids = begin_returns(disposal);
   if (ids->len > 0 && release(disposal, ids)) fc_machine_returns_remove_records(disposal->returns, ids);
--- a/src/controller/machine_disposal.h
+++ b/src/controller/machine_disposal.h
@@ -1,5 +1,5 @@
-/* Disposal of our shard's machines: decides which are to be returned to the cloud, and returns
- * them. */
+/* Disposal of machines: decides which machines of this member's shard are returned to the cloud, and
+ * returns them. */
 #ifndef FC_CONTROLLER_MACHINE_DISPOSAL_H
 #define FC_CONTROLLER_MACHINE_DISPOSAL_H
 
@@ -11,12 +11,12 @@
 
 typedef struct fc_machine_disposal fc_machine_disposal;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_machine_disposal *fc_machine_disposal_new(fc_cluster *cluster, fc_cloud_access *cloud,
                                              const fc_leadership *leadership, fc_peers *peers,
                                              fc_machine_returns *returns);
-/* Returns the machines of ours that are lost, faulty or not worth their price, as many as one
- * request takes. May suspend the calling routine. */
+/* Returns owned machines that are lost, did not start up, or are faulty or surplus to the cloud, at most
+ * FC_RELEASE_MAX per call. May suspend the calling routine. */
 void fc_machine_disposal_run(fc_machine_disposal *disposal);
 
 #endif
--- a/src/controller/machine_returns.c
+++ b/src/controller/machine_returns.c
@@ -13,7 +13,7 @@
   fc_wakeups *wakeups;
 };
 
-/* As the log names them. */
+/* The values of `why` in the log. */
 static const char *const k_reason_names[FC_RETURN_REASONS] = {
     [FC_RETURN_NONE] = "",           [FC_RETURN_LOST] = "lost",     [FC_RETURN_NEVER_UP] = "never_up",
     [FC_RETURN_IDLE] = "idle",       [FC_RETURN_FAULTY] = "faulty", [FC_RETURN_BEGUN] = "begun",
@@ -28,7 +28,8 @@
 }
 
 void fc_machine_returns_begin(fc_machine *machine, fc_return_reason reason, GPtrArray *ids) {
-  if (!fc_machine_returning(machine)) g_info("return machine=%s why=%s", machine->id, k_reason_names[reason]);
+  if (!fc_machine_returning(machine))
+    g_info("return to the cloud machine=%s why=%s", machine->id, k_reason_names[reason]);
   machine->drain.state = FC_DRAIN_RETURNING;
   g_ptr_array_add(ids, g_strdup(machine->id));
 }
@@ -45,11 +46,11 @@
   fc_wakeups_raise(returns->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
-/* Adds removals until the transaction is full, of one machine at least. Returns the index of the
- * first machine left. */
+/* Adds removals of records from index `first` on until the transaction is full, at least one. Returns
+ * the index of the first machine left. */
 static guint add_removals(const fc_machine_returns *returns, fc_write *write, const GPtrArray *ids, guint first) {
   guint next = first;
-  /* The mark counts as the first change. */
+  /* The mark of returns counts as the first change. */
   for (unsigned changes = 1; next < ids->len && (changes == 1 || changes < fc_group_commit_max_writes(returns->commit));
        next++) {
     const fc_machine *machine = fc_cluster_find_machine(returns->cluster, ids->pdata[next]);
@@ -69,7 +70,8 @@
   fc_kv_result result = FC_KV_OK;
   for (guint i = 0; i < ids->len && result == FC_KV_OK;) {
     fc_write *write = fc_write_new();
-    /* Whoever records a machine that has sent a heartbeat compares the version of this mark. */
+    /* Writing a new machine record is conditional on the version of this mark, so that a delayed one
+     * fails. */
     fc_write_put(write, FC_KEY_RETURNED, fc_mark_encode());
     i = add_removals(returns, write, ids, i);
     result = fc_group_commit_write(returns->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + WRITE_TIMEOUT_S,
--- a/src/controller/machine_type_catalog.c
+++ b/src/controller/machine_type_catalog.c
@@ -3,7 +3,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "transport/routine.h"
 
-#define REFRESH_LEASES 2 /* prices move; one that comes late only costs money */
+#define REFRESH_LEASES 2 /* prices change; an outdated one only costs money */
 #define REQUEST_TIMEOUT_S 3.0
 
 struct fc_machine_type_catalog {
@@ -30,8 +30,8 @@
          types->len > 0;
 }
 
-/* Takes over the types. One that is known keeps its place, and one that is not offered any more
- * stays: machines refer to their types by index. */
+/* Adds or updates types, taking ownership of them. A known type keeps its index, and one that is no
+ * longer offered stays, because machines refer to their types by index. */
 static void merge_types(fc_cluster *cluster, const GPtrArray *types) {
   for (guint i = 0; i < types->len; i++) {
     fc_machine_type *type = types->pdata[i];
--- a/src/controller/machine_type_catalog.h
+++ b/src/controller/machine_type_catalog.h
@@ -1,4 +1,4 @@
-/* Keeps the cluster state's machine types equal to what the cloud offers. */
+/* Machine type catalog: updates the machine types of the cluster state from the cloud's offer. */
 #ifndef FC_CONTROLLER_MACHINE_TYPE_CATALOG_H
 #define FC_CONTROLLER_MACHINE_TYPE_CATALOG_H
 
@@ -9,12 +9,12 @@
 
 typedef struct fc_machine_type_catalog fc_machine_type_catalog;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_machine_type_catalog *fc_machine_type_catalog_new(fc_cluster *cluster, fc_cloud_access *cloud);
-/* Asks the cloud when no type is known yet or the prices are old. May suspend the calling
- * routine. */
+/* Reads the types from the cloud if none is known yet or the prices are old. A failed read changes
+ * nothing. May suspend the calling routine. */
 void fc_machine_type_catalog_refresh(fc_machine_type_catalog *catalog);
-/* Is any type known? */
+/* Returns whether any type is known. */
 bool fc_machine_type_catalog_known(const fc_machine_type_catalog *catalog);
 
 #endif
--- a/src/controller/outage_suspicion.c
+++ b/src/controller/outage_suspicion.c
@@ -11,14 +11,14 @@
   count->silent += silent;
 }
 
-/* More than half, and not one machine alone. */
+/* Returns whether the silent machines outnumber the others by more than one, so never for a machine alone. */
 static bool mostly_silent(const silence_count *count) {
   return count->silent * 2 > count->machines + 1;
 }
 
-/* Do we know whether the machine is silent? Of other members' machines we know what they send us:
- * those of a member that is cut off too once counted as well, and half a zone was returned (fleet
- * day "zone"). */
+/* Returns whether it is known if the machine is silent. The state of another member's machine is only
+ * known from that member's views; when machines of a member that was cut off itself counted too,
+ * half a zone was returned (fleet day "zone"). */
 static bool state_known(const fc_cluster *cluster, fc_peers *peers, const fc_machine *machine, bool silent) {
   if (fc_machine_owned_by_self(cluster, machine)) return machine->agent.reported || silent;
   return fc_machine_reconciled(cluster, machine) && fc_peers_member_fit(peers, machine->owner);
@@ -31,8 +31,9 @@
     if (!machine->record_version || !machine->endpoint_recorded || machine->owner < 0) continue;
     bool silent = fc_machine_suspect(cluster, machine, now);
     bool known = state_known(cluster, peers, machine, silent);
-    /* Machines of unknown state don't speak for their zone either: assigned anew as a member in it
-     * was excluded, they left one old machine to judge the zone by, which was returned. */
+    /* For the zone, machines of unknown state count as silent. When they were left out after a member in
+     * the zone was excluded and its machines got new owners, the zone was judged by one machine that had
+     * not changed its owner, and that machine was returned. */
     count_machine(&zones[machine->zone], silent || !known);
     if (!known) continue;
     count_machine(&fleet, silent);
