--- a/tests/test_heartbeats.c
+++ b/tests/test_heartbeats.c
@@ -1,5 +1,5 @@
-/* Heartbeats: who answers them, in which order they count, and what they show of the connection; no
- * network. */
+/* Heartbeats: which member answers them, how they are ordered, and what they show about the
+ * connection; without a network. */
 #include "worker_bench.h"
 
 #include "scheduler/free_capacity.h"
@@ -9,16 +9,16 @@
   static const struct {
     const char *name;
     int owner;
-    bool lease, owner_heard;
+    bool lease, owner_recent; /* our member lease is valid; the peer was heard from recently */
     unsigned fencing_token;
     int status;
     const char *text;
   } rows[] = {
       {"ours", 0, true, true, 5, 200, "\"captaincy\":5"},
-      {"ours, but we may not act", 0, false, true, 5, 503, ""},
+      {"ours, without leadership", 0, false, true, 5, 503, ""},
       {"a fencing token above our term", 0, true, true, 6, 503, ""},
-      {"theirs, and they are there", 1, true, true, 5, 421, "\"coach\":\"paddock-1\""},
-      {"theirs, and we don't hear of them: lease renewed here", 1, true, false, 5, 200, "\"calls\":[]"},
+      {"a peer's, which is reachable: redirected", 1, true, true, 5, 421, "\"coach\":\"paddock-1\""},
+      {"a peer's, which is silent: lease renewed here", 1, true, false, 5, 200, "\"calls\":[]"},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -26,17 +26,18 @@
     machine->owner = rows[i].owner;
     machine->agent.reported = false;
     if (!rows[i].lease) fc_leadership_lease_lost(fixture->leadership);
-    if (!rows[i].owner_heard) fc_peers_at(fixture->peers, 0)->heard_at = -1e9;
+    if (!rows[i].owner_recent) fc_peers_at(fixture->peers, 0)->heard_at = -1e9;
     GString *out = g_string_new(NULL);
     check_row(rows[i].name, send_heartbeat(fixture, 1, 1, rows[i].fencing_token, "", out) == rows[i].status);
     check_row(rows[i].name, body_contains(out, rows[i].text));
-    /* Who renews the lease of a peer's machine remembers it: the owner must be informed. */
+    /* A renewal for a peer's machine is recorded, so that its owner can be informed. */
     check_row(rows[i].name, (machine->lease.answered_at > 0) == (rows[i].status == 200));
     g_string_free(out, TRUE);
     worker_fixture_free(fixture);
   }
 }
 
+/* A worker that returns right after it was redirected could not reach its owner. */
 static void worker_back_from_its_owner_is_answered(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
@@ -48,8 +49,8 @@
   worker_fixture_free(fixture);
 }
 
-/* A copy of a heartbeat may come at any later time, also to a member that has just become the
- * owner: it changes nothing, and no command counts as sent with its answer. */
+/* A copy of a heartbeat may arrive at any later time, also at a member that has just become the owner.
+ * It changes nothing, and no command counts as sent with its answer. */
 static void late_copies(void **state) {
   (void)state;
   static const struct {
@@ -82,7 +83,8 @@
   }
 }
 
-/* What a peer knows of a machine stays when it becomes the owner: a copy does not deceive it. */
+/* A member that becomes the owner keeps the order of heartbeats that it knew as a peer, so that it does
+ * not apply a copy. */
 static void late_copy_after_a_change_of_owner(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
@@ -104,25 +106,25 @@
   worker_fixture_free(fixture);
 }
 
-/* Heartbeats that arrive show that a worker can send. Whether it receives our answers is shown by
- * how soon it is back. */
+/* The arrival of a heartbeat proves only that the worker can send. Whether it receives our answers is
+ * derived from the time and the connection of its next heartbeat. */
 static void unidirectional_connections(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double since_answer, unidirectional_s; /* before the heartbeat; < 0: its connection was not in question */
+    double since_answer, unidirectional_s; /* seconds before the heartbeat; < 0: not unidirectional until then */
     uint64_t before, now;                  /* the connections of our last answer and of the heartbeat */
     double heartbeat_s;
     bool unidirectional, usable;
   } rows[] = {
-      {"back in time", 2, -1, 1, 2, 2, false, true},
-      {"back in time after one that was late", 2, 9, 1, 2, 2, false, true},
-      {"after its timeout", 5, -1, 1, 2, 2, true, true}, /* one answer may be lost */
-      {"after its timeout once more", 5, 6, 1, 2, 2, true, false},
+      {"within the timeout", 2, -1, 1, 2, 2, false, true},
+      {"within the timeout, after a late one", 2, 9, 1, 2, 2, false, true},
+      {"after the timeout", 5, -1, 1, 2, 2, true, true}, /* one answer may be lost */
+      {"after the timeout again", 5, 6, 1, 2, 2, true, false},
       {"heartbeats are far apart, on another connection", 6, -1, 1, 2, 6, true, true},
       {"heartbeats are far apart, on the same connection", 6, 9, 7, 7, 6, false, true},
-      {"on the same connection after very long", 13, -1, 7, 7, 6, true, true},
-      {"on a connection that is not known", 6, -1, 0, 0, 6, true, true},
+      {"on the same connection, after too long", 13, -1, 7, 7, 6, true, true},
+      {"on an unknown connection", 6, -1, 0, 0, 6, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -138,15 +140,15 @@
     double now = machine->agent.heard_at;
     check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].unidirectional);
     check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
-    /* One that may not hear us is probed, and is usable again once it answers. */
+    /* A worker that may not receive answers is probed, and is usable again once it answers. */
     check_row(rows[i].name, fc_machine_probes_check(fixture->probes, machine) == !rows[i].usable);
     g_string_free(out, TRUE);
     worker_fixture_free(fixture);
   }
 }
 
-/* Restarted in the same epoch: a copy from its earlier incarnation counts higher than all that it
- * sends itself, and must not hide what runs there. */
+/* The worker was restarted in the same epoch. A copy of a heartbeat from before the restart has a
+ * higher sequence than all that it sends now, and must not replace the tasks that run there. */
 static void restarted_worker(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
@@ -168,8 +170,8 @@
   worker_fixture_free(fixture);
 }
 
-/* A heartbeat that does not match the machine's record is refused at once, nothing is applied. */
-static void heartbeat_contradicts_the_record(void **state) {
+/* A heartbeat that does not match the machine's record is refused, and nothing of it is applied. */
+static void heartbeat_that_does_not_match_the_record(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
   fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
@@ -188,7 +190,7 @@
       cmocka_unit_test(late_copy_after_a_change_of_owner),
       cmocka_unit_test(unidirectional_connections),
       cmocka_unit_test(restarted_worker),
-      cmocka_unit_test(heartbeat_contradicts_the_record),
+      cmocka_unit_test(heartbeat_that_does_not_match_the_record),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -1,9 +1,9 @@
-/* When machines are called directly, and what probes show; no network. */
+/* When machines are called directly, and what probes show; without a network. */
 #include "worker_bench.h"
 
 #include "controller/machine_reachability.h"
 
-/* Direct calls leave sockets for other uses, and fences leave some for commands. */
+/* Direct calls leave sockets for other purposes, and fencing calls leave some for commands. */
 static void calls_leave_sockets_free(void **state) {
   (void)state;
   static const struct {
@@ -14,10 +14,10 @@
       {"the last for a command", 800, 99, true, false, true},
       {"none left", 800, 100, true, false, false},
       {"one over", 800, 101, true, false, false},
-      {"the last for a fence", 800, 49, false, false, true},
-      {"no more for fences", 800, 50, false, false, false},
-      {"nor for probes", 800, 50, true, true, false},
-      {"few sockets in all", 8, 1, true, false, true},
+      {"the last for a fencing call", 800, 49, false, false, true},
+      {"none left for fencing calls", 800, 50, false, false, false},
+      {"none left for probes", 800, 50, true, true, false},
+      {"few sockets in total", 8, 1, true, false, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -31,15 +31,15 @@
   }
 }
 
-/* A heartbeat that a peer answered, older than what has come to us, may be of a worker that was
- * restarted: it is probed, unless it has been since. */
+/* A heartbeat that a peer answered and that is older than the last one received here may come from a
+ * restarted worker: the machine is probed, unless it has been probed since. */
 static void probe_after_a_renewal_by_a_peer(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned epoch, sequence; /* of that heartbeat; ours came with (2, 9) */
-    double answered_s;        /* ago, by the peer */
-    double asked_s;           /* ago; 0: never */
+    unsigned epoch, sequence; /* of that heartbeat; the last one received here had (2, 9) */
+    double answered_s;        /* seconds since the peer answered it */
+    double asked_s;           /* seconds since the last probe; 0: never */
     int owner;
     bool probes;
   } rows[] = {
@@ -48,7 +48,7 @@
       {"of an earlier epoch", 1, 50, 5, 0, 0, true},
       {"older, probed before it was answered", 2, 8, 5, 6, 0, true},
       {"older, probed since", 2, 8, 5, 4, 0, false},
-      {"older, probed since, but within what clocks may be off", 2, 8, 20, 19.97, 0, true},
+      {"older, probed since, but within the clock drift", 2, 8, 20, 19.97, 0, true},
       {"older, the machine is another member's", 2, 8, 5, 0, 1, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -68,33 +68,33 @@
   }
 }
 
-/* A member's incarnation has ended: the machine counts as unreachable once we and every other
- * member have probed it since, not long ago, and nobody was answered. */
+/* After a member's incarnation has ended, the machine counts as unreachable once this and every other
+ * member have probed it since, recently, and none got an answer. */
 static void probed_by_all_in_vain(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double ended, ours; /* ago; 0: never */
+    double ended, ours; /* seconds since the incarnation ended, and since our probe; 0: never */
     bool answered;
-    double theirs; /* the age of their probe as the acknowledgement of our view has it, -1: none */
+    double theirs; /* age in seconds of the peer's probe, as it acknowledges our view; -1: none */
     bool reached;
-    double view; /* ago: when we sent that view */
+    double view; /* seconds since we sent that view */
     bool unreachable;
-    double again; /* ago: they probed once more, in vain; 0: no */
+    double again; /* seconds since the peer's next probe, without an answer; 0: none */
   } rows[] = {
-      {"both in vain", 5, 2, false, 1.5, false, 0.5, true, 0},
-      {"they have not probed", 5, 2, false, -1, false, 0.5, false, 0},
-      {"they have reached it", 5, 2, false, 1.5, true, 0.5, false, 0},
-      {"they have reached it, and not a moment later", 5, 2, false, 1.5, true, 0.5, false, 0.5},
-      {"they reached it before the end", 5, 2, false, 6, true, 0.5, true, 1},
-      {"they reached it before the end, and nobody since", 5, 2, false, 6, true, 0.5, false, 0},
-      {"they probed before the end", 5, 2, false, 5.5, false, 0.1, false, 0},
-      {"or may have: the view was sent long before", 5, 2, false, 4.5, false, 1, false, 0},
+      {"no answer to either", 5, 2, false, 1.5, false, 0.5, true, 0},
+      {"the peer has not probed", 5, 2, false, -1, false, 0.5, false, 0},
+      {"the peer has reached it", 5, 2, false, 1.5, true, 0.5, false, 0},
+      {"the peer has reached it, but not again", 5, 2, false, 1.5, true, 0.5, false, 0.5},
+      {"the peer reached it before the end, but not again since", 5, 2, false, 6, true, 0.5, true, 1},
+      {"the peer reached it before the end, and has not probed since", 5, 2, false, 6, true, 0.5, false, 0},
+      {"the peer probed before the end", 5, 2, false, 5.5, false, 0.1, false, 0},
+      {"the peer may have probed before the end: the view was sent long ago", 5, 2, false, 4.5, false, 1, false, 0},
       {"we have not probed", 5, 0, false, 1.5, false, 0.5, false, 0},
       {"we probed before the end", 5, 6, false, 1.5, false, 0.5, false, 0},
       {"we were answered", 5, 2, true, 1.5, false, 0.5, false, 0},
       {"probed long ago", 60, 30, false, 29, false, 0.5, false, 0},
-      {"theirs is long ago", 60, 2, false, 29, false, 0.5, false, 0},
+      {"the peer probed long ago", 60, 2, false, 29, false, 0.5, false, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -115,28 +115,28 @@
   }
 }
 
-/* Which machines of other members are probed. */
+/* Machines of other members are probed to assist an owner that suspects them or is late in reconciling them. */
 static void probes_that_assist_an_owner(void **state) {
   (void)state;
   static const struct {
     const char *name;
     int owner;
-    double ended; /* ago */
+    double ended; /* seconds since another member's incarnation ended */
     bool reconciled, owner_suspects, endpoint_recorded;
-    double term, asked; /* ago */
+    double term, asked; /* seconds since the term was applied, and since the last probe */
     unsigned under_way;
     bool probes;
   } rows[] = {
-      {"its owner is out of touch with it", 1, 5, true, true, true, 5, 10, 0, true},
-      {"in touch with it", 1, 5, true, false, true, 5, 10, 0, false},
+      {"its owner suspects it", 1, 5, true, true, true, 5, 10, 0, true},
+      {"its owner does not suspect it", 1, 5, true, false, true, 5, 10, 0, false},
       {"its owner should have reconciled it", 1, 5, false, false, true, 5, 10, 0, true},
-      {"and has not had the time", 1, 2, false, false, true, 2, 10, 0, false},
+      {"its owner still has time to reconcile it", 1, 2, false, false, true, 2, 10, 0, false},
       {"without an owner", -1, 5, false, false, true, 5, 10, 0, false},
-      {"probed already", 1, 5, true, true, true, 5, 1, 0, false},
+      {"probed recently", 1, 5, true, true, true, 5, 1, 0, false},
       {"its endpoint is not recorded", 1, 5, true, true, false, 5, 10, 0, false},
-      {"no incarnation has ended for long", 1, 100, true, true, true, 5, 10, 0, false},
-      {"the last socket for it", 1, 5, true, true, true, 5, 10, 24, true},
-      {"no socket left for it", 1, 5, true, true, true, 5, 10, 25, false},
+      {"no incarnation has ended recently", 1, 100, true, true, true, 5, 10, 0, false},
+      {"the last socket for probes", 1, 5, true, true, true, 5, 10, 24, true},
+      {"no socket left for probes", 1, 5, true, true, true, 5, 10, 25, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
--- a/tests/test_reconciler.c
+++ b/tests/test_reconciler.c
@@ -1,7 +1,8 @@
-/* Reconciliation: what a task list proves, before and after the machine is fenced; no network. */
+/* Reconciliation: what a task list proves before and after the machine is fenced; without a network. */
 #include "worker_bench.h"
 
-/* No command before the worker has shown that it refuses older ones. */
+/* A machine gets no command before its worker has shown the current fencing token, from which on it
+ * refuses commands of earlier terms. */
 static void fenced_before_commanded(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
@@ -11,14 +12,14 @@
   machine->agent.reported = false;
   fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_cluster_add_placement(cluster, machine, "job-000001", 3, 9, 0)->start.sent =
-      true; /* what an earlier incarnation may have sent */
+      true; /* an earlier incarnation may have sent it */
   GString *out = g_string_new(NULL);
   assert_int_equal(send_heartbeat(fixture, 1, 1, 4, RUNNING(0), out), 200);
   assert_true(body_contains(out, "\"calls\":[]"));
   assert_int_equal(machine->reconciled_term, 0);
   assert_int_equal(send_heartbeat(fixture, 1, 2, 5, RUNNING(0), out), 200);
   assert_int_equal(machine->reconciled_term, 5);
-  /* The list is now all there is: what was only thought to be there is gone. */
+  /* The list is authoritative now: a placement that it does not name is removed. */
   assert_int_equal(machine->placements->len, 1);
   assert_int_equal(((fc_placement *)machine->placements->pdata[0])->index, 0);
   g_string_free(out, TRUE);
@@ -56,14 +57,14 @@
   }
 }
 
-/* A direct start without an answer may arrive until the worker has shown a fencing token above the
- * one that it carried, or is in a later epoch than it named. */
+/* A direct start without an answer may still arrive until the worker has shown a higher fencing token
+ * than the start carried, or a later epoch than it named. */
 static void unacknowledged_direct_starts(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned sent_token, sent_epoch; /* that the start carried */
-    unsigned seen_token;             /* that the worker had shown before */
+    unsigned sent_token, sent_epoch; /* carried by the start */
+    unsigned seen_token;             /* shown by the worker before */
     unsigned epoch, sequence, token; /* of its next heartbeat; the last was (1, 1) */
     bool may_arrive;
   } rows[] = {
@@ -81,7 +82,7 @@
     machine->agent.epoch = machine->agent.sequence = 1;
     machine->agent.fencing_token = rows[i].seen_token;
     fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    /* It was listed and has ended without its work: to be forgotten, or not yet. */
+    /* The task was listed and has ended incomplete: the worker is to forget it, unless a start may arrive. */
     fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
     placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
@@ -96,8 +97,8 @@
   }
 }
 
-/* A new epoch ends what was started in the one before; a start that named a later one, before the
- * worker was restarted, may still be carried out. */
+/* A new epoch ends the tasks that were started in the previous one. A start that names this epoch or a
+ * later one, sent before the worker was restarted, may still be executed. */
 static void unlisted_starts_in_a_new_epoch(void **state) {
   (void)state;
   for (unsigned named = 1; named <= 3; named++) {
@@ -117,9 +118,9 @@
   }
 }
 
-/* The worker is without a task of which a direct copy of the start is outstanding: it refuses the copy
- * now, but would carry it out once it is restarted. The same attempt is started there again; nowhere
- * else (test_restarted_workers). */
+/* The worker does not list a task, and a direct copy of its start is outstanding. The worker refuses
+ * the copy now, but would execute it after a restart. So the same attempt is started there again, and
+ * nowhere else (test_restarted_workers). */
 static void unlisted_start_stays_with_its_machine(void **state) {
   (void)state;
   static const struct {
@@ -131,10 +132,10 @@
     bool started_again; /* by the answer */
   } rows[] = {
       {"a later epoch", 2, 5, true, false, false, true},
-      {"a later epoch, it ran before", 2, 5, true, true, false, true},
+      {"a later epoch, the task was listed before", 2, 5, true, true, false, true},
       {"a higher token", 1, 5, true, false, false, true},
       {"the first list of a term", 1, 5, false, false, false, true},
-      {"a later epoch, not wanted any more", 2, 5, true, false, true, false},
+      {"a later epoch, the task is to be stopped", 2, 5, true, false, true, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -154,7 +155,7 @@
     check_row(rows[i].name, machine->placements->len == 1 && fc_placement_copy_outstanding(placement));
     check_row(rows[i].name, body_contains(out, "\"call\":\"start\"") == rows[i].started_again);
     check_row(rows[i].name, fc_machine_vacant(machine) == rows[i].stopping);
-    /* What runs there again is listed, and its end frees the machine. */
+    /* The task that is started again is listed, and its end frees the machine. */
     if (rows[i].started_again) {
       (void)send_heartbeat(fixture, rows[i].epoch, 3, rows[i].token, EXITED(0, "stopped"), out);
       check_row(rows[i].name, body_contains(out, "clear"));
@@ -166,24 +167,25 @@
   }
 }
 
-/* A start that was sent and never listed, on a machine whose direct answers alone count: the answer
- * to a probe decides that was sent once no copy of the start can be carried out. */
+/* A start was sent and never listed, on a machine of which only direct answers count. The outcome is
+ * decided by the answer to a probe that was sent when no copy of the start could be executed any
+ * more. */
 static void starts_decided_by_direct_answers(void **state) {
   (void)state;
   static const struct {
     const char *name;
     unsigned sent_sequence; /* of the heartbeat whose answer carried the start; 0: none did */
-    double sent_s, asked_s; /* ago: that answer, the probe */
+    double sent_s, asked_s; /* seconds ago: that answer, the probe */
     bool unacknowledged, stopping;
     bool left, sent; /* afterwards */
   } rows[] = {
-      {"only direct copies, all decided, not wanted any more", 0, 0, 1, false, true, false, false},
-      {"only direct copies, all decided, wanted", 0, 0, 1, false, false, true, false},
+      {"only direct copies, all resolved, to be stopped", 0, 0, 1, false, true, false, false},
+      {"only direct copies, all resolved", 0, 0, 1, false, false, true, false},
       {"a direct copy may arrive", 0, 0, 1, true, true, true, true},
-      {"asked while the worker may take the answer", 20, 5, 1.5, false, true, true, true},
-      {"asked once it would drop it", 20, 9, 1.5, false, true, false, false},
-      {"asked once it would drop it, wanted", 20, 9, 1.5, false, false, true, false},
-      {"asked once it would drop it, a direct copy may arrive", 20, 9, 1.5, true, true, true, true},
+      {"probed within the worker's request timeout", 20, 5, 1.5, false, true, true, true},
+      {"probed after the timeout, to be stopped", 20, 9, 1.5, false, true, false, false},
+      {"probed after the timeout", 20, 9, 1.5, false, false, true, false},
+      {"probed after the timeout, a direct copy may arrive", 20, 9, 1.5, true, true, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -209,7 +211,7 @@
   }
 }
 
-/* What was placed before the machine is reconciled is in no view that a peer has acknowledged. */
+/* Views from before the machine was reconciled do not count as showing its placements. */
 static void reconciled_machine_is_in_no_earlier_view(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -1,29 +1,29 @@
-/* Expiry of worker leases; no network. */
+/* Expiry of worker leases; without a network. */
 #include "worker_bench.h"
 
 #include "controller/machine_reachability.h"
 
-/* A lease has expired when nobody has answered for so long; but an epoch that began since then has
- * its own. */
+/* A lease has expired when no member has answered the worker for its duration; an epoch that began in
+ * the meantime has a lease of its own. */
 static void lease_expiry(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double answered_s, epoch_s; /* ago */
-    unsigned renewed_sequence;  /* of a heartbeat that a peer has answered; ours came with 9; 0: none */
-    double renewed_s;           /* ago */
-    bool alone;                 /* in the term; the other may have entered since our last read */
-    double read_s;              /* ago */
+    double answered_s, epoch_s; /* seconds since our last answer, and since the epoch began */
+    unsigned renewed_sequence;  /* of a heartbeat that a peer has answered; the last one received here had 9; 0: none */
+    double renewed_s;           /* seconds since that answer */
+    bool alone;                 /* sole member of the term; the peer may have joined since the last read */
+    double read_s;              /* seconds since the last read of the store */
     bool expired;
   } rows[] = {
-      {"answered lately", 5, 100, 0, 0, false, 0, false},
-      {"not for a lease", 20, 100, 0, 0, false, 0, true},
-      {"not for a lease, in a new epoch", 20, 5, 0, 0, false, 0, false},
+      {"answered recently", 5, 100, 0, 0, false, 0, false},
+      {"not answered for a lease", 20, 100, 0, 0, false, 0, true},
+      {"not answered for a lease, in a new epoch", 20, 5, 0, 0, false, 0, false},
       {"a peer has renewed it", 20, 100, 10, 5, false, 0, false},
-      {"a peer has renewed it, in an incarnation that counts anew", 20, 100, 1, 5, false, 0, false},
-      {"a copy that came to a peer long ago", 20, 100, 1, 20, false, 0, true},
-      {"alone, having read of nobody who entered", 20, 100, 0, 0, true, 0, true},
-      {"alone, and somebody may have entered", 20, 100, 0, 0, true, 10, false},
+      {"a peer has renewed it for a restarted worker", 20, 100, 1, 5, false, 0, false},
+      {"a peer answered a copy long ago", 20, 100, 1, 20, false, 0, true},
+      {"alone, and the last read shows nobody who joined", 20, 100, 0, 0, true, 0, true},
+      {"alone, and the peer may have joined", 20, 100, 0, 0, true, 10, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -51,9 +51,9 @@
   }
 }
 
-/* A machine of ours in epoch 1, whose lease nobody has renewed for longer than it lasts and that has
- * answered a direct call heard_s ago; a task runs on it. */
-static fc_machine *overdue_machine(const worker_fixture *fixture, double heard_s) {
+/* An owned machine in epoch 1 with one running task. Its worker's lease has not been renewed for longer
+ * than its duration; its last message came heard_s seconds ago. */
+static fc_machine *machine_with_expired_lease(const worker_fixture *fixture, double heard_s) {
   fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
   fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
@@ -80,12 +80,12 @@
   return placement;
 }
 
-/* An expiry ends the epoch that the worker has shown, once: neither a later round nor a new term
- * takes it for proof of anything that came after, and the epoch does not run ahead. */
+/* An expiry ends the epoch that the worker has shown, once. Neither a later check nor a new term counts
+ * it as proof about later starts, and the epoch does not get ahead of the worker's own. */
 static void expiry_ends_one_epoch(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
-  fc_machine *machine = overdue_machine(fixture, 3);
+  fc_machine *machine = machine_with_expired_lease(fixture, 3);
   fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->placements->len, 0);
   assert_int_equal(machine->agent.epoch, 2);
@@ -95,7 +95,7 @@
   assert_int_equal(machine->placements->len, 1);
   assert_int_equal(machine->agent.epoch, 2);
   assert_int_equal(fixture->metrics->counters.expired_leases, 1);
-  machine->reconciled_term = 4; /* as at a new term */
+  machine->reconciled_term = 4; /* as after a change of term */
   fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->reconciled_term, 5);
   assert_int_equal(machine->placements->len, 1);
@@ -103,13 +103,13 @@
   worker_fixture_free(fixture);
 }
 
-/* A direct start is given up with the epoch that it named, and not with an earlier one: a restarted
- * worker counts anew and may still come to it. */
-static void expiry_gives_up_starts_of_its_epoch(void **state) {
+/* An expiry ends a direct start with the epoch that it names, not with an earlier one: a restarted
+ * worker counts its epochs from the beginning and may still reach the named one. */
+static void expiry_ends_starts_of_its_epoch(void **state) {
   (void)state;
   for (uint64_t epoch = 1; epoch <= 3; epoch++) {
     worker_fixture *fixture = worker_fixture_new();
-    fc_machine *machine = overdue_machine(fixture, 3);
+    fc_machine *machine = machine_with_expired_lease(fixture, 3);
     (void)add_direct_start(fixture, machine, epoch);
     fc_worker_leases_expire(fixture->leases);
     assert_int_equal(machine->placements->len, epoch == 1 ? 0 : 1);
@@ -117,28 +117,28 @@
   }
 }
 
-/* A start that was sent since we own the machine, and whose outcome is not known, stays with it: the
- * worker that goes on refuses it, but a restarted one would carry it out (test_restarted_workers). */
+/* A start of unknown outcome that was sent since we became the machine's owner stays on the machine: a
+ * worker that keeps running refuses it, but a restarted one would execute it (test_restarted_workers). */
 static void expiry_keeps_starts_of_unknown_outcome(void **state) {
   (void)state;
   static const struct {
     const char *name;
     fc_direct_start direct;
-    bool owned_since_then; /* we own the machine since before it was placed */
+    bool owned_since_then; /* the task was placed after we became the owner */
     bool stopping, exited;
     bool kept, abandoned; /* afterwards */
   } rows[] = {
       {"answered", FC_DIRECT_START_NONE, true, false, false, false, false},
-      {"under way", FC_DIRECT_START_IN_FLIGHT, true, false, false, true, false},
+      {"in flight", FC_DIRECT_START_IN_FLIGHT, true, false, false, true, false},
       {"unacknowledged", FC_DIRECT_START_UNACKNOWLEDGED, true, false, false, true, false},
-      {"unacknowledged, not wanted any more", FC_DIRECT_START_UNACKNOWLEDGED, true, true, false, true, true},
+      {"unacknowledged, to be stopped", FC_DIRECT_START_UNACKNOWLEDGED, true, true, false, true, true},
       {"unacknowledged, the task has exited", FC_DIRECT_START_UNACKNOWLEDGED, true, false, true, false, false},
-      {"unacknowledged, placed before the machine was ours", FC_DIRECT_START_UNACKNOWLEDGED, false, false, false, false,
+      {"unacknowledged, placed before we became the owner", FC_DIRECT_START_UNACKNOWLEDGED, false, false, false, false,
        false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
-    fc_machine *machine = overdue_machine(fixture, 3);
+    fc_machine *machine = machine_with_expired_lease(fixture, 3);
     fc_placement *placement = add_direct_start(fixture, machine, 1);
     placement->created_at = machine->owned_since + (rows[i].owned_since_then ? 50 : -50);
     placement->start.direct = rows[i].direct;
@@ -155,28 +155,28 @@
   }
 }
 
-/* After an expiry a machine takes nothing until it has shown its epoch. One that was heard of lately
- * is asked for it; a question from before the expiry tells nothing of what came after. */
+/* After an expiry a machine takes no tasks until its worker has shown its epoch. A worker that was heard
+ * from recently is probed for it; a probe sent before the expiry says nothing about the time after. */
 static void epoch_is_shown_after_an_expiry(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double asked_s;           /* ago; the lease is found to have expired now */
+    double asked_s;           /* seconds since the probe; the lease is found to have expired now */
     unsigned epoch, sequence; /* of the answer; 0: none */
     bool reachable;           /* afterwards */
     unsigned epoch_after;
     bool restarted;
   } rows[] = {
       {"no answer", 0, 0, 0, false, 2, false},
-      {"asked before, answered in the epoch that has ended", 1, 1, 12, false, 2, false},
-      {"asked before, answered in the next epoch", 1, 2, 12, true, 2, false},
-      {"asked after, in the next epoch", -1, 2, 12, true, 2, false},
-      {"asked after, in a later epoch: it was idle", -1, 4, 12, true, 4, false},
-      {"asked after, restarted", -1, 1, 2, true, 1, true},
+      {"probed before, answered in the ended epoch", 1, 1, 12, false, 2, false},
+      {"probed before, answered in the next epoch", 1, 2, 12, true, 2, false},
+      {"probed after, in the next epoch", -1, 2, 12, true, 2, false},
+      {"probed after, in a later epoch: it was idle", -1, 4, 12, true, 4, false},
+      {"probed after, restarted", -1, 1, 2, true, 1, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
-    fc_machine *machine = overdue_machine(fixture, 3);
+    fc_machine *machine = machine_with_expired_lease(fixture, 3);
     double now = fc_now();
     fc_worker_leases_expire(fixture->leases);
     check_row(rows[i].name, !fc_machine_reachable(fixture->cluster, machine, now));
@@ -193,7 +193,7 @@
     check_row(rows[i].name, woken == (rows[i].reachable && !rows[i].restarted));
     check_row(rows[i].name, machine->agent.epoch == rows[i].epoch_after);
     check_row(rows[i].name, machine->agent.restarted == rows[i].restarted);
-    /* The epoch that it has shown has a lease of its own. */
+    /* The epoch that the worker has shown has a lease of its own. */
     (void)add_direct_start(fixture, machine, machine->agent.epoch);
     fc_worker_leases_expire(fixture->leases);
     check_row(rows[i].name, machine->placements->len == 1);
@@ -201,27 +201,27 @@
   }
 }
 
-/* Nobody asks a machine that was silent for so long that it took no tasks before the expiry. */
-static void silent_machine_is_not_asked(void **state) {
+/* A machine that was silent for so long that it took no tasks even before the expiry is not probed. */
+static void silent_machine_is_not_probed(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
-  fc_machine *machine = overdue_machine(fixture, 12);
+  fc_machine *machine = machine_with_expired_lease(fixture, 12);
   fc_worker_leases_expire(fixture->leases);
   assert_false(machine->agent.epoch_shown);
   assert_false(fc_machine_probes_check(fixture->probes, machine));
   worker_fixture_free(fixture);
 }
 
-/* A new owner has renewed the worker's lease for the one before it, and hears nothing itself: a late
- * heartbeat of the epoch that has ended is refused, and shows no task. */
+/* A new owner that renewed the worker's lease for the previous owner, and has received nothing since,
+ * finds the lease expired: a delayed heartbeat of the ended epoch is refused, and adds no task. */
 static void expiry_at_a_new_owner(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
-  fc_machine *machine = overdue_machine(fixture, 30);
+  fc_machine *machine = machine_with_expired_lease(fixture, 30);
   GString *out = g_string_new(NULL);
   machine->owner = 1;
   machine->agent.epoch_shown = false;
-  fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* so that the worker is not sent there */
+  fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* silent, so that the worker is not redirected to it */
   assert_int_equal(send_heartbeat(fixture, 3, 20, 5, RUNNING(0), out), 200);
   machine->owner = 0;
   fc_machine_forget_owner(machine, fc_now() - 100);
@@ -240,10 +240,10 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(lease_expiry),
       cmocka_unit_test(expiry_ends_one_epoch),
-      cmocka_unit_test(expiry_gives_up_starts_of_its_epoch),
+      cmocka_unit_test(expiry_ends_starts_of_its_epoch),
       cmocka_unit_test(expiry_keeps_starts_of_unknown_outcome),
       cmocka_unit_test(epoch_is_shown_after_an_expiry),
-      cmocka_unit_test(silent_machine_is_not_asked),
+      cmocka_unit_test(silent_machine_is_not_probed),
       cmocka_unit_test(expiry_at_a_new_owner),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/worker_bench.h
+++ b/tests/worker_bench.h
@@ -1,4 +1,4 @@
-/* The modules of a controller that deal with workers, built without a network. */
+/* Test fixture: the modules of a controller that handle workers, without a network. */
 #ifndef FC_TESTS_WORKER_BENCH_H
 #define FC_TESTS_WORKER_BENCH_H
 
@@ -25,10 +25,11 @@
   fc_machine_registration *registration;
   fc_worker_leases *leases;
   fc_heartbeats *heartbeats;
-  uint64_t connection; /* that heartbeats come on */
+  uint64_t connection; /* number of the connection that heartbeats come on */
 } worker_fixture;
 
-/* No key-value store: nothing is written, as no routine runs. */
+/* Creates the modules under test. They get no key-value store, and need none: no routine runs, so
+ * nothing is written. */
 static inline void worker_fixture_build(worker_fixture *fixture) {
   fixture->completion = fc_task_completion_new(fixture->cluster, NULL, NULL, fixture->metrics);
   fixture->reconciler = fc_reconciler_new(fixture->cluster, fixture->completion, fixture->wakeups, fixture->metrics);
@@ -44,7 +45,8 @@
                                           fixture->reconciler, fixture->commands, fixture->calls, fixture->metrics);
 }
 
-/* A controller with authority, in term 5, as paddock-0 beside paddock-1. */
+/* A controller that holds leadership as paddock-0 in term 5, beside paddock-1. Freed with
+ * worker_fixture_free(). */
 static inline worker_fixture *worker_fixture_new(void) {
   worker_fixture *fixture = g_new0(worker_fixture, 1);
   fixture->settings = fixture_settings();
@@ -85,7 +87,8 @@
   g_free(fixture);
 }
 
-/* Sends a heartbeat of vm-1 and returns the HTTP status; the answer's body replaces *out. */
+/* Handles a heartbeat of vm-1 whose task list is `tasks`. Returns the HTTP status; the body of the
+ * response replaces the content of *out. */
 static inline int send_heartbeat(worker_fixture *fixture, unsigned epoch, unsigned sequence, unsigned fencing_token,
                                  const char *tasks, GString *out) {
   char *text = g_strdup_printf(
@@ -99,10 +102,11 @@
   return status;
 }
 
-static inline bool body_contains(const GString *out, const char *what) {
-  return strstr(out->str, what) != NULL;
+static inline bool body_contains(const GString *out, const char *text) {
+  return strstr(out->str, text) != NULL;
 }
 
+/* Entries of a task list: task n of job-000001. */
 #define RUNNING(n) "{\"run\":\"job-000001/" #n "\",\"kickoff\":1,\"status\":\"running\"}"
 #define EXITED(n, why) "{\"run\":\"job-000001/" #n "\",\"kickoff\":1,\"status\":\"exited\",\"cause\":\"" why "\"}"
 
