--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -159,11 +159,11 @@
   fc_view_sender *sender =
       fc_view_sender_new(controller->cluster, controller->leadership, controller->peers, controller->views,
                          controller->cancellations, controller->wakeups, controller->metrics);
-  fc_membership_duty *membership =
-      fc_membership_duty_new(controller->cluster, controller->kv, controller->watch, controller->leadership,
-                             controller->peers, controller->metrics);
+  fc_membership_routine *membership =
+      fc_membership_routine_new(controller->cluster, controller->kv, controller->watch, controller->leadership,
+                                controller->peers, controller->metrics);
   return fc_view_sender_start(sender) && fc_kv_watch_start(controller->watch) &&
-         fc_routine_spawn(run_group_commit, controller) && fc_membership_duty_start(membership);
+         fc_routine_spawn(run_group_commit, controller) && fc_membership_routine_start(membership);
 }
 
 static fc_shard_balancer *build_shard_balancer(const fc_controller *controller) {
