--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -77,7 +77,7 @@
  * sends no request on a connection before it has read the last answer there. So a worker that
  * returns sooner than that, or on the same connection, has received it. The arrival of heartbeats
  * alone proves nothing, as the connection may be unidirectional. The time alone is not enough either:
- * where the heartbeat interval exceeds the timeout, every machine was probed after each heartbeat. */
+ * where the heartbeat interval exceeds the timeout, every machine was probed between any two heartbeats. */
 static void update_unidirectional(const fc_heartbeats *heartbeats, fc_machine *machine, uint64_t connection) {
   const fc_machine_lease *lease = &machine->lease;
   double now = fc_now(), since_answer_s = now - lease->answered_at;
