--- a/src/coordination/assignment.c
+++ b/src/coordination/assignment.c
@@ -6,7 +6,7 @@
 #define FNV_OFFSET_BASIS 1469598103934665603ull
 #define FNV_PRIME 1099511628211ull
 #define KEY_SEPARATOR 0xffu
-/* "job-" with at most 18 digits, '#', and the number of a slice. */
+/* Enough for "job-" with at most 18 digits, '#', and a slice number. */
 #define SLICE_KEY_SIZE 64u
 
 static uint64_t fnv1a(uint64_t hash, const char *text) {
@@ -14,7 +14,7 @@
   return hash;
 }
 
-/* The finaliser of splitmix64. */
+/* The finaliser of splitmix64: spreads every input bit over the whole hash. */
 static uint64_t mix(uint64_t hash) {
   hash += 0x9e3779b97f4a7c15ull;
   hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ull;
@@ -22,8 +22,8 @@
   return hash ^ (hash >> 31);
 }
 
-/* Rendezvous hashing needs weights that are independent between members, which FNV-1a alone
- * does not give. */
+/* The weight of a member for a key. Rendezvous hashing needs weights that are independent between members, which
+ * FNV-1a alone does not provide. */
 static uint64_t rendezvous_weight(uint64_t seed, const char *key, const char *member) {
   uint64_t hash = fnv1a(FNV_OFFSET_BASIS ^ seed, key);
   hash = (hash ^ KEY_SEPARATOR) * FNV_PRIME;
@@ -43,7 +43,7 @@
   return best;
 }
 
-/* The named member; -1 when there is no name or no such member. */
+/* The index of the member with this name; -1 if `name` is NULL, empty or not a member. */
 static int member_named(const fc_term *term, const char *name) {
   return name && *name ? fc_term_find(term, name) : -1;
 }
--- a/src/coordination/leader_lease.c
+++ b/src/coordination/leader_lease.c
@@ -2,11 +2,12 @@
 
 #include <string.h>
 
+/* Steady times, in seconds. NEVER is before any time that the clock can show. */
 #define NEVER (-1.0)
 #define BEFORE_ALL_READS (-1e9)
 #define UNBOUNDED 1e18
 
-/* What is left of a duration when this process's clock is the slower one. */
+/* Shortens a duration, so that it ends in time even if this process's clock is the slower one. */
 static double shortened_for_drift(double seconds) {
   return seconds * (1 - FC_CLOCK_DRIFT);
 }
@@ -27,9 +28,8 @@
   lease->kv_read_at = BEFORE_ALL_READS;
   lease->peer_count = peer_count;
   for (size_t peer = 0; peer < FC_MEMBERS_MAX; peer++) lease->grants[peer] = (fc_peer_grant){NEVER, NEVER, NEVER};
-  /* A job must stop in time also when this member has not learned of its cancellation: after
-   * the last answer a worker runs its tasks for one more lease, and a heartbeat may be under
-   * way. */
+  /* A cancelled job must stop in time even if this member has not learned of the cancellation: after the last answer
+   * a worker runs its tasks for one more lease, and a heartbeat may be in flight. */
   double margin = heartbeat_s * 0.5;
   lease->stale_max_s = shortened_for_drift(cancel_s - worker_lease_s - margin);
 }
@@ -59,20 +59,20 @@
   lease->grants[peer].granted_until = sent + shortened_for_drift(grant_s);
 }
 
-void fc_leader_lease_no_cancellation(fc_leader_lease *lease, size_t peer, double sent, double quiet_from) {
-  lease->grants[peer].no_cancellation_from = quiet_from;
+void fc_leader_lease_no_cancellation(fc_leader_lease *lease, size_t peer, double sent, double no_cancellation_from) {
+  lease->grants[peer].no_cancellation_from = no_cancellation_from;
   lease->grants[peer].no_cancellation_until = sent;
 }
 
 double fc_leader_lease_entry_wait(const fc_leader_lease *lease) {
-  /* Measured by another clock than the durations that it has to outlast. */
+  /* This wait and the durations that it has to exceed are measured by different clocks. */
   return later(lease->stale_max_s, lease->lease_s) * (1 + 3 * FC_CLOCK_DRIFT);
 }
 
-/* Until when this member may act without learning of cancellations. Either for stale_max_s after
- * the last fresh read. Or for as long as every other controller has granted not to exclude it, and
- * states that it has learned of no cancellation since that read: while the key-value store is
- * unavailable nobody can cancel a job, so work need not stop for it. */
+/* The time until which this member may act without learning of cancellations. This is stale_max_s after the last
+ * fresh read. It is later if every other controller has granted not to exclude this member, and has stated that it
+ * learned of no cancellation since that read: while the key-value store is unavailable no job can be cancelled, so
+ * that work need not stop. */
 static double staleness_bound(const fc_leader_lease *lease) {
   double by_own_read = lease->kv_read_at + lease->stale_max_s;
   if (lease->peer_count == 0) return by_own_read;
@@ -86,8 +86,8 @@
   return later(by_own_read, by_peers);
 }
 
-/* Until when no other member commits a term without this one. Every one of them could, so all
- * have to grant it; a sole member needs no grants. */
+/* The time before which no other member commits a term without this one. Each of them could commit one, so that all
+ * have to grant this; a sole member needs no grants. */
 static double granted_by_all(const fc_leader_lease *lease, const fc_term *term, const int *peer_of, int self) {
   double granted = UNBOUNDED;
   for (size_t member = 0; member < term->count; member++) {
@@ -101,9 +101,8 @@
 double fc_leader_lease_until(const fc_leader_lease *lease, const fc_term *term, const int *peer_of, int self) {
   if (self < 0) return NEVER;
   double until = later(lease->lease_until, granted_by_all(lease, term, peer_of, self));
-  /* A controller that is not yet a member may have granted nothing. It joins by a term that
-   * includes this member, and waits fc_leader_lease_entry_wait() before it excludes this one: by
-   * then the bound on staleness has stopped this member, unless it has read of that term or
-   * holds that controller's grant too. */
+  /* A controller that is not yet a member may have granted nothing. It joins with a term that includes this member,
+   * and waits fc_leader_lease_entry_wait() before it excludes this member. By then the staleness bound has stopped
+   * this member, unless it has read that term or holds a grant of that controller too. */
   return earlier(until, staleness_bound(lease));
 }
--- a/src/coordination/quota_division.c
+++ b/src/coordination/quota_division.c
@@ -1,6 +1,6 @@
 #include "coordination/quota_division.h"
 
-/* Sums of amounts that should be equal differ by less than this. */
+/* Bound on rounding errors: sums that should be equal differ by less than this. */
 #define ROUNDING_ERROR 1e-6
 
 bool fc_quota_divide(double limit, const fc_quota_demand *demands, size_t count, double *shares) {
@@ -27,16 +27,17 @@
   return left < right ? left : right;
 }
 
-/* What one shard's share is adjusted by. */
+/* The amounts from which one shard's new share is computed. */
 typedef struct share_state {
   double unassigned;
   const fc_quota_others *others;
   double share;
   const fc_quota_demand *demand;
-  double need;        /* what it uses, and what it could use besides now */
-  double unplaceable; /* what its pending tasks want beyond that */
+  double need;        /* what it uses now, plus what its pending tasks could use now */
+  double unplaceable; /* what its other pending tasks want, for which it has no room */
 } share_state;
 
+/* The share after taking unassigned quota. */
 static double grown_share(const share_state *state) {
   const fc_quota_demand *demand = state->demand;
   double missing = state->need + state->unplaceable - state->share;
@@ -45,15 +46,14 @@
   if (state->unplaceable > 0)
     growth = smaller(growth, larger(state->need - state->share, state->unassigned - state->others->lacking));
   growth = larger(growth, 0);
-  /* A fraction that is too small to start any task is released while others lack something:
-   * when every shard held one, a team stayed below its limit for as long as the tasks of the
-   * largest shard ran. */
+  /* A remainder that is too small to start any task is released while others lack quota: when every shard held such a
+   * remainder, a team stayed below its limit for as long as the tasks of the largest shard ran. */
   if (state->share + growth < demand->used + demand->least - ROUNDING_ERROR && state->others->lacking > 0)
     return smaller(demand->used, state->share);
   return state->share + growth;
 }
 
-/* Gives back of what the shard does not need, as others lack more than is unassigned. */
+/* The share after giving back quota that the shard does not need; others lack `missing` more than is unassigned. */
 static double shrunk_share(const share_state *state, double missing) {
   double spare = state->share - state->need;
   return state->share - smaller(larger(missing, spare / 2), spare);
@@ -67,10 +67,10 @@
                              .demand = own,
                              .need = own->used + own->wanted - unplaceable,
                              .unplaceable = unplaceable};
-  /* Nothing but rounding counts as nothing: shards passed on halves of it, a write each. */
+  /* Compared with a tolerance: shards used to pass on halves of a mere rounding error, with a write for each. */
   double missing = others->lacking - state.unassigned;
-  /* A shard whose machines were full held its share for the tasks that were pending there, while
-   * others had room and no share (scene share_without_room). */
+  /* Unplaceable tasks do not count as needed: a shard with full machines held its share for its pending tasks, while
+   * other shards had room but no share (scene share_without_room). */
   if (state.need < own_share && missing > ROUNDING_ERROR) return shrunk_share(&state, missing);
   if (state.need + unplaceable > own_share) return grown_share(&state);
   return own_share;
