--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -9,9 +9,9 @@
 #include "scheduler/pending_tasks.h"
 #include "scheduler/zone_spread.h"
 
-/* Shares and rooms that differ by less count as equal. */
+/* Usage shares and free shares that differ by less than this are treated as equal. */
 #define TIE_TOLERANCE 1e-9
-/* Teams without a guarantee follow those with one, by the CPUs they use: this much share each. */
+/* A team without a guarantee ranks as if it used all of one, plus this much for each CPU that it uses. */
 #define UNGUARANTEED_SHARE_PER_CPU 1e-6
 
 /* A machine that tasks may be placed on. */
@@ -19,7 +19,7 @@
   fc_machine *machine;
   const fc_machine_type *type;
   fc_resources room;
-  GPtrArray *planned_images; /* those of tasks placed in this round; NULL: none yet */
+  GPtrArray *planned_images; /* images of the tasks placed in this round; NULL: none yet */
 } target;
 
 /* A job with pending tasks. */
@@ -33,9 +33,9 @@
 typedef struct placing_round {
   const fc_cluster *cluster;
   double now;
-  GArray *targets;       /* target: those with room, by machine id */
+  GArray *targets;       /* target: machines with free capacity, sorted by machine id */
   GPtrArray *candidates; /* candidate, by fc_job_compare_priority() */
-  GQueue *by_team;       /* for each team its candidates of the priority being placed */
+  GQueue *by_team;       /* by team: its candidates of the priority being placed */
   fc_team_allowance allowance;
   fc_gang_order gang_order;
   fc_team_usage usage;
@@ -53,16 +53,16 @@
   if (cleared->planned_images) g_ptr_array_free(cleared->planned_images, TRUE);
 }
 
-/* Is the image there, or on its way with another task of the round? Images are interned: the same
- * name is the same pointer. */
+/* Returns whether the machine has the image or will fetch it for another task of this round. Images are
+ * interned, so that equal names are the same pointer. */
 static bool will_have_image(const target *machine_target, const fc_job_spec *spec) {
   return fc_machine_has_image(machine_target->machine, spec->image) ||
          (machine_target->planned_images && g_ptr_array_find(machine_target->planned_images, spec->image, NULL));
 }
 
-/* May a task of the job go there, but for the rules about zones? */
-static bool suits(const placing_round *round, const target *machine_target, const candidate *placed,
-                  unsigned only_zone) {
+/* Returns whether a task of the job may start on the machine, apart from the zone spread rules. */
+static bool is_feasible(const placing_round *round, const target *machine_target, const candidate *placed,
+                        unsigned only_zone) {
   const fc_job_spec *spec = &placed->job->spec;
   const fc_machine *machine = machine_target->machine;
   if (!fc_resources_fit(&machine_target->room, spec)) return false;
@@ -70,14 +70,15 @@
   return fc_machine_suits_job(machine, placed->job) && !fc_machine_reserved_from(machine, spec->id, round->now);
 }
 
-static double room_share(const target *machine_target) {
+/* The free share of the machine's GPUs plus that of its CPUs. */
+static double free_share(const target *machine_target) {
   const fc_machine_type *type = machine_target->type;
   return (type->gpus > 0 ? machine_target->room.gpus / type->gpus : 0) +
          (type->cpus > 0 ? machine_target->room.cpus / type->cpus : 0);
 }
 
-/* The best machine for the next task: one that has the image, else the one with the most room in
- * the allowed zones; NULL: none. */
+/* The best machine for the next task, NULL if there is none: machines that have the image first, then spot
+ * instances, then the machine with the largest free share. */
 static target *choose_target(const placing_round *round, const candidate *placed, unsigned only_zone) {
   const fc_job_spec *spec = &placed->job->spec;
   target *best = NULL;
@@ -86,12 +87,12 @@
   for (guint i = 0; i < round->targets->len; i++) {
     target *considered = &g_array_index(round->targets, target, i);
     const fc_machine *machine = considered->machine;
-    if (!suits(round, considered, placed, only_zone) || !fc_zone_spread_allows(&placed->spread, spec, machine->zone))
+    if (!is_feasible(round, considered, placed, only_zone) ||
+        !fc_zone_spread_allows(&placed->spread, spec, machine->zone))
       continue;
     bool has_image = will_have_image(considered, spec);
-    double share = room_share(considered);
-    /* Among machines that are equal otherwise, a job that may use spot instances leaves the
-     * on-demand ones to jobs that may not. */
+    double share = free_share(considered);
+    /* A job that may use spot instances leaves the on-demand machines to jobs that may not. */
     bool spot = machine->record.spot;
     bool better = !best || (has_image && !best_has_image);
     if (best && has_image == best_has_image) {
@@ -126,26 +127,26 @@
   return fc_team_allowance_holds(&round->allowance, &reserved, job, tasks);
 }
 
-/* How many of the gang's pending tasks the zone holds, all at the most; `take`: the room is then
- * taken. */
-static guint gang_tasks_fitting(placing_round *round, const candidate *gang, unsigned zone, bool take) {
+/* How many of the gang's pending tasks fit in the zone. With `reserve`, their room is subtracted from the
+ * targets. */
+static guint gang_tasks_fitting(placing_round *round, const candidate *gang, unsigned zone, bool reserve) {
   fc_zone_spread spread = gang->spread;
   guint count = 0;
   for (guint i = 0; i < round->targets->len && count < gang->pending->len; i++) {
     target *considered = &g_array_index(round->targets, target, i);
     fc_resources room_before = considered->room;
-    while (count < gang->pending->len && suits(round, considered, gang, zone) &&
+    while (count < gang->pending->len && is_feasible(round, considered, gang, zone) &&
            fc_zone_spread_allows(&spread, &gang->job->spec, considered->machine->zone)) {
       fc_resources_subtract(&considered->room, &gang->job->spec);
       fc_zone_spread_add(&spread, considered->machine->zone);
       count++;
     }
-    if (!take) considered->room = room_before;
+    if (!reserve) considered->room = room_before;
   }
   return count;
 }
 
-/* Places all tasks of the gang in a zone that holds them all. */
+/* Places all tasks of the gang in a zone that has room for them all. */
 static void place_gang_in_zone(placing_round *round, candidate *gang, unsigned zone) {
   for (guint i = 0; i < gang->pending->len; i++) {
     target *chosen = choose_target(round, gang, zone);
@@ -153,7 +154,7 @@
   }
 }
 
-/* Places the whole gang, in one zone where its job says so, or keeps the room that there is. */
+/* Places the whole gang, in a single zone if its job requires that, or reserves the room found so far. */
 static void place_gang(placing_round *round, candidate *gang) {
   const fc_job *job = gang->job;
   if (gang->pending->len != job->spec.tasks - job->completion.count || job->placements->len > 0) return;
@@ -173,13 +174,13 @@
       best_zone = zone;
     }
   }
-  /* The room is reserved for the gang: tasks of lower priority would take one machine after the other,
-   * and the gang would never start. */
+  /* Without the reservation, tasks of lower priority would take one machine after the other, and the gang
+   * would never start. */
   if (most > 0) (void)gang_tasks_fitting(round, gang, best_zone, true);
 }
 
-/* Places the whole gang, or one task of any other job. Returns false when the job can get nothing
- * more in this round. */
+/* Places a whole gang, or one task of any other job. Returns false when nothing more of the job can be
+ * placed in this round. */
 static bool place_next(placing_round *round, candidate *placed) {
   fc_job *job = placed->job;
   if (fc_gang_order_holds_back(&round->gang_order, job)) return false;
@@ -194,7 +195,7 @@
   return placed->next < placed->pending->len;
 }
 
-/* The share of its guarantee that the team uses; teams without one follow, by what they use. */
+/* The share of its guarantee that the team uses; 1 or more for a team without a guarantee. */
 static double guarantee_share(const placing_round *round, int team) {
   const fc_team_settings *team_settings = &round->cluster->settings->teams[team];
   double share = 0;
@@ -210,8 +211,8 @@
   return guaranteed ? share : 1 + round->usage.cpus[team] * UNGUARANTEED_SHARE_PER_CPU;
 }
 
-/* The team that places next: the one with the lowest share, then the one whose job should start
- * first; -1: no candidate of the priority is left. */
+/* The team whose job is placed next: the team with the lowest share of its guarantee, among equals the one
+ * whose job should start first; -1: no candidate of the priority is left. */
 static int next_team(const placing_round *round) {
   int best = -1;
   double best_share = 0;
@@ -229,8 +230,8 @@
   return best;
 }
 
-/* Places the candidates of one priority, from the index `from` on; returns where the next priority
- * begins. */
+/* Places the candidates of one priority, starting at index `from`; returns the index at which the next
+ * priority begins. */
 static guint place_priority(placing_round *round, guint from) {
   const candidate *first = round->candidates->pdata[from];
   guint end = from;
@@ -251,14 +252,15 @@
   return fc_job_compare_priority(&left->job, &right->job);
 }
 
-/* Also finds the least that any candidate asks for. */
+/* Collects the jobs with pending tasks that this shard may place, and the minimum of each resource that any of
+ * them requests. */
 static void gather_candidates(placing_round *round, fc_job_spec *least) {
   const fc_cluster *cluster = round->cluster;
   *least = fc_least_resources_none();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_placeable(cluster, job, round->now)) continue;
-    /* A task of a slice that is not resolved may be running where we have not heard of it. */
+    /* A task of an unresolved slice may be running without this member knowing of it. */
     unsigned slices =
         fc_job_slices_of_member(job, cluster->membership.self) & job->slices.resolved & ~job->slices.handover_pending;
     if (!fc_job_has_pending_tasks_in(job, slices)) continue;
@@ -272,8 +274,8 @@
   g_ptr_array_sort(round->candidates, compare_candidates);
 }
 
-/* Only machines that could take some candidate: in a full fleet these are few. By id, so that ties
- * fall the same way on every run. */
+/* Collects the machines with room for some candidate: in a full fleet these are few. Sorted by id, so that ties
+ * are broken the same way on every run. */
 static void gather_targets(placing_round *round, const fc_job_spec *least) {
   const fc_cluster *cluster = round->cluster;
   GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable, round->now);
--- a/src/scheduler/gang_precedence.c
+++ b/src/scheduler/gang_precedence.c
@@ -20,7 +20,7 @@
   return count;
 }
 
-/* What of the team's usage can't be preempted for a gang of the priority. */
+/* The team's usage that can't be preempted for a gang of the priority. */
 static fc_resources unpreemptible_usage(const fc_cluster *cluster, int team, fc_priority priority) {
   fc_resources usage = {0, 0, 0};
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
@@ -48,7 +48,7 @@
 void fc_gang_precedence(const fc_cluster *cluster, const fc_job *preceding[FC_TEAMS_MAX]) {
   for (size_t team = 0; team < cluster->settings->team_count; team++) preceding[team] = NULL;
   GPtrArray *gangs = pending_gangs_under_limit(cluster);
-  /* Neighbours in the list often share team and priority: then the usage is the same. */
+  /* Consecutive gangs often have the same team and priority, and then the same usage. */
   fc_resources usage = {0, 0, 0};
   int usage_team = -1;
   int usage_priority = -1;
@@ -70,21 +70,21 @@
 bool fc_gang_precedes(const fc_cluster *cluster, const fc_job *gang, const fc_job *job, double now) {
   if (!gang || job == gang || job->team != gang->team) return false;
   if (job->spec.kind == FC_JOB_GANG) return true;
-  /* Arrays of the same priority too: an array of a pipeline has the priority of the pipeline's last
-   * job. While such an array went on, some of the limit stayed in a shard that had no room for the
-   * gang, and both were pending forever (fault test with upgrades and meetings, seed 149). */
+  /* Arrays of the same priority as well: an array of a pipeline has the priority of the pipeline's last job.
+   * While such an array went on starting tasks, part of the limit stayed with a shard that had no room for the gang,
+   * and both were pending forever (fault test with upgrades and meetings, seed 149). */
   return job->spec.kind == FC_JOB_ARRAY && job->queue.priority <= gang->queue.priority &&
          now > gang->queue.entered_at + cluster->settings->operator_settings.handover_wait_s;
 }
 
-/* ---- the order of a plan ---- */
+/* ---- fc_gang_order ---- */
 
 static fc_resources gang_need(const fc_job *gang) {
   double tasks = gang->spec.tasks - gang->completion.count;
   return (fc_resources){.cpus = tasks * gang->spec.cpus, .gpus = tasks * gang->spec.gpus};
 }
 
-/* What the team uses on the member's machines. */
+/* The team's usage on the member's machines. */
 static fc_resources usage_at(const fc_cluster *cluster, int team, int member) {
   fc_resources usage = {0, 0, 0};
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
@@ -98,10 +98,10 @@
   return usage;
 }
 
-/* Does the share of the gang's owner hold all of it beside what runs there? Others may go on with
- * their own shares then: a gang that waited for machines held up all arrays of its team, with nothing
- * of the limit used (scene gang_without_machines). */
-static bool share_holds(const fc_cluster *cluster, const fc_job *gang) {
+/* Returns whether the quota share of the gang's owner covers the whole gang in addition to what its team runs
+ * there. The other shards may then go on using their own shares: otherwise a gang that waited for machines
+ * blocked all arrays of its team, with nothing of the limit in use (scene gang_without_machines). */
+static bool share_covers_gang(const fc_cluster *cluster, const fc_job *gang) {
   const fc_quota_record *quota = &cluster->quota.record;
   int owner = fc_job_slice_owner(gang, 0);
   if (owner < 0 || quota->term != cluster->membership.term.number) return false;
@@ -120,7 +120,7 @@
   *order = (fc_gang_order){.cluster = cluster, .now = now};
   fc_gang_precedence(cluster, order->preceding);
   for (size_t team = 0; team < cluster->settings->team_count; team++)
-    order->share_held[team] = order->preceding[team] && share_holds(cluster, order->preceding[team]);
+    order->share_covers[team] = order->preceding[team] && share_covers_gang(cluster, order->preceding[team]);
 }
 
 static bool precedes(const fc_gang_order *order, const fc_job *job) {
@@ -129,7 +129,7 @@
 
 bool fc_gang_order_holds_back(const fc_gang_order *order, const fc_job *job) {
   if (!precedes(order, job)) return false;
-  return job->spec.kind == FC_JOB_GANG || !order->share_held[job->team];
+  return job->spec.kind == FC_JOB_GANG || !order->share_covers[job->team];
 }
 
 fc_resources fc_gang_order_reserved(const fc_gang_order *order, const fc_job *job) {
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -10,11 +10,11 @@
 #include "scheduler/shard_room.h"
 #include "scheduler/team_quota.h"
 
-/* A job's pause between handovers grows by a round with each, up to this many rounds more. */
-#define HANDOVER_BACKOFF_MAX 7u
+/* The pause between handovers of a job grows by one round with each handover, up to this many additional rounds. */
+#define HANDOVER_BACKOFF_MAX_ROUNDS 7u
 
-/* Drops machines without room for `least`: in a long queue nearly all are full, and they need not be
- * looked at again. Returns whether other members own any of the rest. */
+/* Removes machines without room for `least`: with a long queue nearly all are full, and need not be examined
+ * again. Returns whether other members own any of the remaining ones. */
 static bool keep_fitting(const fc_cluster *cluster, GArray *capacity, const fc_job_spec *least) {
   fc_free_capacity_keep_fitting(capacity, least);
   for (guint i = 0; i < capacity->len; i++)
@@ -41,17 +41,17 @@
 
 typedef enum {
   KNOWLEDGE_INCOMPLETE,
-  KNOWLEDGE_ONCE_RECONCILED, /* complete once the machines are reconciled in this term */
+  KNOWLEDGE_ONCE_RECONCILED, /* complete once all machines are reconciled in this term */
   KNOWLEDGE_COMPLETE,
 } slice_knowledge;
 
-/* Does `peer` know of every task of the slice that may be on a machine? After a change of term some
- * tasks of a job may be on machines of other members; while that prevented the slice from being
- * handed over, a replica that was lost or never started stayed pending beside free room for as long
- * as the other ran (scene ten_leader_changes_in_two_minutes). What is on a machine of the peer we
- * know from its own views. What was started before the term on a third member's machine it sees
- * before that machine is reconciled for it; only news of what was started there in this term could
- * come too late. */
+/* How much `peer` knows of the slice's tasks that may be on machines; it must not start any of them twice.
+ *
+ * After a change of term, tasks of a job may be on machines of other members. When this alone prevented a handover,
+ * a replica that was lost or never started stayed pending despite free room for as long as the other replica ran
+ * (scene ten_leader_changes_in_two_minutes). Tasks on a machine of the peer are known from the peer's own views.
+ * Tasks that were started before this term on a third member's machine reach the peer before that machine counts as
+ * reconciled for it; only a task that was started there in this term could become known too late. */
 static slice_knowledge peer_knowledge(const fc_cluster *cluster, const fc_peer_progress *peers, const fc_job *job,
                                       unsigned slice, int peer) {
   slice_knowledge knowledge = KNOWLEDGE_COMPLETE;
@@ -60,9 +60,9 @@
     const fc_machine *machine = placement->machine;
     if (placement->index >= job->spec.tasks || fc_job_slice_of(job, placement->index) != slice) continue;
     if (job->spec.kind == FC_JOB_GANG) return KNOWLEDGE_INCOMPLETE;
-    /* No peer relies on our view of a machine of ours either while it isn't reconciled: views of
-     * this term show it so, though its tasks were in a view of an earlier one. A slice was handed
-     * over and started again (fault test with meetings, seed 566). */
+    /* This holds for our own machines too: the peer disregards our view of a machine that this term's views show
+     * as not reconciled, even if it acknowledged the tasks in an earlier term. A slice was handed over and its
+     * tasks were started a second time (fault test with meetings, seed 566). */
     if (!fc_machine_reconciled(cluster, machine)) return KNOWLEDGE_INCOMPLETE;
     if (fc_machine_owned_by_self(cluster, machine)) {
       if (peers->acked_view[peer] < placement->first_view || peers->acked_revision[peer] < machine->record_version)
@@ -76,7 +76,7 @@
   return knowledge;
 }
 
-/* A bit for each member on whose machines tasks of the slice are. */
+/* The members (a bit each) on whose machines tasks of the slice are. */
 static unsigned machine_owners_of_slice(const fc_job *job, unsigned slice) {
   unsigned owners = 0;
   for (guint i = 0; i < job->placements->len; i++) {
@@ -91,11 +91,11 @@
 
 typedef struct queued_job {
   fc_job *job;
-  unsigned pending[FC_SLICES_MAX]; /* tasks by slice */
-  unsigned staying;                /* a bit a slice of ours that is not to be handed over */
+  unsigned pending[FC_SLICES_MAX]; /* number of pending tasks, by slice */
+  unsigned staying;                /* this shard's slices (a bit each) that are not to be handed over */
 } queued_job;
 
-/* How many of the pending tasks the limit of the job's team leaves room for. */
+/* How many of the pending tasks the limit of the job's team allows. */
 static unsigned tasks_within_limit(const fc_cluster *cluster, const fc_team_usage *usage, const fc_job *job,
                                    unsigned pending) {
   if (job->team < 0) return pending;
@@ -107,28 +107,28 @@
   return count;
 }
 
-/* Gives each slice the room that its own shard has for it. */
+/* Packs each slice of the job into the room of its own shard. */
 static void pack_in_own_shards(const fc_shard_room *room, fc_team_usage *usage, queued_job *queued) {
   const fc_cluster *cluster = room->cluster;
   fc_job *job = queued->job;
   for (unsigned slice = 0; slice < job->slices.count; slice++) {
     int owner = fc_job_slice_owner(job, slice);
     if (owner < 0) continue;
-    /* What is pending for its team's limit claims no room: beside it others' jobs were pending for
-     * minutes at full shards (days with meetings, seed 6038). */
+    /* Tasks that their team's limit holds back claim no room: while they did, jobs of full shards stayed pending for
+     * minutes although that room was free (days with meetings, seed 6038). */
     unsigned allowed = tasks_within_limit(cluster, usage, job, queued->pending[slice]);
     unsigned packed = fc_shard_room_count(room, job, owner, allowed, true);
     if (job->team >= 0) {
       usage->cpus[job->team] += packed * job->spec.cpus;
       usage->gpus[job->team] += packed * job->spec.gpus;
     }
-    /* Nor does it gain anything in another shard. */
+    /* A slice at the limit could start nothing in another shard either. */
     bool at_limit = allowed == 0 && queued->pending[slice] > 0;
     if (owner == cluster->membership.self && (packed > 0 || at_limit)) queued->staying |= 1u << slice;
   }
 }
 
-/* The queue (queued_job), once each shard has packed its own slices. */
+/* Returns the queue (an array of queued_job) after each shard has packed its own slices; the caller frees it. */
 static GArray *pack_own_queues(const fc_shard_room *room, const GPtrArray *jobs) {
   GArray *queue = g_array_sized_new(FALSE, TRUE, sizeof(queued_job), jobs->len);
   fc_team_usage usage = fc_cluster_team_usage(room->cluster);
@@ -141,7 +141,8 @@
   return queue;
 }
 
-/* The member that holds most of the slice; -1: none that may get it has room. */
+/* The member whose shard has room for most of the slice's pending tasks, for all of them if the job is a gang;
+ * -1: no member that may receive the slice has room. */
 static int best_peer(const fc_shard_room *room, const fc_peer_progress *peers, const fc_job *job, unsigned slice,
                      unsigned pending) {
   const fc_cluster *cluster = room->cluster;
@@ -159,7 +160,7 @@
   return best;
 }
 
-/* Plans the handovers of the job's slices that are ours and resolved and fit only elsewhere. */
+/* Plans handovers of the job's slices that belong to this shard, are resolved and fit only in another shard. */
 static void hand_over_slices(const fc_shard_room *room, const fc_peer_progress *peers, const queued_job *queued,
                              GArray *handovers) {
   const fc_cluster *cluster = room->cluster;
@@ -178,11 +179,11 @@
   }
 }
 
-/* Has the job been pending, and its last handover been made, long enough ago? */
+/* Returns whether the job has been pending long enough, and its last handover is long enough ago. */
 static bool handover_allowed(const fc_cluster *cluster, const fc_job *job, double now) {
-  /* Where all shards are full, the job would be handed over again and again. */
+  /* The pause grows because a job would be handed over again and again while all shards are full. */
   double pause =
-      cluster->settings->operator_settings.round_s * (1 + MIN(job->slices.handover_count, HANDOVER_BACKOFF_MAX));
+      cluster->settings->operator_settings.round_s * (1 + MIN(job->slices.handover_count, HANDOVER_BACKOFF_MAX_ROUNDS));
   if (now < job->queue.entered_at + cluster->settings->operator_settings.handover_wait_s ||
       now < job->slices.handover_at + pause)
     return false;
--- a/src/scheduler/handover_planning.h
+++ b/src/scheduler/handover_planning.h
@@ -1,4 +1,4 @@
-/* Handovers: slices of pending jobs that find room only in another shard. Pure function over the
+/* Plans handovers: moves slices of pending jobs to other shards when only those have room. Pure function over the
  * cluster state. */
 #ifndef FC_SCHEDULER_HANDOVER_PLANNING_H
 #define FC_SCHEDULER_HANDOVER_PLANNING_H
@@ -9,15 +9,15 @@
 #include "scheduler/peer_progress.h"
 
 typedef struct fc_handover {
-  fc_job *job; /* the cluster's */
+  fc_job *job; /* owned by the cluster */
   unsigned slice;
-  int to;                  /* member */
-  unsigned machine_owners; /* a bit a member: on whose machines its tasks are, or may be started from then on */
-  bool partly_known;       /* `to` may not know yet of tasks on machines of other members */
+  int to;                  /* the receiving member */
+  unsigned machine_owners; /* members (a bit each) on whose machines its tasks are or may start from now on */
+  bool partly_known;       /* `to` may not yet know of tasks on machines of other members */
 } fc_handover;
 
-/* The slices (fc_handover) of this shard to hand over now: pending for a while, with room only in
- * another shard whose owner is available. The caller frees the array. */
+/* Returns an array of fc_handover: the slices of this shard that have been pending for a while and have room only
+ * in another shard whose owner is available. The caller frees the array. */
 GArray *fc_handovers_plan(const fc_cluster *cluster, const fc_peer_progress *peers, double now);
 
 #endif
--- a/src/scheduler/image_preemption.c
+++ b/src/scheduler/image_preemption.c
@@ -3,17 +3,17 @@
 #include "scheduler/free_capacity.h"
 #include "scheduler/victim_selection.h"
 
-/* Waiting has to pay off: a task waits for this much of the fetch, and only if that is longer than a
- * preemption takes, which is a checkpoint and a heartbeat or two. */
-#define FETCH_SHARE_TO_WAIT 0.5
-#define HEARTBEATS_TO_PREEMPT 3
+/* A task waits for at most this share of the time that fetching its image would take, and only if that is longer
+ * than a preemption: a checkpoint and one or two heartbeats. */
+#define WAIT_SHARE_OF_FETCH 0.5
+#define PREEMPTION_HEARTBEATS 3
 
 struct fc_image_preemption {
   const fc_cluster *cluster;
   double now;
   fc_team_usage usage;
   GArray *capacity;     /* fc_free_capacity; NULL: not gathered yet */
-  GHashTable *by_image; /* image -> GArray of fc_free_capacity, less what this round has taken */
+  GHashTable *by_image; /* image -> GArray of fc_free_capacity, without the room already used in this round */
 };
 
 fc_image_preemption *fc_image_preemption_new(const fc_cluster *cluster, double now) {
@@ -30,8 +30,8 @@
   g_free(search);
 }
 
-/* The machines that have the image. Room that one job of the round has taken there is taken for the
- * next job with the same image; a job with another image sees the machine as it was gathered. */
+/* The machines that have the image. Jobs with the same image share the entries, so that room used for one of them is
+ * not used again; a job with another image has entries of its own, without those changes. */
 static GArray *machines_with_image(fc_image_preemption *search, GRefString *image) {
   GArray *found = g_hash_table_lookup(search->by_image, image);
   if (found) return found;
@@ -56,8 +56,8 @@
   if (fc_machine_has_image(machine, job->spec.image)) return false;
   const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
   double fetch_s = machine_type->fetch_gb_per_s > 0 ? job->spec.image_gb / machine_type->fetch_gb_per_s : 0;
-  double wait_s = fetch_s * FETCH_SHARE_TO_WAIT;
-  if (wait_s < cluster->settings->heartbeat_s * HEARTBEATS_TO_PREEMPT || search->now > job->queue.entered_at + wait_s)
+  double wait_s = fetch_s * WAIT_SHARE_OF_FETCH;
+  if (wait_s < cluster->settings->heartbeat_s * PREEMPTION_HEARTBEATS || search->now > job->queue.entered_at + wait_s)
     return false;
   GArray *candidates = machines_with_image(search, job->spec.image);
   return fc_victims_select(cluster, &search->usage, candidates, job, search->now, stops);
--- a/src/scheduler/image_preemption.h
+++ b/src/scheduler/image_preemption.h
@@ -1,4 +1,4 @@
-/* Preemption on machines that have an image, in place of fetching it elsewhere. */
+/* Preempts tasks on machines that already have an image, where fetching it on another machine would take longer. */
 #ifndef FC_SCHEDULER_IMAGE_PREEMPTION_H
 #define FC_SCHEDULER_IMAGE_PREEMPTION_H
 
@@ -7,18 +7,18 @@
 #include "bookkeeping/cluster.h"
 #include "scheduler/bin_packing.h"
 
-/* Looks through the machines once for all decisions of a round: hundreds of decisions that each
- * looked through the fleet took the whole time of a round. */
+/* The search state of one round. It examines the machines once for all decisions: with hundreds of decisions, a
+ * pass over the fleet for each took the whole time of a round. */
 typedef struct fc_image_preemption fc_image_preemption;
 
 /* `cluster` must outlive the search. Freed with fc_image_preemption_free(). */
 fc_image_preemption *fc_image_preemption_new(const fc_cluster *cluster, double now);
 void fc_image_preemption_free(fc_image_preemption *search);
 
-/* For a decision of high priority that would fetch its image: should it wait until room is made on a
- * machine that has the image? If so, returns true, and the caller leaves the decision out of this
- * round. Appends to `stops` the tasks (fc_placement pointers, the cluster's) to preempt for that and
- * marks them as stop.requested; none, where room is being freed already. */
+/* Returns whether a decision of high priority that would fetch its image should instead wait for room on a machine
+ * that has it; the caller then leaves the decision out of this round. Appends the tasks to preempt for that
+ * (fc_placement pointers, owned by the cluster) to `stops` and marks them as stop.requested; none if room is already
+ * free or being freed. */
 bool fc_image_preemption_defer(fc_image_preemption *search, const fc_placement_decision *decision, GPtrArray *stops);
 
 #endif
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -5,7 +5,7 @@
 
 #include "bookkeeping/dependencies.h"
 
-static double wanted_start(const fc_job *job) {
+static double preferred_start(const fc_job *job) {
   double latest = fc_job_latest_start(job);
   return isinf(latest) ? job->queue.entered_at : latest;
 }
@@ -14,8 +14,8 @@
   const fc_job *left = *(const fc_job *const *)left_job;
   const fc_job *right = *(const fc_job *const *)right_job;
   if (left->queue.priority != right->queue.priority) return left->queue.priority > right->queue.priority ? -1 : 1;
-  double left_start = wanted_start(left);
-  double right_start = wanted_start(right);
+  double left_start = preferred_start(left);
+  double right_start = preferred_start(right);
   if (left_start != right_start) return left_start < right_start ? -1 : 1;
   return left->queue.sequence < right->queue.sequence ? -1 : left->queue.sequence > right->queue.sequence;
 }
--- a/src/scheduler/least_resources.h
+++ b/src/scheduler/least_resources.h
@@ -1,6 +1,5 @@
-/* The least of each resource that any of several jobs asks for: a machine without room for that
- * need not be looked at for any of them. Only cpus, gpus and memory_gb of the spec are set. Pure
- * functions. */
+/* The minimum of each resource that any of several jobs requests: a machine without room for that minimum can be
+ * skipped for all of them. Only cpus, gpus and memory_gb of the spec are set. Pure functions. */
 #ifndef FC_SCHEDULER_LEAST_RESOURCES_H
 #define FC_SCHEDULER_LEAST_RESOURCES_H
 
@@ -8,11 +7,11 @@
 
 #include "bookkeeping/cluster.h"
 
-/* Of no jobs: infinite. */
+/* The minimum over no jobs: every resource is INFINITY. */
 fc_job_spec fc_least_resources_none(void);
-/* Takes in one more request. */
+/* Lowers *least to the request where that is smaller. */
 void fc_least_resources_add(fc_job_spec *least, double cpus, double gpus, double memory_gb);
-/* Of the jobs (fc_job pointers). */
+/* The minimum over the jobs (fc_job pointers). */
 fc_job_spec fc_least_resources_of(const GPtrArray *jobs);
 
 #endif
--- a/src/scheduler/limit_preemption.c
+++ b/src/scheduler/limit_preemption.c
@@ -6,7 +6,7 @@
 #include "scheduler/gang_precedence.h"
 #include "scheduler/team_quota.h"
 
-/* The same order on every member. */
+/* Orders placements by job and task index, which is the same order on every member. */
 static gint compare_task(gconstpointer left_placement, gconstpointer right_placement) {
   const fc_placement *left = *(const fc_placement *const *)left_placement;
   const fc_placement *right = *(const fc_placement *const *)right_placement;
@@ -15,8 +15,8 @@
   return left->index < right->index ? -1 : left->index > right->index;
 }
 
-/* The tasks of the gang's team that may be preempted for it, in the same order on every member. Adds
- * what the team uses to *cpus and *gpus. */
+/* The tasks of the gang's team that may be preempted for it, in the same order on every member. Adds the team's
+ * usage to *cpus and *gpus. */
 static GPtrArray *preemptible_tasks(const fc_cluster *cluster, const fc_job *gang, double *cpus, double *gpus) {
   GPtrArray *preemptible = g_ptr_array_new();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
@@ -55,7 +55,7 @@
   fc_gang_precedence(cluster, preceding);
   for (size_t team = 0; team < cluster->settings->team_count; team++) {
     const fc_job *gang = preceding[team];
-    /* Running tasks may end by themselves; most faults are over within a lease. */
+    /* Wait first: running tasks may end without preemption, and most faults last less than a lease. */
     if (gang && now > gang->queue.entered_at + cluster->settings->lease_s) preempt_for_gang(cluster, gang, stops);
   }
 }
--- a/src/scheduler/machine_transfer.c
+++ b/src/scheduler/machine_transfer.c
@@ -7,23 +7,23 @@
 #include "scheduler/job_order.h"
 #include "scheduler/zone_spread.h"
 
-/* Nothing is preempted for a gang before it has been pending for so many rounds. */
+/* A gang has to be pending for this many rounds before tasks are preempted for it. */
 #define ROUNDS_BEFORE_PREEMPTION 2
 
-/* What a gang still needs, and where. */
+/* The tasks of a gang that have no room yet, and where they may go. */
 typedef struct gang_need {
   fc_job *job;
   int owner;           /* member */
   unsigned zone;       /* or FC_ANY_ZONE */
-  unsigned tasks_left; /* that have no room yet */
+  unsigned tasks_left; /* number of tasks without room */
 } gang_need;
 
 bool fc_preemptible_for_gang(const fc_placement *placement, const fc_job *gang) {
   return placement->job && fc_job_preemptible_for_gang(placement->job, gang->queue.priority);
 }
 
-/* The machine's room once everything that may be preempted for the gang has been; *whole: nothing
- * else is on it. */
+/* The machine's room after preempting every task that may be preempted for the gang. Sets *whole to whether no other
+ * task remains on it. */
 static fc_resources room_after_preemption(const fc_free_capacity *entry, const fc_job *gang, bool *whole) {
   fc_resources room = entry->room;
   *whole = true;
@@ -39,8 +39,9 @@
   return room;
 }
 
-/* Finds the room that the gang may use of this machine: any on machines of its owner, only whole
- * machines of others; with `preempt`, also what can be preempted. Returns false for none. */
+/* Sets *room to the room that the gang may use on this machine: on machines of its owner all free room, on machines
+ * of other members only whole machines; with `preempt`, including the room of preemptible tasks. Returns false when no
+ * task fits. */
 static bool room_for_gang(const fc_free_capacity *entry, const fc_job *job, int owner, unsigned zone, bool preempt,
                           fc_resources *room) {
   const fc_machine *machine = entry->machine;
@@ -52,7 +53,7 @@
   return (machine->owner == owner || whole) && fc_resources_fit(room, &job->spec);
 }
 
-/* How many of the needed tasks find room in the zone; *on_own: of those, on machines of the gang's
+/* How many of the needed tasks fit in the zone. Sets *on_own to the number of those on machines of the gang's
  * owner. */
 static unsigned gang_tasks_fitting(const GArray *capacity, const gang_need *need, unsigned zone, bool preempt,
                                    unsigned *on_own) {
@@ -72,8 +73,8 @@
   return count;
 }
 
-/* Sets the need's zone to the one that holds the whole gang with the most tasks on machines of its
- * owner (*best_on_own). Returns false when no zone holds it. */
+/* Sets the need's zone to one that has room for the whole gang, with the most tasks on machines of the gang's owner
+ * (*best_on_own). Returns false when no zone has room for it. */
 static bool find_zone(const fc_cluster *cluster, const GArray *capacity, gang_need *need, bool preempt,
                       unsigned *best_on_own) {
   bool found = false;
@@ -92,8 +93,8 @@
   return found;
 }
 
-/* One step over the machines of the gang's owner, or over those of others: claims the ones it needs,
- * with or without preemption. Ours among them become transfers. */
+/* Claims the machines that the gang needs, either among those of its owner (`of_owner`) or among those of other
+ * members, with or without preemption. Claimed machines of this shard are added to `transfers`. */
 static void claim_machines(const fc_cluster *cluster, GArray *capacity, gang_need *need, bool of_owner, bool preempt,
                            GArray *transfers) {
   for (guint i = 0; i < capacity->len && need->tasks_left > 0; i++) {
@@ -125,10 +126,10 @@
     if (now < job->queue.entered_at + ROUNDS_BEFORE_PREEMPTION * cluster->settings->operator_settings.round_s) return;
     if (!find_zone(cluster, capacity, &need, true, &on_own)) return;
   } else if (on_own >= need.tasks_left) {
-    return; /* its owner places it alone */
+    return; /* its owner has room for the whole gang */
   }
-  /* The owner's own machines first, then idle ones of others, then what has to be preempted: all
-   * members make the same choice from what they know. */
+  /* First the owner's own machines, then idle machines of others, then machines with tasks to preempt. All members
+   * make the same choice if they have the same cluster state. */
   claim_machines(cluster, capacity, &need, true, false, transfers);
   claim_machines(cluster, capacity, &need, false, false, transfers);
   if (!preempt) return;
@@ -136,7 +137,7 @@
   claim_machines(cluster, capacity, &need, false, true, transfers);
 }
 
-/* Gangs that are still pending after the time for a handover, in the same order on every member. */
+/* Gangs that are still pending after the wait for a handover, in the same order on every member. */
 static GPtrArray *pending_gangs(const fc_cluster *cluster, double now) {
   GPtrArray *gangs = g_ptr_array_new();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
--- a/src/scheduler/pending_tasks.c
+++ b/src/scheduler/pending_tasks.c
@@ -4,7 +4,7 @@
 
 #include "bookkeeping/dependencies.h"
 
-/* Bitmaps up to this size live on the stack. */
+/* Bitmaps up to this size are stored on the stack. */
 #define STACK_BITMAP_BYTES 64u
 #define BITS_PER_BYTE 8u
 #define ALL_TASKS_TAKEN 0xffu
@@ -21,22 +21,23 @@
   return slices;
 }
 
-/* A bitmap of the tasks that are completed or may be running. Uses `stack_bitmap` where that is
- * large enough; the caller frees any other result. */
+/* A bitmap of the tasks that are completed or may be running. Returns `stack_bitmap` if that is large enough,
+ * otherwise an allocated bitmap that the caller frees. */
 static uint8_t *taken_tasks(const fc_job *job, uint8_t stack_bitmap[STACK_BITMAP_BYTES]) {
   size_t bytes = fc_task_bitmap_bytes(job->spec.tasks);
   uint8_t *taken = bytes <= STACK_BITMAP_BYTES ? stack_bitmap : g_malloc(bytes);
   memcpy(taken, job->completion.bitmap, bytes);
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_placement *placement = job->placements->pdata[i];
-    /* A task that exited without completing runs no more; any other may. */
+    /* A task that exited without completing is pending again. Any other placement may still run or has completed. */
     if (placement->status.state == FC_TASK_EXITED && placement->status.cause != FC_CAUSE_DONE) continue;
     if (placement->index < job->spec.tasks) fc_task_bitmap_set(taken, placement->index);
   }
   return taken;
 }
 
-/* Counts the pending tasks of the slices, up to `limit`; appends them to `list` unless it is NULL. */
+/* Returns the number of pending tasks of the slices, at most `limit`; appends their indexes to `list` unless that is
+ * NULL. */
 static guint collect_pending(const fc_job *job, unsigned slices, guint limit, GArray *list) {
   uint8_t stack_bitmap[STACK_BITMAP_BYTES];
   uint8_t *taken = taken_tasks(job, stack_bitmap);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -6,9 +6,9 @@
 #include "scheduler/victim_selection.h"
 #include "scheduler/zone_spread.h"
 
-/* The most tasks of one job that a round preempts for. */
+/* Maximum number of tasks of one job for which a round makes room. */
 #define PREEMPTION_TASKS_MAX 64u
-/* Beside the time for a handover, a job has to be pending for this much of a round. */
+/* A job has to be pending for this share of a round in addition to the wait for a handover. */
 #define ROUND_SHARE_BEFORE_PREEMPTION 0.5
 
 typedef struct preemption_round {
@@ -22,7 +22,7 @@
   GPtrArray *stops; /* fc_placement */
 } preemption_round;
 
-/* A job that no room could be made for, and the zones (a bit each) that were open to it. */
+/* A job for which no room could be made, and the zones (a bit each) that it was allowed to use. */
 typedef struct search_failure {
   const fc_job *job;
   unsigned zones;
@@ -36,9 +36,9 @@
   return zones;
 }
 
-/* Must the search for the job fail because that for another did: does it ask for no less, at most
- * in the same places? Room only shrinks while a round chooses. */
-static bool fails_like(const search_failure *failure, const fc_job *job, unsigned zones) {
+/* Returns whether a search for `job` is bound to fail because the recorded one failed: the job requests at least as
+ * much and may use at most the same machines. Room only shrinks during a round. */
+static bool implies_failure(const search_failure *failure, const fc_job *job, unsigned zones) {
   const fc_job *failed = failure->job;
   const fc_job_spec *failed_spec = &failed->spec;
   const fc_job_spec *spec = &job->spec;
@@ -53,7 +53,7 @@
 static bool must_fail(const GArray *failures, const fc_job *job) {
   unsigned zones = allowed_zones(job);
   for (guint i = 0; i < failures->len; i++)
-    if (fails_like(&g_array_index(failures, search_failure, i), job, zones)) return true;
+    if (implies_failure(&g_array_index(failures, search_failure, i), job, zones)) return true;
   return false;
 }
 
@@ -62,10 +62,10 @@
   if (job->spec.kind == FC_JOB_GANG || !fc_job_placeable(round->cluster, job, round->now) ||
       job->slices.handover_pending)
     return false;
-  /* What may not be placed gets no room: the victims were placed there again, twice a second (scene
-   * preempted_for_nothing). */
+  /* No room is made for a job that may not be placed: its victims were placed there again and preempted again, twice
+   * a second (scene preempted_for_nothing). */
   if (fc_gang_order_holds_back(&round->gang_order, job)) return false;
-  /* Idle room in another shard is cheaper: the handover needs time to find it. */
+  /* Free room in another shard is cheaper than preemption; allow time for a handover to find it. */
   if (round->now < job->queue.entered_at + settings->operator_settings.handover_wait_s +
                        settings->operator_settings.round_s * ROUND_SHARE_BEFORE_PREEMPTION)
     return false;
@@ -77,7 +77,7 @@
   return fc_team_allowance_holds(&round->allowance, &reserved, job, 1);
 }
 
-/* Makes room for the job's pending tasks, until there is none to be made. */
+/* Makes room for the job's pending tasks until the allowance is used up or no more room can be made. */
 static void preempt_for_job(preemption_round *round, const fc_job *job) {
   const fc_cluster *cluster = round->cluster;
   GArray *pending = fc_job_pending_tasks(job, cluster->membership.self, PREEMPTION_TASKS_MAX);
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,4 +1,4 @@
-/* Preemption for priority and quota: which running tasks make room for pending ones. */
+/* Preemption for priority and quota: chooses running tasks to stop so that pending ones can start. */
 #ifndef FC_SCHEDULER_PREEMPTION_H
 #define FC_SCHEDULER_PREEMPTION_H
 
@@ -7,10 +7,9 @@
 #include "bookkeeping/cluster.h"
 #include "scheduler/team_quota.h"
 
-/* The tasks of this shard (fc_placement pointers, the cluster's) to preempt for jobs of this shard
- * that have been pending for a while and found no room, within `allowance`. Marks them as
- * stop.requested and changes nothing else of the cluster state; the caller sends the stops and frees
- * the array. */
+/* Returns the tasks of this shard (fc_placement pointers, owned by the cluster) to preempt for jobs of this shard
+ * that have been pending for a while without room, within `allowance`. Marks the tasks as stop.requested, which is
+ * the only change to the cluster state; the caller sends the stops and frees the array. */
 GPtrArray *fc_preemption_plan(const fc_cluster *cluster, const fc_team_allowance *allowance, double now);
 
 #endif
--- a/src/scheduler/shard_room.h
+++ b/src/scheduler/shard_room.h
@@ -1,5 +1,5 @@
-/* How many tasks of a job one shard's machines could take: by free room alone, or also by preemption
- * as the rules allow. Pure functions over the cluster state. */
+/* Counts the tasks of a job for which one shard's machines have room: free room only, or also room that permitted
+ * preemption would make. Pure functions over the cluster state. */
 #ifndef FC_SCHEDULER_SHARD_ROOM_H
 #define FC_SCHEDULER_SHARD_ROOM_H
 
@@ -8,15 +8,15 @@
 #include "bookkeeping/cluster.h"
 #include "scheduler/team_quota.h"
 
-/* Machines of all shards, from which counted tasks may take their room. */
+/* The machines of all shards, with the room that is left to further tasks. */
 typedef struct fc_shard_room {
   const fc_cluster *cluster;
   GArray *capacity;           /* fc_free_capacity, not owned */
-  const fc_team_usage *usage; /* what preemption is judged by; NULL: only free room counts */
+  const fc_team_usage *usage; /* decides which preemptions are permitted; NULL: only free room counts */
 } fc_shard_room;
 
-/* How many of `tasks` tasks of the job the member's machines hold, in the best zone where the job has
- * to be in one; `take`: their room is then taken. */
-unsigned fc_shard_room_count(const fc_shard_room *room, const fc_job *job, int member, unsigned tasks, bool take);
+/* Returns how many of `tasks` tasks of the job fit on the member's machines; for a job that must run in one zone, in
+ * the zone with the most room for it. With `reserve`, their room is subtracted from `room->capacity`. */
+unsigned fc_shard_room_count(const fc_shard_room *room, const fc_job *job, int member, unsigned tasks, bool reserve);
 
 #endif
--- a/src/scheduler/slice_assignment.c
+++ b/src/scheduler/slice_assignment.c
@@ -3,7 +3,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "coordination/assignment.h"
 
-/* Does the member's shard have a machine that could run a task of the job when empty? */
+/* Returns whether the member's shard has a machine that could run a task of the job if it were empty. */
 static bool has_suitable_machine(const fc_cluster *cluster, int member, const fc_job_spec *spec) {
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
@@ -29,7 +29,7 @@
     available_members.members[available_members.count++] = term->members[i];
     if (has_suitable_machine(cluster, (int)i, spec)) suitable.members[suitable.count++] = term->members[i];
   }
-  /* Where no shard has a suitable machine, one will be rented for any available member. */
+  /* If no shard has a suitable machine, one can be rented for any available member. */
   const fc_term *eligible = suitable.count > 0 ? &suitable : &available_members;
   for (unsigned slice = 0; slice < slices && eligible->count > 0; slice++) {
     int owner = fc_assign_slice(term, spec->id, slice, slices, NULL);
--- a/src/scheduler/team_quota.c
+++ b/src/scheduler/team_quota.c
@@ -26,9 +26,8 @@
 
 bool fc_team_over_guarantee(const fc_cluster *cluster, const fc_team_usage *usage, int team) {
   const fc_team_settings *team_settings = &cluster->settings->teams[team];
-  /* A guarantee of 0 means that nothing of the kind is guaranteed, not that nothing may be used: a
-   * team guaranteed only GPUs always counted as over its guarantee of CPUs, and teams preempted
-   * each other's tasks round after round. */
+  /* A guarantee of 0 means that none of the resource is guaranteed, not that none may be used: when a team with a
+   * guarantee of GPUs only counted as over its guarantee of CPUs, teams preempted each other's tasks in every round. */
   if (team_settings->gpus <= 0 && team_settings->cpus <= 0) return true;
   return (team_settings->gpus > 0 && usage->gpus[team] > team_settings->gpus + FC_QUOTA_TOLERANCE) ||
          (team_settings->cpus > 0 && usage->cpus[team] > team_settings->cpus + FC_QUOTA_TOLERANCE);
--- a/src/scheduler/victim_selection.c
+++ b/src/scheduler/victim_selection.c
@@ -3,16 +3,16 @@
 #include "scheduler/free_capacity.h"
 #include "scheduler/zone_spread.h"
 
-/* The cost of preempting a task, in seconds of work: it has not started yet, or saves a checkpoint
- * first, or loses all it has done (and is likely to lose more than that once it starts again), or is
- * a replica that serves users. */
+/* The cost of preempting a task, in seconds of work. The task has not started yet, or saves a checkpoint first, or
+ * loses all its work (and a factor accounts for more that is lost when it starts again), or is a service replica that
+ * serves users. */
 #define NOT_STARTED_COST_S 0.5
 #define CHECKPOINT_COST_S 1
 #define RESTART_COST_S 2
 #define RESTART_COST_FACTOR 2
 #define SERVICE_COST_S 1000
 
-/* What room is sought for. */
+/* The job that needs room. */
 typedef struct victim_query {
   const fc_cluster *cluster;
   const fc_team_usage *usage;
@@ -25,18 +25,19 @@
   double cost_s;
 } victim;
 
-/* A machine and what to preempt there. */
+/* The tasks to preempt on one machine. */
 typedef struct victim_set {
-  fc_free_capacity *entry; /* NULL: none */
+  fc_free_capacity *entry; /* NULL: no machine found */
   GArray *victims;         /* victim */
   double cost_s;
 } victim_set;
 
+/* Returns whether the task may be preempted for the job of the query. */
 static bool may_preempt(const victim_query *query, const fc_placement *placement) {
   if (!fc_placement_active(placement) || placement->stop.requested || !placement->job || placement->job->team < 0)
     return false;
   const fc_job *victim_job = placement->job;
-  /* Preempting one task of a gang ends them all: too costly for the room of one. */
+  /* Preempting one task of a gang stops all its tasks, which costs too much for the room of one. */
   if (victim_job->spec.kind == FC_JOB_GANG) return false;
   if (victim_job->queue.priority < query->job->queue.priority) return true;
   return victim_job->queue.priority == query->job->queue.priority && victim_job->spec.kind == FC_JOB_ARRAY &&
@@ -44,7 +45,7 @@
          fc_team_over_guarantee(query->cluster, query->usage, victim_job->team);
 }
 
-/* Seconds of work that preempting the task throws away, the time for its checkpoint included. */
+/* The seconds of work lost by preempting the task, including the time to save its checkpoint. */
 static double preemption_cost_s(const fc_placement *placement, double now) {
   if (placement->status.state == FC_TASK_FETCHING || !placement->status.running_since) return NOT_STARTED_COST_S;
   if (placement->job->spec.checkpoint_s > 0) return CHECKPOINT_COST_S + placement->job->spec.save_s;
@@ -70,14 +71,14 @@
   return room;
 }
 
-/* Would the task fit with all victims gone? Most machines of a full fleet hold no victim: they cost
- * no more than this. */
+/* Returns whether the task would fit with all possible victims preempted. A cheap check first: most machines of a full
+ * fleet have no victims. */
 static bool could_fit(const victim_query *query, const fc_free_capacity *entry) {
   fc_resources room = fc_victims_room(query->cluster, query->usage, entry, query->job);
   return fc_resources_fit(&room, &query->job->spec);
 }
 
-/* All possible victims on the machine, the cheapest first. */
+/* Returns all possible victims on the machine, the cheapest first; the caller frees the array. */
 static GArray *victims_by_cost(const victim_query *query, const fc_free_capacity *entry) {
   GArray *victims = g_array_new(FALSE, FALSE, sizeof(victim));
   for (guint i = 0; i < entry->machine->placements->len; i++) {
@@ -90,7 +91,8 @@
   return victims;
 }
 
-/* The cheapest victims on one machine, and their cost; NULL when it can't make enough room. */
+/* Returns the cheapest victims that make enough room on the machine (the caller frees them) and sets *cost_s to their
+ * total cost. Returns NULL if preemption can't make enough room. */
 static GArray *select_victims(const victim_query *query, const fc_free_capacity *entry, double *cost_s) {
   if (!could_fit(query, entry)) return NULL;
   const fc_job_spec *spec = &query->job->spec;
@@ -111,7 +113,7 @@
   return victims;
 }
 
-/* The machine where making room costs least; its victims are the caller's to free. */
+/* The machine where making room costs least; the caller frees its victims. */
 static victim_set cheapest_set(const victim_query *query, GArray *capacity) {
   victim_set best = {NULL, NULL, 0};
   const fc_job *job = query->job;
@@ -120,7 +122,7 @@
     fc_free_capacity *entry = &g_array_index(capacity, fc_free_capacity, i);
     if (!fc_zone_spread_allows(&spread, &job->spec, entry->machine->zone) || !fc_machine_suits_job(entry->machine, job))
       continue;
-    /* The job may not be placed there either. */
+    /* The job could not be placed on a machine that is reserved for another. */
     if (fc_machine_reserved_from(entry->machine, job->spec.id, query->now)) continue;
     double cost_s;
     GArray *victims = select_victims(query, entry, &cost_s);
@@ -131,7 +133,7 @@
     }
     if (best.victims) g_array_free(best.victims, TRUE);
     best = (victim_set){entry, victims, cost_s};
-    if (cost_s <= 0) break; /* room that is free or being freed: nothing is cheaper */
+    if (cost_s <= 0) break; /* there is room without preemption: nothing is cheaper */
   }
   return best;
 }
--- a/src/scheduler/zone_spread.c
+++ b/src/scheduler/zone_spread.c
@@ -10,11 +10,11 @@
 }
 
 void fc_zone_spread_add(fc_zone_spread *spread, unsigned zone) {
-  spread->in[zone]++;
-  spread->all++;
+  spread->by_zone[zone]++;
+  spread->total++;
 }
 
 bool fc_zone_spread_allows(const fc_zone_spread *spread, const fc_job_spec *spec, unsigned zone) {
-  if (spec->one_zone && spread->all != spread->in[zone]) return false;
-  return !spec->spread || spread->in[zone] + 1 <= (spec->tasks + 1) / 2;
+  if (spec->one_zone && spread->total != spread->by_zone[zone]) return false;
+  return !spec->spread || spread->by_zone[zone] + 1 <= (spec->tasks + 1) / 2;
 }
