--- a/src/scheduler/capacity_model.c
+++ b/src/scheduler/capacity_model.c
@@ -5,12 +5,12 @@
 #include "bookkeeping/cluster_machines.h"
 #include "scheduler/free_capacity.h"
 
-/* A machine that takes longer than this to start up (so much of the usual time, and of a lease) may never
- * come up. */
+/* A machine is overdue when it has not started up within these multiples of its type's usual startup time and
+ * of the worker lease, added together. It may never come up. */
 #define OVERDUE_STARTUP_FACTOR 1.7
 #define OVERDUE_LEASE_FACTOR 0.5
 
-/* Nothing is planned on such a machine, though it is not given up yet. */
+/* No task is planned on an overdue machine, although it has not been given up yet. */
 static bool startup_overdue(const fc_cluster *cluster, const fc_machine *machine, double now) {
   const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
   return !machine->announced && now > machine->first_seen + OVERDUE_STARTUP_FACTOR * machine_type->boot_s +
@@ -36,7 +36,7 @@
   }
 }
 
-/* Rentals under way will bring machines too. */
+/* Adds the machines of rentals that are under way. */
 static void add_requested_machines(fc_capacity_model *model) {
   const fc_cluster *cluster = model->cluster;
   GHashTableIter iter;
@@ -57,13 +57,13 @@
   }
 }
 
-/* Machines in use first, so that the idle ones stay empty where possible; among idle ones the oldest
- * ids first, so that the youngest become surplus. */
+/* Machines in use first, so that idle ones stay empty where possible; then spot instances; then the lowest ids,
+ * so that the newest machines become surplus. */
 static gint compare_use(gconstpointer left_machine, gconstpointer right_machine) {
   const fc_model_machine *left = left_machine;
   const fc_model_machine *right = right_machine;
   if (left->idle != right->idle) return left->idle ? 1 : -1;
-  if (left->spot != right->spot) return left->spot ? -1 : 1; /* the cheaper room first */
+  if (left->spot != right->spot) return left->spot ? -1 : 1; /* the cheaper ones first */
   if (!left->machine || !right->machine) return (left->machine == NULL) - (right->machine == NULL);
   return strcmp(left->machine->id, right->machine->id);
 }
--- a/src/scheduler/capacity_model.h
+++ b/src/scheduler/capacity_model.h
@@ -1,6 +1,5 @@
-/* The fleet as a plan of its size sees it: the machines that there are or soon will be, those that
- * the plan rents, and what room the packed jobs leave on them. Nothing of it changes the cluster
- * state. */
+/* A model of the fleet for planning its size: the existing and requested machines, the machines that the plan
+ * rents, and the room that the packed jobs leave on them. Does not change the cluster state. */
 #ifndef FC_SCHEDULER_CAPACITY_MODEL_H
 #define FC_SCHEDULER_CAPACITY_MODEL_H
 
@@ -9,47 +8,49 @@
 #include "bookkeeping/cluster.h"
 #include "scheduler/team_quota.h"
 
-/* Has the cloud refused machines of this type (an index), zone and kind lately? */
+/* Returns whether the cloud recently refused machines of this type (an index into the machine types) in this
+ * zone, as spot instances or on demand. */
 typedef bool (*fc_capacity_refused_fn)(int type, const char *zone, bool spot, void *arg);
 
 typedef struct fc_model_machine {
   int type;         /* index into the machine types; -1: none */
-  int owner;        /* member; -1: whoever has the fewest machines */
+  int owner;        /* member; -1: the one with the fewest machines */
   const char *zone; /* not owned */
   unsigned zone_index;
   bool spot;
-  bool rented; /* by the plan */
-  bool idle;   /* holds nothing yet */
+  bool rented; /* to be rented by the plan */
+  bool idle;   /* has no task */
   fc_resources room;
-  const fc_machine *machine; /* NULL: not there yet */
+  const fc_machine *machine; /* NULL: requested, or to be rented */
 } fc_model_machine;
 
 typedef struct fc_capacity_model {
   const fc_cluster *cluster;
-  GArray *machines;                            /* fc_model_machine: in the order of their use */
-  GArray *open;                                /* guint: indexes of machines that some job may still fit on */
-  unsigned machines_in_zone[FC_ZONES_MAX + 1]; /* the last: in none of the zones of the settings */
+  GArray *machines;                            /* fc_model_machine, in the order in which they are filled */
+  GArray *open;                                /* guint: indexes of machines with room for some job */
+  unsigned machines_in_zone[FC_ZONES_MAX + 1]; /* the last: zones that are not in the settings */
   fc_capacity_refused_fn refused;              /* or NULL */
   void *refused_arg;
-  fc_team_usage usage; /* of running tasks and of those packed so far */
-  fc_job_spec least;   /* the least that any job asks for */
+  fc_team_usage usage; /* by running tasks and those packed so far */
+  fc_job_spec least;   /* the minimum of each resource that any job requests */
 } fc_capacity_model;
 
-/* Starts with the machines that the cluster state shows, those starting up and requested ones included. The
- * caller ends it with fc_capacity_model_finish(). */
+/* Fills the model with the machines of the cluster state, including those starting up or requested. The caller
+ * releases it with fc_capacity_model_finish(). */
 void fc_capacity_model_init(fc_capacity_model *model, const fc_cluster *cluster, const fc_job_spec *least, double now);
-/* Frees what the model holds; returns its machines, which the caller frees. */
+/* Releases the model and returns its array of fc_model_machine, which the caller frees. */
 GArray *fc_capacity_model_finish(fc_capacity_model *model);
 /* Adds a machine that the plan rents. */
 void fc_capacity_model_add(fc_capacity_model *model, const fc_model_machine *machine);
-/* Drops from `open` the machines that no job fits on any more. */
+/* Removes from `open` the machines on which no job fits any more. */
 void fc_capacity_model_close_full(fc_capacity_model *model);
-/* The open machine at a position of `open`. */
+/* The machine at this position of `open`. */
 fc_model_machine *fc_capacity_model_open_at(const fc_capacity_model *model, guint position);
 
-/* Counts one more task of the job, if its team's limit allows it; false: it does not. */
+/* Adds one task of the job to the usage; returns false, with nothing changed, if its team's limit does not allow
+ * it. */
 bool fc_capacity_model_use_quota(fc_capacity_model *model, const fc_job *job);
-/* May a task of the job run on the machine, and has it the room? */
+/* Returns whether a task of the job may run on the machine and fits its free room. */
 bool fc_capacity_model_fits(const fc_capacity_model *model, const fc_model_machine *machine, const fc_job *job);
 
 #endif
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -9,20 +9,19 @@
 #include "scheduler/rental_choice.h"
 #include "scheduler/zone_spread.h"
 
-/* Room for production jobs is reserved for so many times the usual deviation of arrivals. */
+/* Headroom for expected production jobs covers this many times as many deviations as that for other jobs. */
 #define PROD_DEVIATION_FACTOR 2
 
-/* One job while it is packed. Its tasks are alike: what one of them found too full, the next need not
- * look at again. A pass over all machines for each task took longer than a round may, with hundreds
- * of both. */
+/* The state of packing one job. Its tasks are identical, so each continues where the search for the previous one
+ * ended: a pass over all machines for each task exceeded the time of a round with hundreds of both. */
 typedef struct job_packing {
   const fc_job *job;
   fc_zone_spread spread;
-  guint position;           /* in the open machines: how far the tasks have looked */
-  guint on_demand_position; /* the same of the second look, at idle on-demand machines too */
+  guint position;           /* index into `open`: no machine before it can take another task */
+  guint on_demand_position; /* the same for the second search, which includes idle on-demand machines */
 } job_packing;
 
-/* The least that any job, or any class of which arrivals are expected, asks for. */
+/* The minimum of each resource that any job, or any class of expected arrivals, requests. */
 static fc_job_spec least_requested(const fc_cluster *cluster, const GPtrArray *jobs) {
   fc_job_spec least = fc_least_resources_of(jobs);
   GHashTableIter iter;
@@ -41,8 +40,8 @@
   fc_zone_spread_add(&packing->spread, machine->zone_index);
 }
 
-/* Packs one task into existing room. An idle on-demand machine is no room for work that may run on
- * a spot instance, unless `on_demand`: the work may start there, but the machine is not retained for it. */
+/* Packs one task into existing room. Unless `on_demand`, a task that may run on a spot instance is not packed on an
+ * idle on-demand machine: it may start there, but the machine is not retained for it. */
 static bool pack_existing(fc_capacity_model *model, job_packing *packing, bool on_demand) {
   const fc_job *job = packing->job;
   guint *position = on_demand ? &packing->on_demand_position : &packing->position;
@@ -57,7 +56,7 @@
   return false;
 }
 
-/* Packs one task on a machine to be rented. */
+/* Packs one task on an additional machine to be rented. Returns false when none can be rented for it. */
 static bool rent_machine(fc_capacity_model *model, job_packing *packing, unsigned zone, int owner, bool on_demand) {
   const fc_rental_need need = {
       .job = packing->job, .spread = &packing->spread, .zone = zone, .owner = owner, .on_demand = on_demand};
@@ -82,8 +81,8 @@
          fc_capacity_model_fits(model, machine, job);
 }
 
-/* How many of the gang's tasks its owner could start in the zone, with the idle machines that other
- * shards would transfer. */
+/* How many of the gang's tasks its owner could start in the zone, including on idle machines that other shards would
+ * transfer. */
 static unsigned gang_tasks_fitting(const fc_capacity_model *model, const fc_job *job, unsigned zone, int owner,
                                    unsigned tasks) {
   unsigned count = 0;
@@ -96,15 +95,15 @@
   return count;
 }
 
-/* The zone that holds most of a gang which must be in one; among equals, not one that the cloud
- * refused. */
+/* The zone with room for most tasks of a gang that must run in one zone; among equals, preferably one in which the
+ * cloud has not refused machines. */
 static unsigned gang_zone(const fc_capacity_model *model, const fc_job *job, int owner, unsigned tasks) {
   const fc_settings *settings = model->cluster->settings;
   unsigned best_zone = FC_ANY_ZONE;
   unsigned most = 0;
   for (unsigned zone = 0; zone < settings->zone_count; zone++) {
-    /* A gang may also be bound to a zone by name: planned for another zone with no less room, it
-     * was never rented for, and held up its team. */
+    /* The job may require a zone by name: when such a gang was planned for another zone with as much room, no
+     * machine was ever rented for it, and it blocked its team. */
     if (job->spec.zone && strcmp(job->spec.zone, settings->zones[zone]) != 0) continue;
     unsigned count = gang_tasks_fitting(model, job, zone, owner, tasks);
     bool refused = model->refused && model->refused(0, settings->zones[zone], false, model->refused_arg);
@@ -147,8 +146,8 @@
 }
 
 static void pack_job(fc_capacity_model *model, const fc_job *job) {
-  /* The bound is high: with 64 tasks at a time the largest arrays were pending for one machine to start up
-   * after the other. */
+  /* The limit is high: with 64 tasks per round the largest arrays waited while their machines started up one after
+   * the other. */
   guint tasks = fc_job_count_pending_tasks(job, -1, FC_PENDING_TASKS_MAX);
   if (tasks == 0) return;
   job_packing packing = {.job = job, .spread = fc_job_zone_spread(job)};
@@ -166,7 +165,7 @@
   return longest;
 }
 
-/* Packs `tasks` tasks that a class of jobs may bring. */
+/* Packs `tasks` expected tasks of a class of jobs. */
 static void pack_expected_tasks(fc_capacity_model *model, const fc_arrival_class *job_class, unsigned tasks) {
   fc_job expected = {.spec = {.kind = FC_JOB_ARRAY,
                               .tasks = tasks,
@@ -175,14 +174,14 @@
                               .memory_gb = job_class->memory_gb,
                               .spot = job_class->spot}};
   job_packing packing = {.job = &expected};
-  /* No on-demand machines are retained for work that may use spot instances. */
+  /* No on-demand machines are retained or rented for expected work that may use spot instances. */
   for (unsigned i = 0; i < tasks; i++)
     if (!pack_existing(model, &packing, false) && !rent_spot(model, &packing) &&
         (job_class->spot || !rent_any(model, &packing)))
       break;
 }
 
-/* Keeps room for what may arrive, beyond the average, while a machine starts up. */
+/* Packs the tasks that may arrive, beyond the average, in the time that a machine takes to start up. */
 static void pack_expected_arrivals(fc_capacity_model *model, double now) {
   const fc_cluster *cluster = model->cluster;
   double startup_s = longest_startup_s(cluster);
@@ -191,7 +190,7 @@
   g_hash_table_iter_init(&iter, cluster->arrivals.classes);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const fc_arrival_class *job_class = value;
-    if (job_class->kind == FC_JOB_GANG) continue; /* its machines are sized by the job */
+    if (job_class->kind == FC_JOB_GANG) continue; /* the machines of a gang depend on the job */
     double deviations = cluster->settings->operator_settings.warm_deviations *
                         (job_class->priority == FC_PRIORITY_PROD ? PROD_DEVIATION_FACTOR : 1);
     unsigned tasks = fc_arrival_stats_headroom(
@@ -200,8 +199,8 @@
   }
 }
 
-/* Gangs that have precedence under their team's limit go first, and nothing is rented for what has to
- * leave the limit to them. */
+/* Packs the gangs that have precedence under their team's limit first; nothing is rented for jobs that have to leave
+ * the limit to them. */
 static void pack_queue(fc_capacity_model *model, const GPtrArray *jobs, double now) {
   const fc_cluster *cluster = model->cluster;
   fc_gang_order order;
--- a/src/scheduler/scale_in.c
+++ b/src/scheduler/scale_in.c
@@ -2,7 +2,7 @@
 
 #include "scheduler/queue_packing.h"
 
-/* The cloud charges a deleted machine for a minute at least. */
+/* The cloud charges at least one minute for each machine. */
 #define MINIMUM_CHARGE_S 60.0
 
 GHashTable *fc_scale_in_surplus(const fc_cluster *cluster, double now) {
@@ -19,7 +19,7 @@
 bool fc_machine_idle_too_long(const fc_cluster *cluster, const fc_machine *machine, double now) {
   if (!fc_machine_vacant(machine) || !machine->idle_since || machine->type < 0) return false;
   const fc_machine_type *machine_type = cluster->machine_types->pdata[machine->type];
-  /* Renting again costs the startup and the least charge; keeping the machine costs time. */
+  /* Renting a replacement costs its startup time and the minimum charge; keeping the machine costs its idle time. */
   double keep_s = (machine_type->boot_s + MINIMUM_CHARGE_S) * cluster->settings->operator_settings.idle_keep_share;
   return now - machine->idle_since > keep_s;
 }
--- a/src/scheduler/scale_out.c
+++ b/src/scheduler/scale_out.c
@@ -4,7 +4,7 @@
 
 #include "scheduler/queue_packing.h"
 
-/* The request for machines of this kind for this owner; NULL: none yet. */
+/* The request for machines of the same type, zone and owner, spot or on-demand; NULL: none yet. */
 static fc_rental_request *find_request(const GArray *requests, const fc_model_machine *machine) {
   for (guint i = 0; i < requests->len; i++) {
     fc_rental_request *request = &g_array_index(requests, fc_rental_request, i);
--- a/src/scheduler/scale_out.h
+++ b/src/scheduler/scale_out.h
@@ -1,5 +1,5 @@
-/* Scale-out: which machines to rent for what the queue needs beyond the room there is or will soon
- * be. Pure function over the cluster state. */
+/* Scale-out: plans which machines to rent when the queue needs more than the existing and requested ones. Pure function
+ * over the cluster state. */
 #ifndef FC_SCHEDULER_SCALE_OUT_H
 #define FC_SCHEDULER_SCALE_OUT_H
 
@@ -11,14 +11,14 @@
 /* Machines of one kind to rent for one shard. */
 typedef struct fc_rental_request {
   int type;         /* index into the machine types */
-  const char *zone; /* of the settings, not to be freed */
+  const char *zone; /* owned by the settings */
   bool spot;
-  int owner; /* the member whose shard needs them; -1: the one with the fewest machines */
+  int owner; /* member whose shard needs them; -1: the one with the fewest machines */
   unsigned count;
 } fc_rental_request;
 
-/* The rentals (fc_rental_request) that the queue and expected arrivals need, none of a kind that
- * `refused` (NULL: nothing is) names. The caller frees the array. */
+/* Returns an array of fc_rental_request: the machines to rent for the queue and the expected arrivals, without those
+ * for which `refused` returns true (NULL: the cloud refuses nothing). The caller frees the array. */
 GArray *fc_scale_out_plan(const fc_cluster *cluster, fc_capacity_refused_fn refused, void *refused_arg, double now);
 
 #endif
