--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -71,7 +71,7 @@
 }
 
 bool fc_leadership_may_exclude(const fc_leadership *leadership) {
-  return fc_now() >= leadership->entered_at + fc_leader_lease_entry_wait(&leadership->lease);
+  return fc_now() >= leadership->entered_at + fc_leader_lease_exclusion_wait_s(&leadership->lease);
 }
 
 bool fc_leadership_term_write_pending(const fc_leadership *leadership) {
--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -114,7 +114,7 @@
   bool order_taken = false;
   for (size_t team = 0; team < cluster->settings->team_count; team++) {
     if (!fc_team_limited(&cluster->settings->teams[team]) || !team_contended(cluster, quota, tally, team)) continue;
-    if (!order_taken) fc_gang_order_take(cluster, &order, now);
+    if (!order_taken) fc_gang_order_init(cluster, &order, now);
     order_taken = true;
     find_for_team(&order, team, tally);
   }
--- a/src/controller/quota_tally.c
+++ b/src/controller/quota_tally.c
@@ -72,7 +72,7 @@
 void fc_quota_tally_take(const fc_cluster *cluster, bool pessimistic, fc_quota_tally *tally) {
   memset(tally, 0, sizeof *tally);
   fc_gang_order order;
-  fc_gang_order_take(cluster, &order, fc_now());
+  fc_gang_order_init(cluster, &order, fc_now());
   for (size_t team = 0; team < cluster->settings->team_count; team++)
     if (order.preceding[team]) add_gang(order.preceding[team], tally);
   count_machines(cluster, pessimistic, tally);
--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -57,7 +57,8 @@
   bool any = false;
   for (guint i = 0; i < machine->placements->len; i++) {
     fc_placement *placement = machine->placements->pdata[i];
-    if (placement->stop.requested || !fc_placement_active(placement) || !fc_preemptible_for_gang(placement, gang))
+    if (placement->stop.requested || !fc_placement_active(placement) ||
+        !fc_placement_preemptible_for_gang(placement, gang))
       continue;
     fc_worker_commands_request_stop(execution->cluster->settings, placement);
     execution->metrics->counters.preempted++;
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -70,7 +70,7 @@
   if (fc_leadership_term_write_pending(leadership)) return 0;
   double duration_s = fc_leadership_lease_s(leadership);
   /* Before we have entered we can exclude nobody; our entry keeps everybody, and then we wait longer
-   * than this grant (fc_leader_lease_entry_wait). */
+   * than this grant (fc_leader_lease_exclusion_wait_s). */
   if (!fc_leadership_in_term(leadership)) return duration_s;
   int sender = fc_term_find(term, view->sender);
   if (sender < 0 || view->incarnation != term->members[sender].incarnation) return 0;
--- a/src/coordination/leader_lease.c
+++ b/src/coordination/leader_lease.c
@@ -64,7 +64,7 @@
   lease->grants[peer].no_cancellation_until = sent;
 }
 
-double fc_leader_lease_entry_wait(const fc_leader_lease *lease) {
+double fc_leader_lease_exclusion_wait_s(const fc_leader_lease *lease) {
   /* This wait and the durations that it has to exceed are measured by different clocks. */
   return later(lease->stale_max_s, lease->lease_s) * (1 + 3 * FC_CLOCK_DRIFT);
 }
@@ -102,7 +102,7 @@
   if (self < 0) return NEVER;
   double until = later(lease->lease_until, granted_by_all(lease, term, peer_of, self));
   /* A controller that is not yet a member may have granted nothing. It joins with a term that includes this member,
-   * and waits fc_leader_lease_entry_wait() before it excludes this member. By then the staleness bound has stopped
-   * this member, unless it has read that term or holds a grant of that controller too. */
+   * and waits fc_leader_lease_exclusion_wait_s() before it excludes this member. By then the staleness bound has
+   * stopped this member, unless it has read that term or holds a grant of that controller too. */
   return earlier(until, staleness_bound(lease));
 }
--- a/src/coordination/leader_lease.h
+++ b/src/coordination/leader_lease.h
@@ -51,7 +51,7 @@
 void fc_leader_lease_no_cancellation(fc_leader_lease *lease, size_t peer, double sent, double no_cancellation_from);
 /* Returns how many seconds a member has to wait after it joined before it may exclude another member. By then, any
  * member that missed the term in which it joined has stopped acting, whatever grants that member holds. */
-double fc_leader_lease_entry_wait(const fc_leader_lease *lease);
+double fc_leader_lease_exclusion_wait_s(const fc_leader_lease *lease);
 /* Returns the time until which this member of `term` may act; -1 when it is not a member. */
 double fc_leader_lease_until(const fc_leader_lease *lease, const fc_term *term, const int *peer_of, int self);
 
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -292,7 +292,7 @@
 
 static void place_candidates(placing_round *round) {
   const fc_cluster *cluster = round->cluster;
-  fc_gang_order_take(cluster, &round->gang_order, round->now);
+  fc_gang_order_init(cluster, &round->gang_order, round->now);
   round->usage = fc_cluster_team_usage(cluster);
   round->by_team = g_new0(GQueue, cluster->settings->team_count);
   for (guint from = 0; from < round->candidates->len;) from = place_priority(round, from);
--- a/src/scheduler/gang_precedence.c
+++ b/src/scheduler/gang_precedence.c
@@ -45,7 +45,7 @@
   return gangs;
 }
 
-void fc_gang_precedence(const fc_cluster *cluster, const fc_job *preceding[FC_TEAMS_MAX]) {
+void fc_gang_precedence_find(const fc_cluster *cluster, const fc_job *preceding[FC_TEAMS_MAX]) {
   for (size_t team = 0; team < cluster->settings->team_count; team++) preceding[team] = NULL;
   GPtrArray *gangs = pending_gangs_under_limit(cluster);
   /* Consecutive gangs often have the same team and priority, and then the same usage. */
@@ -116,9 +116,9 @@
           usage.gpus + need.gpus <= quota->gpus[index][gang->team] + FC_QUOTA_TOLERANCE);
 }
 
-void fc_gang_order_take(const fc_cluster *cluster, fc_gang_order *order, double now) {
+void fc_gang_order_init(const fc_cluster *cluster, fc_gang_order *order, double now) {
   *order = (fc_gang_order){.cluster = cluster, .now = now};
-  fc_gang_precedence(cluster, order->preceding);
+  fc_gang_precedence_find(cluster, order->preceding);
   for (size_t team = 0; team < cluster->settings->team_count; team++)
     order->share_covers[team] = order->preceding[team] && share_covers_gang(cluster, order->preceding[team]);
 }
--- a/src/scheduler/limit_preemption.c
+++ b/src/scheduler/limit_preemption.c
@@ -52,7 +52,7 @@
 
 void fc_limit_preemption_plan(const fc_cluster *cluster, GPtrArray *stops, double now) {
   const fc_job *preceding[FC_TEAMS_MAX];
-  fc_gang_precedence(cluster, preceding);
+  fc_gang_precedence_find(cluster, preceding);
   for (size_t team = 0; team < cluster->settings->team_count; team++) {
     const fc_job *gang = preceding[team];
     /* Wait first: running tasks may end without preemption, and most faults last less than a lease. */
--- a/src/scheduler/machine_transfer.c
+++ b/src/scheduler/machine_transfer.c
@@ -18,7 +18,7 @@
   unsigned tasks_left; /* number of tasks without room */
 } gang_need;
 
-bool fc_preemptible_for_gang(const fc_placement *placement, const fc_job *gang) {
+bool fc_placement_preemptible_for_gang(const fc_placement *placement, const fc_job *gang) {
   return placement->job && fc_job_preemptible_for_gang(placement->job, gang->queue.priority);
 }
 
@@ -30,7 +30,7 @@
   for (guint i = 0; i < entry->machine->placements->len; i++) {
     const fc_placement *placement = entry->machine->placements->pdata[i];
     if (placement->status.state == FC_TASK_EXITED) continue;
-    if (!fc_preemptible_for_gang(placement, gang)) {
+    if (!fc_placement_preemptible_for_gang(placement, gang)) {
       *whole = false;
       continue;
     }
@@ -155,7 +155,7 @@
   GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable_by_owner, now);
   fc_free_capacity_sort(capacity);
   const fc_job *preceding[FC_TEAMS_MAX];
-  fc_gang_precedence(cluster, preceding);
+  fc_gang_precedence_find(cluster, preceding);
   for (guint i = 0; i < gangs->len; i++) {
     fc_job *gang = gangs->pdata[i];
     if (fc_gang_precedes(cluster, preceding[gang->team], gang, now)) continue;
--- a/src/scheduler/machine_transfer.h
+++ b/src/scheduler/machine_transfer.h
@@ -16,7 +16,7 @@
 } fc_machine_transfer;
 
 /* Returns whether the task may be preempted to make room for the gang. */
-bool fc_preemptible_for_gang(const fc_placement *placement, const fc_job *gang);
+bool fc_placement_preemptible_for_gang(const fc_placement *placement, const fc_job *gang);
 /* Returns an array of fc_machine_transfer: the machines of this shard that a pending gang of any shard needs. They
  * are idle or, if idle machines do not suffice, run only arrays of lower priority. The caller frees the array. */
 GArray *fc_machine_transfers_plan(const fc_cluster *cluster, const fc_peer_progress *peers, double now);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -99,7 +99,7 @@
 
 GPtrArray *fc_preemption_plan(const fc_cluster *cluster, const fc_team_allowance *allowance, double now) {
   preemption_round round = {.cluster = cluster, .now = now, .allowance = *allowance};
-  fc_gang_order_take(cluster, &round.gang_order, now);
+  fc_gang_order_init(cluster, &round.gang_order, now);
   round.usage = fc_cluster_team_usage(cluster);
   round.capacity = fc_preemption_capacity(cluster, now);
   round.failures = g_array_new(FALSE, TRUE, sizeof(search_failure));
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -204,7 +204,7 @@
 static void pack_queue(fc_capacity_model *model, const GPtrArray *jobs, double now) {
   const fc_cluster *cluster = model->cluster;
   fc_gang_order order;
-  fc_gang_order_take(cluster, &order, now);
+  fc_gang_order_init(cluster, &order, now);
   for (size_t team = 0; team < cluster->settings->team_count; team++)
     if (order.preceding[team]) pack_job(model, order.preceding[team]);
   for (guint i = 0; i < jobs->len; i++) {
--- a/tests/test_gang_precedence.c
+++ b/tests/test_gang_precedence.c
@@ -32,7 +32,7 @@
       fc_cluster_add_placement(cluster, machine, service->spec.id, k, 1, 0);
     for (unsigned k = 0; k < rows[i].arrays; k++) fc_cluster_add_placement(cluster, machine, array->spec.id, k, 1, 0);
     const fc_job *by_team[FC_TEAMS_MAX];
-    fc_gang_precedence(cluster, by_team);
+    fc_gang_precedence_find(cluster, by_team);
     const fc_job *preceding = by_team[1];
     check_row(rows[i].name, strcmp(preceding ? preceding->spec.id : "", rows[i].preceding) == 0);
     assert_null(by_team[0]); /* a team without a limit */
@@ -94,7 +94,7 @@
       g_strlcpy(quota->members[k], cluster->membership.term.members[k].name, sizeof quota->members[k]);
     quota->gpus[machine->owner][1] = rows[i].share;
     fc_gang_order order;
-    fc_gang_order_take(cluster, &order, 10);
+    fc_gang_order_init(cluster, &order, 10);
     check_row(rows[i].name, order.preceding[1] == gang);
     check_row(rows[i].name, fc_gang_order_holds_back(&order, array) == rows[i].held_back);
     check_row(rows[i].name, fc_gang_order_reserved(&order, array).gpus == rows[i].reserved);
--- a/tests/test_leader_lease.c
+++ b/tests/test_leader_lease.c
@@ -71,7 +71,7 @@
   double stops = fc_leader_lease_until(&lease, &term, peer_of, 0);
   /* Our clock may be slow, the entering member's fast. */
   assert_true(100 + (stops - 100) * (1 + FC_CLOCK_DRIFT / 2) <
-              100 + fc_leader_lease_entry_wait(&lease) * (1 - FC_CLOCK_DRIFT / 2));
+              100 + fc_leader_lease_exclusion_wait_s(&lease) * (1 - FC_CLOCK_DRIFT / 2));
 }
 
 int main(void) {
