--- a/tests/test_assignment.c
+++ b/tests/test_assignment.c
@@ -3,12 +3,12 @@
 
 #include "coordination/assignment.h"
 
-/* Even over the members; another seed moves most jobs, a leaving member only its own. */
+/* Jobs are spread evenly over the members. Another seed moves most jobs; a member that leaves moves only its own. */
 static void assignment_is_even_and_stable(void **state) {
   (void)state;
   enum { JOBS = 3000 };
-  fc_term three = fixture_term(3), two = fixture_term(2), other = fixture_term(3);
-  other.seed = 43;
+  fc_term three = fixture_term(3), two = fixture_term(2), other_seed = fixture_term(3);
+  other_seed.seed = 43;
   int counts[3] = {0}, moved_wrongly = 0, moved_by_seed = 0;
   for (int i = 0; i < JOBS; i++) {
     char id[32];
@@ -16,8 +16,8 @@
     int of_three = fc_assign_slice(&three, id, 0, 1, NULL);
     int of_two = fc_assign_slice(&two, id, 0, 1, NULL);
     counts[of_three]++;
-    moved_wrongly += of_three != 2 && of_three != of_two; /* only the leaving member's jobs may move */
-    moved_by_seed += of_three != fc_assign_slice(&other, id, 0, 1, NULL);
+    moved_wrongly += of_three != 2 && of_three != of_two; /* only jobs of the leaving member may move */
+    moved_by_seed += of_three != fc_assign_slice(&other_seed, id, 0, 1, NULL);
   }
   for (int k = 0; k < 3; k++) assert_in_range(counts[k], JOBS / 3 - 120, JOBS / 3 + 120);
   assert_int_equal(moved_wrongly, 0);
--- a/tests/test_bin_packing.c
+++ b/tests/test_bin_packing.c
@@ -1,10 +1,10 @@
-/* Bin packing: which pending task starts on which machine, and where none may start. */
+/* Bin packing: the machines on which pending tasks start, and those on which they must not. */
 #include "fixture.h"
 
 #include "bookkeeping/cluster_machines.h"
 #include "scheduler/bin_packing.h"
 
-/* Decisions of the plan for that job, machine and zone; NULL: for any. */
+/* Counts the decisions for this job, machine and zone (NULL: any). */
 static unsigned count_decisions(const GArray *plan, const char *job, const char *machine, const char *zone) {
   unsigned count = 0;
   for (guint i = 0; i < plan->len; i++) {
@@ -32,7 +32,7 @@
   GArray *plan = place_round(cluster);
   assert_int_equal(plan->len, 4);
   assert_string_equal(g_array_index(plan, fc_placement_decision, 0).job->spec.id, "job-000003");
-  /* The service is the first of the red team, so blue gets two of the three places left. */
+  /* The service is the red team's first task, so the blue team gets two of the three remaining GPUs. */
   assert_int_equal(count_decisions(plan, "job-000002", NULL, NULL), 2);
   assert_int_equal(count_decisions(plan, "job-000001", NULL, NULL), 1);
   g_array_free(plan, TRUE);
@@ -72,14 +72,14 @@
     unsigned expect_a, expect_b; /* tasks placed in each zone */
   } rows[] = {
       {"spread over zones", "service", 2, 1, "\"scatter\":true", 1, 1},
-      {"spread of three", "service", 3, 1, "\"scatter\":true", 2, 1},
-      {"only zone", "sweep", 2, 1, "\"ground\":\"b\"", 0, 2},
+      {"three tasks spread over zones", "service", 3, 1, "\"scatter\":true", 2, 1},
+      {"one zone allowed", "sweep", 2, 1, "\"ground\":\"b\"", 0, 2},
       {"unknown zone", "sweep", 2, 1, "\"ground\":\"c\"", 0, 0},
       {"other type", "sweep", 2, 1, "\"builds\":[\"x\"]", 0, 0},
       {"gang in one zone fits", "gang", 2, 4, "\"samePlace\":true", 2, 0},
       {"gang too large for a zone", "gang", 3, 4, "\"samePlace\":true", 0, 0},
       {"gang over zones", "gang", 3, 4, "", 2, 1},
-      {"gang all or none", "gang", 4, 4, "", 0, 0},
+      {"gang too large for all zones", "gang", 4, 4, "", 0, 0},
       {"too large for a machine", "sweep", 1, 5, "", 0, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -103,7 +103,7 @@
   OTHER_OWNER,
   SILENT,
   SPOT_NOTICE,
-  UNANNOUNCED,
+  ENDPOINT_UNRECORDED,
   UNRESOLVED,
   OVER_LIMIT,
   SPOT,
@@ -118,18 +118,18 @@
     {"cordoned machine", CORDONED},
     {"machine not reconciled in this term", UNRECONCILED},
     {"machine of another shard", OTHER_OWNER},
-    {"machine silent for half a lease", SILENT},
+    {"machine without a heartbeat for half a lease", SILENT},
     {"machine with a spot notice", SPOT_NOTICE},
-    {"machine whose address is not recorded", UNANNOUNCED},
-    {"job whose tasks may be running unseen", UNRESOLVED},
+    {"machine whose endpoint is not recorded", ENDPOINT_UNRECORDED},
+    {"job whose tasks may be running unknown to us", UNRESOLVED},
     {"team without allowance", OVER_LIMIT},
     {"spot machine not allowed", SPOT},
     {"task that is on a machine", RUNNING},
     {"cancelled job", CANCELLED},
-    {"control: it is placed", NONE},
+    {"no obstacle: the task is placed", NONE},
 };
 
-/* No task starts where it could run twice, be lost or exceed a quota: see each row. */
+/* No task starts where it could run twice, be lost or exceed a quota. Each row is one such case. */
 static void obstacles_to_placement(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_obstacles); i++) {
@@ -156,7 +156,7 @@
       case SPOT_NOTICE:
         machine->drain.spot_notice_until = 100;
         break;
-      case UNANNOUNCED:
+      case ENDPOINT_UNRECORDED:
         machine->announced = false;
         break;
       case UNRESOLVED:
--- a/tests/test_gang_precedence.c
+++ b/tests/test_gang_precedence.c
@@ -9,12 +9,12 @@
   (void)state;
   static const struct {
     const char *name;
-    unsigned services, arrays; /* the team's tasks that run */
+    unsigned services, arrays; /* running tasks of the team */
     const char *preceding;
   } rows[] = {
       {"the first by name", 0, 0, "job-000001"},
       {"arrays of lower priority can be preempted", 0, 12, "job-000001"},
-      {"beside services only the smaller one fits", 6, 0, "job-000002"},
+      {"with the services, only the smaller gang fits", 6, 0, "job-000002"},
       {"none fits", 14, 0, ""},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -48,7 +48,7 @@
     check_row(rows[i].name, !fc_gang_precedes(cluster, preceding, higher, 10));
     check_row(rows[i].name,
               !fc_gang_precedes(cluster, preceding, service, 10) && !fc_gang_precedes(cluster, preceding, other, 10));
-    /* As many tasks of the array are preempted as it needs, once it has been pending for a while. */
+    /* Once the gang has been pending for a while, as many tasks of the array are preempted as it needs. */
     GPtrArray *stops = g_ptr_array_new();
     fc_limit_preemption_plan(cluster, stops, 1);
     check_row(rows[i].name, stops->len == 0);
@@ -59,9 +59,9 @@
   }
 }
 
-/* Arrays go on beside a gang that waits, once its owner's share holds all of it: with other members'
- * shares, and with what is left of its owner's. */
-static void arrays_beside_a_gang_that_has_its_share(void **state) {
+/* While a gang is pending, arrays of its team start tasks once the share of the gang's owner covers all of it: within
+ * other members' shares, and within what the gang leaves of its owner's share. */
+static void arrays_start_once_the_share_covers_the_gang(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -71,9 +71,12 @@
     bool held_back;
     double reserved; /* of our allowance */
   } rows[] = {
-      {"the share holds it", false, 12, 0, false, 0}, {"the share is short", false, 11, 0, true, 0},
-      {"the share is in use", false, 13, 2, true, 0}, {"the share holds it beside what runs", false, 14, 2, false, 0},
-      {"it is ours", true, 14, 2, false, 12},         {"it is ours, and our share is short", true, 11, 0, true, 12},
+      {"the share covers it", false, 12, 0, false, 0},
+      {"the share is too small", false, 11, 0, true, 0},
+      {"the share is in use", false, 13, 2, true, 0},
+      {"the share covers it and what runs", false, 14, 2, false, 0},
+      {"the gang is ours", true, 14, 2, false, 12},
+      {"the gang is ours, our share is too small", true, 11, 0, true, 12},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
@@ -109,7 +112,7 @@
 int main(void) {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(one_gang_of_a_team_precedes),
-      cmocka_unit_test(arrays_beside_a_gang_that_has_its_share),
+      cmocka_unit_test(arrays_start_once_the_share_covers_the_gang),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_handover_planning.c
+++ b/tests/test_handover_planning.c
@@ -1,4 +1,4 @@
-/* Handovers of slices to shards with room: to whom, and when not yet. */
+/* Handovers of slices to shards with room: which member receives a slice, and when none may. */
 #include "fixture.h"
 
 #include "bookkeeping/reconciliation_progress.h"
@@ -9,26 +9,27 @@
   bool running, acknowledged, room_here, resolved;
   unsigned expect;
   bool unavailable;
-  enum { NOT_THERE, THERE, THERE_UNRECONCILED } on_peer; /* a task on the peer's machine */
-  bool unreconciled;                                     /* our machine, in this term */
+  enum { NONE_ON_PEER, ON_PEER, ON_PEER_UNRECONCILED } on_peer; /* state of a task on the peer's machine */
+  bool unreconciled;                                            /* our machine is not reconciled in this term */
 } handover_row;
 
 static const handover_row k_handovers[] = {
-    {"nothing runs yet", false, false, false, true, 1, false, NOT_THERE, false},
-    {"room here", false, false, true, true, 0, false, NOT_THERE, false},
-    {"a task runs, its start not acknowledged", true, false, false, true, 0, false, NOT_THERE, false},
-    {"a task runs, its start acknowledged", true, true, false, true, 1, false, NOT_THERE, false},
-    {"tasks may be running unseen", false, false, false, false, 0, false, NOT_THERE, false},
-    {"a task runs on the peer's machine", false, false, false, true, 1, false, THERE, false},
-    {"a task runs on the peer's unreconciled machine", false, false, false, true, 0, false, THERE_UNRECONCILED, false},
-    {"one here and one there, acknowledged", true, true, false, true, 1, false, THERE, false},
-    {"one here and one there, not acknowledged", true, false, false, true, 0, false, THERE, false},
-    {"the peer is unavailable", false, false, false, true, 0, true, NOT_THERE, false},
-    {"a task runs, its start acknowledged in an earlier term", true, true, false, true, 0, false, NOT_THERE, true},
+    {"nothing runs yet", false, false, false, true, 1, false, NONE_ON_PEER, false},
+    {"room here", false, false, true, true, 0, false, NONE_ON_PEER, false},
+    {"a task runs, its start not acknowledged", true, false, false, true, 0, false, NONE_ON_PEER, false},
+    {"a task runs, its start acknowledged", true, true, false, true, 1, false, NONE_ON_PEER, false},
+    {"tasks may be running unknown to us", false, false, false, false, 0, false, NONE_ON_PEER, false},
+    {"a task runs on the peer's machine", false, false, false, true, 1, false, ON_PEER, false},
+    {"a task runs on the peer's unreconciled machine", false, false, false, true, 0, false, ON_PEER_UNRECONCILED,
+     false},
+    {"one here and one on the peer's machine, acknowledged", true, true, false, true, 1, false, ON_PEER, false},
+    {"one here and one on the peer's machine, not acknowledged", true, false, false, true, 0, false, ON_PEER, false},
+    {"the peer is unavailable", false, false, false, true, 0, true, NONE_ON_PEER, false},
+    {"a task runs, its start acknowledged in an earlier term", true, true, false, true, 0, false, NONE_ON_PEER, true},
 };
 
-/* A slice is handed over to a shard with room only once its owner has acknowledged all tasks of
- * the slice that may be on a machine; it would start them a second time. */
+/* A slice is handed over to a shard with room only after the shard's owner has acknowledged all tasks of the slice that
+ * may be on a machine: otherwise it would start them a second time. */
 static void handover_after_acknowledged_starts(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_handovers); i++) {
@@ -54,7 +55,7 @@
       full->spec.gpus = 2;
     }
     if (row->on_peer) fixture_run_task(cluster, peer_machine, job, 1, 4);
-    if (row->on_peer == THERE_UNRECONCILED) peer_machine->reconciled_term = 0;
+    if (row->on_peer == ON_PEER_UNRECONCILED) peer_machine->reconciled_term = 0;
     if (row->unreconciled) machine->reconciled_term = 0;
     fc_peer_progress progress = {.available = {true, !row->unavailable}};
     if (row->acknowledged) {
@@ -72,7 +73,7 @@
   }
 }
 
-/* Our machine is full, one of the peer's is free, and jobs of a team with a limit are pending there. */
+/* Our machine is full, one of the peer's is free, and a job of a team with a limit is pending at the peer. */
 static void room_not_claimed_by_jobs_at_their_limit(void **state) {
   (void)state;
   static const struct {
@@ -113,7 +114,7 @@
 
 typedef struct running_task_row {
   const char *name;
-  int owner;           /* of the machine on which the first task runs: a member */
+  int owner;           /* member that owns the machine on which the first task runs */
   uint64_t started_in; /* term */
   bool reconciled;
   unsigned expect;
@@ -130,12 +131,14 @@
     {"a gang is never split", 1, 4, true, 0, false, true},
 };
 
-/* The receiver reads the record that the handover wrote: before and after everything is reconciled. */
+/* Checks when the slice is resolved at the receiver after it read the record of the handover: at once if it knows all
+ * tasks of the slice, otherwise once all machines are reconciled. */
 static void check_resolution_at_receiver(fc_cluster *cluster, fc_job *job, const running_task_row *row) {
-  fc_machine *receivers = fc_cluster_find_machine(cluster, "vm-2"), *thirds = fc_cluster_find_machine(cluster, "vm-3");
+  fc_machine *receiver_machine = fc_cluster_find_machine(cluster, "vm-2"),
+             *third_machine = fc_cluster_find_machine(cluster, "vm-3");
   cluster->membership.self = 1;
   cluster->membership.term_version = 1;
-  thirds->reconciled_term = 4;
+  third_machine->reconciled_term = 4;
   job->slices.resolved = 0;
   fc_job_record record = {.spec = job->spec,
                           .origin = {.transferred = 1, .partly_known = row->partly_known},
@@ -145,13 +148,13 @@
   record.handed_to[0] = (char *)"paddock-1";
   (void)fc_cluster_apply_job(cluster, "job-000002", &record, 30, true, 91);
   check_row(row->name, (job->slices.resolved & 1) == !row->partly_known);
-  receivers->reconciled_term = thirds->reconciled_term = 5;
+  receiver_machine->reconciled_term = third_machine->reconciled_term = 5;
   check_row(row->name, fc_cluster_update_reconciled(cluster) && (job->slices.resolved & 1));
 }
 
-/* After a change of term a task of the slice may be on a machine of another member. The slice goes
- * to a member that knows of that task, or will once everything is reconciled; only then is the
- * slice resolved there. */
+/* After a change of term, a task of the slice may be on a machine of another member. The slice is handed over only to a
+ * member that knows of that task, or will know once all machines are reconciled; only then is the slice resolved
+ * there. */
 static void handover_with_a_running_task(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_running_tasks); i++) {
@@ -160,11 +163,11 @@
     cluster->membership.term = (fc_term){
         .number = 5, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}, {"paddock-2", 1}}, .count = 3};
     fc_machine *own = fixture_machine(cluster, "vm-1", "a", false);
-    fc_machine *receivers = fixture_machine(cluster, "vm-2", "a", false);
-    fc_machine *thirds = fixture_machine(cluster, "vm-3", "a", false);
+    fc_machine *receiver_machine = fixture_machine(cluster, "vm-2", "a", false);
+    fc_machine *third_machine = fixture_machine(cluster, "vm-3", "a", false);
     own->agent.heard_at = 90;
-    receivers->owner = 1;
-    thirds->owner = 2;
+    receiver_machine->owner = 1;
+    third_machine->owner = 2;
     fc_job *full = fixture_job(cluster, "job-000001", "service", "prod", "red", 2, 4, "");
     fixture_run_task(cluster, own, full, 0, 1);
     fc_job *job =
@@ -172,11 +175,11 @@
     job->record.handed_to[0] = g_strdup("paddock-0");
     fc_cluster_assign_slices(cluster, job);
     job->slices.resolved = 1;
-    fc_machine *machine = k_running_tasks[i].owner == 1 ? receivers : thirds;
+    fc_machine *machine = k_running_tasks[i].owner == 1 ? receiver_machine : third_machine;
     fixture_run_task(cluster, machine, job, 0, fc_attempt(k_running_tasks[i].started_in, 1));
-    if (k_running_tasks[i].owner == 2) thirds->drain.owner_cordoned = true; /* room at the receiver alone */
+    if (k_running_tasks[i].owner == 2) third_machine->drain.owner_cordoned = true; /* only the receiver has room */
     if (!k_running_tasks[i].reconciled) machine->reconciled_term = 4;
-    fc_machine *spare = fixture_machine(cluster, "vm-4", "a", false); /* room at the receiver in any case */
+    fc_machine *spare = fixture_machine(cluster, "vm-4", "a", false); /* the receiver has room in any case */
     spare->owner = 1;
     fc_peer_progress progress = {.available = {true, true, true}};
     GArray *plan = fc_handovers_plan(cluster, &progress, 90);
--- a/tests/test_leader_lease.c
+++ b/tests/test_leader_lease.c
@@ -1,12 +1,12 @@
-/* How long a controller may act as leader of its shard. */
+/* The leader lease: the time until which a controller may act as leader of its shard. */
 #include "fixture.h"
 
 #include "coordination/leader_lease.h"
 
 static void lease_from_renewal_and_grants(void **state) {
   (void)state;
-  /* Lease 7 s, worker lease 14 s, cancellation 34 s, heartbeat 2 s: staleness bound 19 s less the drift. */
-  static const double rate = 1 - FC_CLOCK_DRIFT;
+  /* Lease 7 s, worker lease 14 s, cancellation 34 s, heartbeat 2 s: the staleness bound is 19 s less the drift. */
+  static const double drift_factor = 1 - FC_CLOCK_DRIFT;
   static const struct {
     const char *name;
     double lease_sent, fresh_sent;
@@ -14,13 +14,13 @@
     double no_cancellation_from[2];
     double until;
   } rows[] = {
-      {"lease only", 100, 100, {-1, -1}, {200, 200}, 100 + 7 * rate},
+      {"lease only", 100, 100, {-1, -1}, {200, 200}, 100 + 7 * drift_factor},
       {"no lease, no grant", -1, 100, {-1, -1}, {200, 200}, -1},
-      {"one grant is not enough", 100, 104, {104, -1}, {200, 200}, 100 + 7 * rate},
-      {"all grants extend it", 100, 104, {104, 103}, {200, 200}, 103 + 7 * rate},
-      {"not past the bound on staleness", 114, 100, {118, 118}, {200, 200}, 100 + 19 * rate},
-      {"no peer has learned of a cancellation", 114, 100, {118, 118}, {99, 100}, 118 + 7 * rate},
-      {"one may have since our last read", 114, 100, {118, 118}, {99, 101}, 100 + 19 * rate},
+      {"one grant is not enough", 100, 104, {104, -1}, {200, 200}, 100 + 7 * drift_factor},
+      {"all grants extend it", 100, 104, {104, 103}, {200, 200}, 103 + 7 * drift_factor},
+      {"not past the staleness bound", 114, 100, {118, 118}, {200, 200}, 100 + 19 * drift_factor},
+      {"no peer has learned of a cancellation", 114, 100, {118, 118}, {99, 100}, 118 + 7 * drift_factor},
+      {"a peer may have learned of one since our last read", 114, 100, {118, 118}, {99, 101}, 100 + 19 * drift_factor},
   };
   fc_term term = fixture_term(3);
   const int peer_of[] = {-1, 0, 1};
@@ -43,8 +43,9 @@
   }
 }
 
-/* While it was expired a term without us may have been sent, to be applied late: only a renewal counts. */
-static void grants_do_not_revive_an_expired_lease(void **state) {
+/* While the lease was expired, a term without this member may have been sent and may still be committed: only a renewal
+ * of the lease restores it. */
+static void grants_do_not_restore_an_expired_lease(void **state) {
   (void)state;
   fc_term term = fixture_term(2);
   const int peer_of[] = {-1, 0};
@@ -60,16 +61,16 @@
   assert_true(fc_leader_lease_until(&lease, &term, peer_of, 0) > 120);
 }
 
-/* A member that missed an entry has stopped before the entering member may remove it. */
-static void entry_wait_exceeds_a_stale_lease(void **state) {
+/* A member that missed the term in which another one joined stops acting before that one may exclude it. */
+static void exclusion_wait_exceeds_a_stale_lease(void **state) {
   (void)state;
   fc_leader_lease lease;
   fc_leader_lease_init(&lease, 7, 14, 34, 2, 1);
-  fc_term term = fixture_term(1); /* the entering member is not in the term that we know */
+  fc_term term = fixture_term(1); /* the joining member is not in the term that we know */
   const int peer_of[] = {-1};
-  fc_leader_lease_read_fresh(&lease, 100); /* read just before it entered at 100 */
+  fc_leader_lease_read_fresh(&lease, 100); /* read just before the other joined at 100 */
   double stops = fc_leader_lease_until(&lease, &term, peer_of, 0);
-  /* Our clock may be slow, the entering member's fast. */
+  /* Our clock may be slow, that of the joining member fast. */
   assert_true(100 + (stops - 100) * (1 + FC_CLOCK_DRIFT / 2) <
               100 + fc_leader_lease_exclusion_wait_s(&lease) * (1 - FC_CLOCK_DRIFT / 2));
 }
@@ -77,8 +78,8 @@
 int main(void) {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(lease_from_renewal_and_grants),
-      cmocka_unit_test(grants_do_not_revive_an_expired_lease),
-      cmocka_unit_test(entry_wait_exceeds_a_stale_lease),
+      cmocka_unit_test(grants_do_not_restore_an_expired_lease),
+      cmocka_unit_test(exclusion_wait_exceeds_a_stale_lease),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_machine_transfer.c
+++ b/tests/test_machine_transfer.c
@@ -1,16 +1,16 @@
-/* Transfers of whole machines to the shard of a gang that no shard can hold. */
+/* Transfers of whole machines to the shard of a gang that no single shard has room for. */
 #include "fixture.h"
 
 #include "scheduler/machine_transfer.h"
 
-/* Two members, of which this one is the first. Two machines: the first is ours, the second ours or
- * the peer's; a gang of two whole machines that belongs to either. */
+/* Two members, of which this one is the first, and two machines: the first is ours, the second ours or the peer's. A
+ * gang that needs both machines belongs to either member. */
 static void transfers_to_a_pending_gang(void **state) {
   (void)state;
   static const struct {
     const char *name;
     bool gang_ours, second_ours;
-    const char *kind, *priority; /* of what runs on our machine; NULL: nothing */
+    const char *kind, *priority; /* of the task that runs on our machine; NULL: none */
     unsigned transfers;
     bool preempt;
   } rows[] = {
@@ -19,9 +19,9 @@
       {"both machines and the gang are ours", true, true, NULL, NULL, 0, false},
       {"both machines are ours, the gang is not", false, true, NULL, NULL, 2, false},
       {"an array of lower priority is preempted", false, false, "sweep", "standard", 1, true},
-      {"an array of the same priority is not", false, false, "sweep", "high", 0, false},
-      {"a service is not", false, false, "service", "prod", 0, false},
-      {"a gang is not", false, false, "gang", "standard", 0, false},
+      {"an array of the same priority is not preempted", false, false, "sweep", "high", 0, false},
+      {"a service is not preempted", false, false, "service", "prod", 0, false},
+      {"a gang is not preempted", false, false, "gang", "standard", 0, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
--- a/tests/test_preemption.c
+++ b/tests/test_preemption.c
@@ -1,4 +1,4 @@
-/* Preemption for priority and quota: which running tasks make room. */
+/* Preemption for priority and quota: the running tasks that are stopped to make room. */
 #include "fixture.h"
 
 #include "scheduler/preemption.h"
@@ -27,7 +27,7 @@
     machine->agent.heard_at = 90;
     fc_job *victim =
         fixture_job(cluster, "job-000001", rows[i].victim_kind, rows[i].victim_priority, rows[i].victim_team, 4, 1, "");
-    /* The first has run for the shortest time. */
+    /* The first task has run for the shortest time, so that preempting it costs least. */
     for (uint32_t k = 0; k < 4; k++) fixture_run_task(cluster, machine, victim, k, 1)->status.running_since = 50 - k;
     fixture_job(cluster, "job-000002", rows[i].kind, rows[i].priority, "red", 1, 1, "");
     fc_team_allowance allowance = fixture_unlimited_allowance();
@@ -43,20 +43,20 @@
   }
 }
 
-/* No room is made for a job that may not be placed: its victims would be placed there again. */
-static void no_victims_for_what_is_held_back(void **state) {
+/* No task is preempted for a job that may not be placed: the victims would be placed there again. */
+static void no_victims_for_a_job_that_may_not_be_placed(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned gang_tasks; /* of a gang of blue that waits, a GPU each; the limit is 16; 0: no gang */
-    double share;        /* ours of blue's limit */
-    double reserved_s;   /* for so long yet the machine is reserved for a gang */
+    unsigned gang_tasks; /* of a pending gang of blue, one GPU each; blue's limit is 16; 0: no gang */
+    double share;        /* this shard's share of blue's limit */
+    double reserved_s;   /* time until the reservation for a gang ends; 0: none was made */
     unsigned expect;
   } rows[] = {
-      {"nothing precedes it", 0, 16, 0, 1},
-      {"a gang without its share", 12, 8, 0, 0},
-      {"a gang that has its share, and nothing is left", 12, 12, 0, 0},
-      {"a gang that has its share, and some is left", 12, 13, 0, 1},
+      {"no gang precedes it", 0, 16, 0, 1},
+      {"the share does not cover the gang", 12, 8, 0, 0},
+      {"the share covers the gang, and nothing is left", 12, 12, 0, 0},
+      {"the share covers the gang, and some is left", 12, 13, 0, 1},
       {"the machine is reserved for a gang", 0, 16, 4, 0},
       {"the machine was reserved for a gang", 0, 16, -1, 1},
   };
@@ -88,7 +88,7 @@
 int main(void) {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(victims_by_priority_and_guarantee),
-      cmocka_unit_test(no_victims_for_what_is_held_back),
+      cmocka_unit_test(no_victims_for_a_job_that_may_not_be_placed),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_quota_division.c
+++ b/tests/test_quota_division.c
@@ -1,4 +1,4 @@
-/* Shares of a team's limit: divided anew, and adjusted one at a time. */
+/* Division of a team's limit into shares, and adjustment of one share at a time. */
 #include "fixture.h"
 
 #include "coordination/quota_division.h"
@@ -14,8 +14,8 @@
       {"no demand", 30, {{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, {10, 10, 10}},
       {"never below the usage", 30, {{12, 0, 0}, {0, 0, 0}, {0, 0, 0}}, {18, 6, 6}},
       {"by demand", 30, {{0, 20, 0}, {0, 10, 0}, {0, 30, 0}}, {10, 5, 15}},
-      {"used up", 30, {{20, 5, 0}, {10, 5, 0}, {0, 5, 0}}, {20, 10, 0}},
-      {"exceeded", 30, {{20, 5, 0}, {15, 5, 0}, {0, 5, 0}}, {20, 15, 0}},
+      {"usage equals the limit", 30, {{20, 5, 0}, {10, 5, 0}, {0, 5, 0}}, {20, 10, 0}},
+      {"usage exceeds the limit", 30, {{20, 5, 0}, {15, 5, 0}, {0, 5, 0}}, {20, 15, 0}},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     double shares[3];
@@ -37,23 +37,23 @@
   } rows[] = {
       {"keeps what no other needs", {10, 0, 2}, 20, {5, 3, 0}, 20},
       {"gives up what others lack", {10, 10, 2}, 20, {5, 3, 0}, 10},
-      {"gives up half of its spare at least", {10, 1, 2}, 20, {5, 3, 0}, 14},
+      {"gives up at least half of what it can spare", {10, 1, 2}, 20, {5, 3, 0}, 14},
       {"unassigned quota goes first", {5, 5, 2}, 20, {5, 3, 0}, 20},
       {"never below its usage", {10, 50, 2}, 20, {20, 0, 0}, 20},
       {"takes its part of the unassigned quota", {9, 0, 2}, 6, {5, 2, 0}, 11},
       {"takes only what is left", {20, 0, 2}, 5, {5, 50, 0}, 10},
       {"keeps its share when all is assigned", {25, 0, 2}, 5, {2, 50, 0}, 5},
-      {"gives up less than any task needs", {25, 9, 2}, 5, {4.5, 50, 1}, 4.5},
-      {"but not while no other lacks any", {25, 0, 2}, 5, {4.5, 50, 1}, 5},
-      {"takes none that is too little", {29.5, 9, 2}, 0.25, {0, 50, 1}, 0},
+      {"gives up all its spare if that is too little for any task", {25, 9, 2}, 5, {4.5, 50, 1}, 4.5},
+      {"keeps its spare while no other lacks any", {25, 0, 2}, 5, {4.5, 50, 1}, 5},
+      {"gives up its share if the limit leaves too little for a task", {29.5, 9, 2}, 0.25, {0, 50, 1}, 0},
       {"its share and the unassigned quota suffice for one task", {29, 9, 2}, 0.5, {0, 50, 1}, 1},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
     check_row(rows[i].name, fc_quota_adjust(30, &rows[i].others, rows[i].own, &rows[i].demand) == rows[i].expect);
 }
 
-/* In any order of adjustments by members that see the last record. */
-static void sum_of_shares_keeps_to_the_limit(void **state) {
+/* In any order of adjustments by members that see the latest record. */
+static void sum_of_shares_never_exceeds_the_limit(void **state) {
   (void)state;
   GRand *rand = g_rand_new_with_seed(7);
   double share[3] = {10, 10, 10}, used[3] = {0, 0, 0};
@@ -69,7 +69,7 @@
   g_rand_free(rand);
 }
 
-/* What a shard wants and has no room for weighs less than what others could place. */
+/* Demand for which a shard has no room yields to demand that other shards could place. */
 static void adjustment_of_a_share_by_room(void **state) {
   (void)state;
   static const struct {
@@ -80,9 +80,9 @@
     double unplaceable, expect;
   } rows[] = {
       {"gives up what it has no room for", {19, 10, 2}, 11, {8, 16, 1}, 16, 8},
-      {"but what it can place", {19, 10, 2}, 11, {8, 16, 1}, 14, 10},
-      {"only as much as others lack", {10, 2, 2}, 20, {8, 16, 1}, 16, 14},
-      {"nothing while no other lacks any", {19, 0, 2}, 11, {8, 16, 1}, 16, 11},
+      {"keeps what it can place", {19, 10, 2}, 11, {8, 16, 1}, 14, 10},
+      {"gives up only as much as others lack", {10, 2, 2}, 20, {8, 16, 1}, 16, 14},
+      {"gives up nothing while no other lacks any", {19, 0, 2}, 11, {8, 16, 1}, 16, 11},
       {"takes none of what others lack", {19, 3, 2}, 8, {8, 16, 1}, 16, 8},
       {"takes what no other lacks", {9, 3, 2}, 8, {8, 16, 1}, 16, 18},
       {"takes what it can place, also if others lack some", {19, 9, 2}, 8, {8, 16, 1}, 13, 11},
@@ -96,7 +96,7 @@
 
 enum { SHARDS = 3 };
 
-/* The shards of one team as they adjust their shares; what they use and want stays. */
+/* The shares of one team in all shards while they are adjusted. Usage and demand do not change. */
 typedef struct division {
   double limit;
   double share[SHARDS], unplaceable[SHARDS];
@@ -139,17 +139,17 @@
   return ABS(shards->share[k] - before) > 1e-6;
 }
 
-/* In any order of adjustments the shares come to rest, and then no shard has room for tasks that wait
- * for a whole unit of the limit which another can spare. */
-static void shares_come_to_rest_where_there_is_room(void **state) {
+/* In any order of adjustments the shares stop changing. After that, no shard has room for tasks that lack a whole unit
+ * of quota while another shard can spare one. */
+static void shares_converge_where_there_is_room(void **state) {
   (void)state;
   enum { ADJUSTMENTS_MAX = 90 };
   GRand *rand = g_rand_new_with_seed(11);
-  for (int play = 0; play < 5000; play++) {
+  for (int trial = 0; trial < 5000; trial++) {
     division shards = random_division(rand);
-    unsigned at_rest = 0; /* so many adjustments have changed nothing */
+    unsigned unchanged = 0; /* number of last adjustments that changed nothing */
     for (int step = 0; step < ADJUSTMENTS_MAX; step++)
-      at_rest = adjust_shard(&shards, g_rand_int_range(rand, 0, SHARDS)) ? 0 : at_rest + 1;
+      unchanged = adjust_shard(&shards, g_rand_int_range(rand, 0, SHARDS)) ? 0 : unchanged + 1;
     for (int k = 0; k < SHARDS; k++) assert_false(adjust_shard(&shards, k));
     double spare = shards.limit;
     double lack = 0;
@@ -159,7 +159,7 @@
       lack = MAX(lack, lacking(&shards, k));
     }
     assert_true(lack < 1 || spare < 1);
-    assert_true(at_rest > 0);
+    assert_true(unchanged > 0);
   }
   g_rand_free(rand);
 }
@@ -168,9 +168,9 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(division_of_a_limit),
       cmocka_unit_test(adjustment_of_a_share),
-      cmocka_unit_test(sum_of_shares_keeps_to_the_limit),
+      cmocka_unit_test(sum_of_shares_never_exceeds_the_limit),
       cmocka_unit_test(adjustment_of_a_share_by_room),
-      cmocka_unit_test(shares_come_to_rest_where_there_is_room),
+      cmocka_unit_test(shares_converge_where_there_is_room),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_slice_assignment.c
+++ b/tests/test_slice_assignment.c
@@ -1,20 +1,20 @@
-/* Which shards a new job's slices are assigned to. */
+/* Assignment of a new job's slices to shards. */
 #include "fixture.h"
 
 #include "scheduler/slice_assignment.h"
 
-/* Two members and jobs that may run in zone b only. */
-static void slices_go_to_available_owners_of_the_zone(void **state) {
+/* Two members, each with one machine, and jobs that may run only in zone b. */
+static void slices_go_to_available_members_with_machines_in_the_zone(void **state) {
   (void)state;
   static const struct {
     const char *name;
     bool owns_0, owns_1, available_0, available_1, expect_0, expect_1;
   } rows[] = {
       {"both own machines in the zone", true, true, true, true, true, true},
-      {"only the second does", false, true, true, true, false, true},
-      {"only the first does, which is unavailable", true, false, false, true, false, true},
-      {"nobody does yet", false, false, true, true, true, true},
-      {"both unavailable: as the term assigns", true, true, false, false, true, true},
+      {"only the second owns one there", false, true, true, true, false, true},
+      {"only the first owns one there, but is unavailable", true, false, false, true, false, true},
+      {"neither owns one there", false, false, true, true, true, true},
+      {"both unavailable: the assignment by the term holds", true, true, false, false, true, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
@@ -40,7 +40,7 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(slices_go_to_available_owners_of_the_zone),
+      cmocka_unit_test(slices_go_to_available_members_with_machines_in_the_zone),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
