--- a/src/coordination/leader_lease.c
+++ b/src/coordination/leader_lease.c
@@ -2,10 +2,12 @@
 
 #include <string.h>
 
-/* Steady times, in seconds. NEVER is before any time that the clock can show. */
+/* Steady times in seconds. NEVER is before any time of the clock, and so is BEFORE_ALL_READS plus stale_max_s. */
 #define NEVER (-1.0)
 #define BEFORE_ALL_READS (-1e9)
 #define UNBOUNDED 1e18
+/* Allowance for a heartbeat in flight, in intervals between heartbeats. */
+#define IN_FLIGHT_HEARTBEATS 0.5
 
 /* Shortens a duration, so that it ends in time even if this process's clock is the slower one. */
 static double shortened_for_drift(double seconds) {
@@ -30,7 +32,7 @@
   for (size_t peer = 0; peer < FC_MEMBERS_MAX; peer++) lease->grants[peer] = (fc_peer_grant){NEVER, NEVER, NEVER};
   /* A cancelled job must stop in time even if this member has not learned of the cancellation: after the last answer
    * a worker runs its tasks for one more lease, and a heartbeat may be in flight. */
-  double margin = heartbeat_s * 0.5;
+  double margin = heartbeat_s * IN_FLIGHT_HEARTBEATS;
   lease->stale_max_s = shortened_for_drift(cancel_s - worker_lease_s - margin);
 }
 
--- a/src/scheduler/capacity_model.c
+++ b/src/scheduler/capacity_model.c
@@ -59,7 +59,7 @@
 
 /* Machines in use first, so that idle ones stay empty where possible; then spot instances; then the lowest ids,
  * so that the newest machines become surplus. */
-static gint compare_use(gconstpointer left_machine, gconstpointer right_machine) {
+static gint compare_fill_order(gconstpointer left_machine, gconstpointer right_machine) {
   const fc_model_machine *left = left_machine;
   const fc_model_machine *right = right_machine;
   if (left->idle != right->idle) return left->idle ? 1 : -1;
@@ -75,7 +75,7 @@
   model->usage = fc_cluster_team_usage(cluster);
   add_existing_machines(model, now);
   add_requested_machines(model);
-  g_array_sort(model->machines, compare_use);
+  g_array_sort(model->machines, compare_fill_order);
   for (guint i = 0; i < model->machines->len; i++) {
     model->machines_in_zone[g_array_index(model->machines, fc_model_machine, i).zone_index]++;
     g_array_append_val(model->open, i);
--- a/src/scheduler/rental_choice.c
+++ b/src/scheduler/rental_choice.c
@@ -5,7 +5,7 @@
 /* Prices that differ by less than this are treated as equal. */
 #define PRICE_TOLERANCE 1e-9
 /* Lower bound of a task's CPU request when computing the price per task. */
-#define LEAST_CPUS 0.001
+#define MIN_CPU_REQUEST 0.001
 
 /* The best machine to rent that was found so far. */
 typedef struct rental_offer {
@@ -17,7 +17,7 @@
 /* The price per task of a machine that runs as many of them as fit, by GPUs if the job uses any, else by CPUs. */
 static double price_per_task(const fc_machine_type *machine_type, bool spot, const fc_job_spec *spec) {
   double tasks = machine_type->gpus > 0 && spec->gpus > 0 ? machine_type->gpus / spec->gpus
-                                                          : machine_type->cpus / MAX(spec->cpus, LEAST_CPUS);
+                                                          : machine_type->cpus / MAX(spec->cpus, MIN_CPU_REQUEST);
   return (spot ? machine_type->spot_price : machine_type->price) / MAX(tasks, 1);
 }
 
--- a/src/scheduler/slice_assignment.c
+++ b/src/scheduler/slice_assignment.c
@@ -19,7 +19,7 @@
 }
 
 void fc_assign_new_job_slices(const fc_cluster *cluster, const bool *available, const fc_job_spec *spec,
-                              unsigned slices, char **handed) {
+                              unsigned slices, char **handed_to) {
   const fc_term *term = &cluster->membership.term;
   fc_term suitable = *term;
   fc_term available_members = *term;
@@ -35,6 +35,6 @@
     int owner = fc_assign_slice(term, spec->id, slice, slices, NULL);
     if (owner < 0 || fc_term_find(eligible, term->members[owner].name) >= 0) continue;
     int chosen = fc_assign_slice(eligible, spec->id, slice, slices, NULL);
-    handed[slice] = (char *)term->members[fc_term_find(term, eligible->members[chosen].name)].name;
+    handed_to[slice] = (char *)term->members[fc_term_find(term, eligible->members[chosen].name)].name;
   }
 }
--- a/tests/test_slice_assignment.c
+++ b/tests/test_slice_assignment.c
@@ -24,12 +24,12 @@
     fixture_machine(cluster, "vm-2", rows[i].owns_1 ? "b" : "a", false)->owner = 1;
     bool available[] = {rows[i].available_0, rows[i].available_1}, assigned[2] = {false, false};
     for (int k = 0; k < 40; k++) {
-      char id[32], *handed[1] = {NULL};
+      char id[32], *handed_to[1] = {NULL};
       g_snprintf(id, sizeof id, "job-%06d", k);
       fc_job *job = fixture_job(cluster, id, "gang", "high", "red", 2, 1, "\"ground\":\"b\"");
-      fc_assign_new_job_slices(cluster, available, &job->spec, 1, handed);
+      fc_assign_new_job_slices(cluster, available, &job->spec, 1, handed_to);
       g_free(job->record.handed_to[0]);
-      job->record.handed_to[0] = g_strdup(handed[0]);
+      job->record.handed_to[0] = g_strdup(handed_to[0]);
       fc_cluster_assign_slices(cluster, job);
       assigned[fc_job_slice_owner(job, 0)] = true;
     }
