--- a/src/scheduler/gang_precedence.h
+++ b/src/scheduler/gang_precedence.h
@@ -8,7 +8,7 @@
 
 #include "bookkeeping/cluster.h"
 
-/* Returns whether the job is a runnable gang without any placement. */
+/* Returns whether the job is a runnable gang with tasks left and without any placement. */
 bool fc_gang_pending(const fc_job *job);
 /* Returns whether the job's tasks may be preempted for a gang of the priority: only arrays of lower priority. */
 bool fc_job_preemptible_for_gang(const fc_job *job, fc_priority gang_priority);
--- a/src/scheduler/victim_selection.h
+++ b/src/scheduler/victim_selection.h
@@ -1,6 +1,7 @@
 /* Chooses the running tasks to preempt on one machine so that one pending task fits. A task may be preempted for a job
- * of higher priority, or for a job of a team within its guarantee if its own team is over its guarantee. Tasks that
- * lose the least work are preempted first; tasks that save checkpoints lose little. */
+ * of higher priority. An array's task may also be preempted for a job of the same priority, if its own team is over its
+ * guarantee and the job's team would stay within its own. Tasks of gangs are not preempted here. Tasks that lose the
+ * least work go first; tasks that save checkpoints lose little. */
 #ifndef FC_SCHEDULER_VICTIM_SELECTION_H
 #define FC_SCHEDULER_VICTIM_SELECTION_H
 
