--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -36,7 +36,7 @@
 void fc_leadership_lease_lost(fc_leadership *leadership);
 
 /* Records that this member has just joined a term. For some time afterwards it must not exclude
- * other members (fc_leader_lease_entry_wait()). */
+ * other members (fc_leader_lease_exclusion_wait_s()). */
 void fc_leadership_entered(fc_leadership *leadership);
 /* Returns whether that time has passed. */
 bool fc_leadership_may_exclude(const fc_leadership *leadership);
