--- a/src/bookkeeping/arrival_stats.c
+++ b/src/bookkeeping/arrival_stats.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* Users choose the class names, so their number has to be bounded. */
+/* Bounded, as users choose the class names. */
 #define MAX_CLASSES 256u
 #define MAX_HEADROOM_TASKS 10000u
 
@@ -26,7 +26,7 @@
   return exp(-(now - job_class->updated_at) / stats->decay_s);
 }
 
-/* The class of that name, created if it is missing. NULL: there are too many. */
+/* The class of that name, created if it is missing. NULL: there are too many classes. */
 static fc_arrival_class *find_or_create_class(fc_arrival_stats *stats, GRefString *name, double now) {
   fc_arrival_class *job_class = g_hash_table_lookup(stats->classes, name);
   if (job_class) return job_class;
--- a/src/bookkeeping/arrival_stats.h
+++ b/src/bookkeeping/arrival_stats.h
@@ -17,12 +17,12 @@
   bool spot;
   double weight;       /* decayed number of jobs */
   double task_squares; /* decayed sum of the squares of their task counts */
-  double updated_at;   /* time that the decayed sums hold for */
+  double updated_at;   /* the time at which the decayed sums are valid */
 } fc_arrival_class;
 
 typedef struct fc_arrival_stats {
   GHashTable *classes; /* name -> fc_arrival_class, both owned here */
-  double decay_s;      /* time constant: a job's weight falls to 1/e in this time */
+  double decay_s;      /* time constant: the weight of a job falls to 1/e in this time */
 } fc_arrival_stats;
 
 /* Freed with fc_arrival_stats_clear(). */
@@ -30,12 +30,12 @@
 /* Frees the classes, but not `stats` itself. */
 void fc_arrival_stats_clear(fc_arrival_stats *stats);
 
-/* Records the arrival of a job. `spec` is not retained. A class beyond the bounded number of
- * classes is not recorded. */
+/* Records the arrival of a job; `spec` is not retained. The number of classes is bounded: a job of
+ * a further class is not recorded. */
 void fc_arrival_stats_add(fc_arrival_stats *stats, const fc_job_spec *spec, double now);
 
-/* The number of tasks of the class by which arrivals within `horizon_s` may exceed their average,
- * at `deviations` standard deviations. Bounded; `job_class` is one of `stats`. */
+/* By how many tasks of the class the arrivals within `horizon_s` may exceed their average, at
+ * `deviations` standard deviations. The result is bounded. `job_class` belongs to `stats`. */
 unsigned fc_arrival_stats_headroom(const fc_arrival_stats *stats, const fc_arrival_class *job_class, double horizon_s,
                                    double deviations, double now);
 
--- a/src/bookkeeping/cancellation_log.c
+++ b/src/bookkeeping/cancellation_log.c
@@ -1,11 +1,11 @@
 #include "bookkeeping/cancellation_log.h"
 
-/* The greatest age that a frame carries, in seconds: fits into 32 bits of milliseconds. */
+/* The greatest age in a frame, in seconds: in milliseconds it fits into 32 bits. */
 #define MAX_AGE_S 1e6
 
 struct fc_cancellation_log {
-  GArray *entries;           /* fc_cancellation, by revision */
-  uint64_t dropped_revision; /* entries up to this one have been dropped */
+  GArray *entries;           /* fc_cancellation, in ascending order of revision */
+  uint64_t dropped_revision; /* entries up to this revision have been dropped */
 };
 
 fc_cancellation_log *fc_cancellation_log_new(void) {
@@ -53,7 +53,7 @@
   fc_cancellation entry = {.revision = revision, .since = since};
   g_strlcpy(entry.job, job, sizeof entry.job);
   g_array_insert_val(log->entries, end, entry);
-  /* All entries of one revision are dropped together: the remainder would pass for the whole
+  /* All entries of one revision are dropped together: a remainder would be taken for the complete
    * transaction. */
   if (log->entries->len > FC_FRAME_CANCELLATIONS_MAX)
     drop_oldest(log, first_newer_than(log, entry_at(log, 0)->revision));
--- a/src/bookkeeping/cluster.c
+++ b/src/bookkeeping/cluster.c
@@ -3,16 +3,17 @@
 #include <math.h>
 #include <string.h>
 
-/* Arrivals are remembered for about two boots of a machine: with a longer memory room is reserved
- * for a burst that is long over. */
+/* The decay time of arrival statistics, in worker leases: about two boot times of a machine. With a
+ * longer one, capacity stays reserved for a burst that has long ended. */
 #define ARRIVAL_MEMORY_LEASES 8
 
-/* Before any time that the steady clock shows: nothing has been read yet. */
+/* Earlier than any time of the monotonic clock: nothing has been read yet. */
 #define NEVER (-1e9)
 
-/* Where nothing changes, a read takes half a heartbeat interval and counts from when it was sent:
- * just before the next one ends, the last is a whole interval old. With that as the bound a quiet
- * store counted as out of reach for a moment each second, and submissions were refused (scene
+/* The maximum age of the last read, in heartbeat intervals. While nothing changes, a read takes
+ * half an interval and its age counts from when it was sent, so that just before the next one ends
+ * the last is a whole interval old. With a bound of one interval, an idle store was considered
+ * unreachable for a moment each second, and submissions were refused (scene
  * replies_about_archived_jobs). */
 #define REACHABLE_HEARTBEATS 1.5
 
--- a/src/bookkeeping/cluster.h
+++ b/src/bookkeeping/cluster.h
@@ -1,6 +1,7 @@
-/* The cluster state: everything that this controller knows of jobs, machines, members and
- * quota. A cache of the key-value store's records, together with what workers and peers have
- * reported. Nothing in this layer but group commit does I/O or suspends a routine. */
+/* The cluster state: everything this controller knows about jobs, machines, members and quota. It
+ * is a cache of the records in the key-value store, plus what workers and peers have reported.
+ * Nothing in this layer except group commit does I/O or suspends a routine. Times are on the
+ * monotonic clock of fc_now(), in seconds. */
 #ifndef FC_BOOKKEEPING_CLUSTER_H
 #define FC_BOOKKEEPING_CLUSTER_H
 
@@ -17,116 +18,114 @@
 #include "protocol/records.h"
 #include "protocol/settings.h"
 
-/* A committed cancellation that we learned from a peer, or wrote, and whose record
- * has not been read yet. */
+/* A committed cancellation that a peer reported or this controller wrote, and whose record has not
+ * been read yet. */
 typedef struct fc_unread_cancellation {
   uint64_t revision;
-  double since; /* no user had it confirmed before this, steady time */
+  double since; /* lower bound of when a user saw it confirmed */
 } fc_unread_cancellation;
 
-/* A member's own key: there as long as its lease. */
+/* A member's own key, which exists as long as its lease. */
 typedef struct fc_member_key {
   uint64_t version;
-  unsigned job_format; /* the newest format of job records that it reads */
+  unsigned job_format; /* newest format of job records that the member reads */
 } fc_member_key;
 
-/* A job's record that can't be applied before more parts of its description have been read. */
+/* A job record that can't be applied until further parts of its description have been read. */
 typedef struct fc_incomplete_job {
   json_t *value;
   uint64_t version;
-  bool ordered; /* it was read as a change, not when everything was read anew */
+  bool ordered; /* read as a change, not in a full read */
 } fc_incomplete_job;
 
-/* How far the cluster state follows the key-value store. Written by the watch alone. */
+/* How far the cluster state has followed the key-value store. Written only by the watch. */
 typedef struct fc_store_sync {
-  bool loaded;       /* everything was read, and no change has been missed since */
-  uint64_t revision; /* every change up to here has been applied */
-  double read_at;    /* when the last successful read of changes was sent, steady time */
+  bool loaded;       /* a full read has completed and no change has been missed since */
+  uint64_t revision; /* all changes up to this one have been applied */
+  double read_at;    /* when the last successful read of changes was sent */
 } fc_store_sync;
 
-/* The present term and the members' own keys. */
+/* The current term and the members' own keys. */
 typedef struct fc_membership {
   fc_term term;
-  uint64_t term_version; /* of the stored record; 0: none seen */
-  int self;              /* our index in the term; -1: not a member */
+  uint64_t term_version; /* of the stored record; 0: none read yet */
+  int self;              /* index of this controller in the term; -1: not a member */
   GHashTable *keys;      /* name -> fc_member_key */
 } fc_membership;
 
-/* How far the machines have been reconciled in a term. */
+/* Progress of machine reconciliation. */
 typedef struct fc_reconciliation {
-  uint64_t complete_in_term; /* term in which every machine has been */
-  uint64_t members_term;     /* term that `members` tells of */
-  unsigned members;          /* a bit a member: every machine of it has been, in that term */
+  uint64_t complete_in_term; /* the term in which all machines were reconciled */
+  uint64_t members_term;     /* the term that `members` refers to */
+  unsigned members;          /* one bit for each member: all its machines are reconciled in that term */
 } fc_reconciliation;
 
-/* The members' quota shares as stored. */
+/* The quota shares of the members, as stored. */
 typedef struct fc_quota_state {
   fc_quota_record record;
-  uint64_t version; /* 0: none seen */
-  /* What this shard may have been using, of each team, when the term began: its share of the
-   * term before, where that was carried over; INFINITY: not known. */
+  uint64_t version; /* 0: none read yet */
+  /* Upper bound of what this shard was using of each team's limit when the term began: its share of
+   * the previous term if that was carried over; INFINITY: unknown. */
   double carried_cpus[FC_TEAMS_MAX], carried_gpus[FC_TEAMS_MAX];
 } fc_quota_state;
 
-/* What jobs depend on. */
+/* Index of the dependencies between jobs. */
 typedef struct fc_dependency_index {
-  GHashTable *by_id;                    /* id -> fc_dependency: what accepted jobs depend on */
-  GHashTable *unrecorded_cancellations; /* id -> fc_job: cancelled by another's record, not yet by their own */
+  GHashTable *by_id;                    /* id -> fc_dependency: the jobs that accepted jobs depend on */
+  GHashTable *unrecorded_cancellations; /* id -> fc_job: cancelled because of a dependency; its own record does not say
+                                           so yet */
 } fc_dependency_index;
 
-/* Everything that this controller knows of the cluster: a cache of the key-value store's
- * records, and what workers and peers have reported. */
 typedef struct fc_cluster {
   const fc_settings *settings;
   fc_store_sync sync;
-  double clock_offset_s;              /* time of day less steady time */
+  double clock_offset_s;              /* wall-clock time minus monotonic time */
   GHashTable *jobs;                   /* id -> fc_job */
   GHashTable *machines;               /* id -> fc_machine */
-  GPtrArray *machine_types;           /* fc_machine_type; empty: not known yet */
+  GPtrArray *machine_types;           /* fc_machine_type; empty: not read yet */
   GHashTable *rentals;                /* name -> fc_rental_record */
   GHashTable *unread_cancellations;   /* id -> fc_unread_cancellation */
-  fc_description_parts *descriptions; /* stored apart from their records */
+  fc_description_parts *descriptions; /* descriptions that are stored outside their job records */
   GHashTable *incomplete_jobs;        /* id -> fc_incomplete_job */
   fc_membership membership;
   fc_reconciliation reconciliation;
   fc_quota_state quota;
   fc_dependency_index dependencies;
   fc_arrival_stats arrivals;
-  bool archive_in_use;      /* jobs that have ended may have been archived */
-  uint64_t returns_version; /* of the mark that every removal of machines' records writes; 0: none yet */
-  bool tasks_pending;       /* some task of ours had no place when that was last looked for */
+  bool archive_in_use;      /* ended jobs may have been archived */
+  uint64_t returns_version; /* version of the key that is written with every deletion of machine records; 0: none yet */
+  bool tasks_pending;       /* at the last scheduling attempt, some task of this shard could not be placed */
   uint64_t next_queue_sequence;
-  uint64_t view_number; /* of the newest view of our machines */
+  uint64_t view_number; /* number of the newest view of this shard's machines */
 } fc_cluster;
 
-/* The settings have to outlive the cluster state. */
+/* `settings` must outlive the cluster state. The caller frees the result with fc_cluster_free(). */
 fc_cluster *fc_cluster_new(const fc_settings *settings);
 void fc_cluster_free(fc_cluster *cluster);
 
-/* Jobs and machines are owned by the cluster state, and may leave it whenever a routine is
- * suspended: pointers to them are looked up anew afterwards. NULL: not known. */
+/* NULL: unknown. Jobs and machines are owned by the cluster state and may be removed whenever the
+ * calling routine is suspended: look them up again afterwards. */
 fc_job *fc_cluster_find_job(const fc_cluster *cluster, const char *id);
 fc_machine *fc_cluster_find_machine(const fc_cluster *cluster, const char *id);
-/* Index of a machine type; -1: not known. */
+/* Index of a machine type; -1: unknown. */
 int fc_cluster_find_machine_type(const fc_cluster *cluster, const char *name);
 
-/* Has the key-value store been read lately, so that a write or a fresh read is worth trying? */
+/* Whether the key-value store was read recently, so that a write or another read is likely to
+ * succeed. */
 bool fc_cluster_store_reachable(const fc_cluster *cluster, double now);
 
-/* Do all members that are there read job records of the format? The others would not know such
- * jobs. */
+/* Whether all live members read job records of the format. The others would not see such jobs. */
 bool fc_cluster_members_read_format(const fc_cluster *cluster, unsigned format);
 
-/* Is the job cancelled, by what has been read or learned from peers? */
+/* Whether the job is cancelled, by a record or a peer's report. */
 bool fc_cluster_is_cancelled(const fc_cluster *cluster, const char *id);
-/* No user had the cancellation confirmed before this steady time; INFINITY: it is not, as
- * far as we know. */
+/* Lower bound of when a user saw the cancellation confirmed; INFINITY: not known to be cancelled. */
 double fc_cluster_cancelled_since(const fc_cluster *cluster, const char *id);
 
-/* Iterators over all jobs, or all machines, in no particular order:
+/* Iterators over all jobs or all machines, in no particular order:
  *   fc_job_iter job_iter = fc_cluster_jobs(cluster);
  *   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) ...
- * None may be added or removed, nor the routine be suspended, meanwhile. */
+ * Meanwhile no entry may be added or removed, and the routine may not be suspended. */
 typedef struct fc_job_iter {
   GHashTableIter entries;
 } fc_job_iter;
@@ -136,7 +135,7 @@
 
 fc_job_iter fc_cluster_jobs(const fc_cluster *cluster);
 fc_machine_iter fc_cluster_machines(const fc_cluster *cluster);
-/* NULL: that was the last. */
+/* NULL: no more entries. */
 fc_job *fc_job_iter_next(fc_job_iter *iter);
 fc_machine *fc_machine_iter_next(fc_machine_iter *iter);
 
--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -3,17 +3,17 @@
 /* More than any machine has or any limit allows. */
 #define UNKNOWN_CAPACITY 1e12
 
-/* How long a machine may stay silent after it became ours, as a part of the worker's lease and
- * in heartbeat intervals at least. */
+/* How long a machine may be silent after this controller became its owner: in worker leases, but no
+ * less than this number of heartbeat intervals. */
 #define NEVER_HEARD_LEASES 0.4
 #define NEVER_HEARD_HEARTBEATS 2
 
-/* A machine is suspect so much earlier than it is unreachable, but not before a heartbeat can
- * have been missed; both in heartbeat intervals. */
+/* A machine becomes suspect this much before it is unreachable, but not before a heartbeat can have
+ * been missed; both in heartbeat intervals. */
 #define SUSPECT_AHEAD_HEARTBEATS 2
 #define SUSPECT_MIN_HEARTBEATS 1.5
 
-/* Parts of the worker's lease for which a silent, and a unidirectional, machine takes new tasks. */
+/* How long a silent, and a unidirectional, machine still takes new tasks, in worker leases. */
 #define REACHABLE_SILENT_LEASES 0.5
 #define REACHABLE_UNIDIRECTIONAL_LEASES 0.25
 
@@ -58,7 +58,7 @@
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
     if (!fc_placement_active(placement)) continue;
-    /* A task of an unknown job may use all there is. */
+    /* A task of an unknown job may use all resources. */
     if (!placement->job) return none;
     fc_resources_subtract(&resources, &placement->job->spec);
   }
@@ -92,14 +92,15 @@
 static bool heard_lately(const fc_cluster *cluster, const fc_machine *machine, double now) {
   double lease_s = cluster->settings->lease_s;
   if (!machine->agent.reported || now > machine->agent.heard_at + lease_s * REACHABLE_SILENT_LEASES) return false;
-  /* The next heartbeat, or the answer to a probe, shows whether our answers arrive. */
+  /* The next heartbeat or probe answer shows whether our answers arrive. */
   double unidirectional_since = machine->reachability.unidirectional_since;
   return !unidirectional_since || now < unidirectional_since + lease_s * REACHABLE_UNIDIRECTIONAL_LEASES;
 }
 
-/* A start names an epoch, and an expired lease rules out only starts that name the one that has
- * ended. Sent under an epoch that the worker had not shown, starts were dropped by that proof and
- * carried out later: tasks ran twice, a team was over its limit (scene test_expired_leases). */
+/* A start command names an epoch, and an expired lease rules out only starts that name the epoch
+ * that ended. When starts were sent under an epoch that the worker had not reported, they were
+ * taken to be ruled out but executed later: tasks ran twice, and a team exceeded its limit (scene
+ * test_expired_leases). */
 bool fc_machine_reachable(const fc_cluster *cluster, const fc_machine *machine, double now) {
   return machine->agent.epoch_shown && heard_lately(cluster, machine, now);
 }
--- a/src/bookkeeping/cluster_machines.h
+++ b/src/bookkeeping/cluster_machines.h
@@ -1,52 +1,58 @@
-/* Machines within the cluster state: adding and removing them, their placements, and what
- * depends on the present term, the machine types and the settings. */
+/* Machines in the cluster state: adding and removing them, their placements and resources, and the
+ * conditions that depend on the current term, the machine types or the settings. Times are on the
+ * monotonic clock of fc_now(), in seconds. */
 #ifndef FC_BOOKKEEPING_CLUSTER_MACHINES_H
 #define FC_BOOKKEEPING_CLUSTER_MACHINES_H
 
 #include "bookkeeping/cluster.h"
 
-/* The machine of that id, which is added if it is not known. `now`: steady time. */
+/* Returns the machine with that id, adding it if it is unknown. Owned by the cluster state. */
 fc_machine *fc_cluster_ensure_machine(fc_cluster *cluster, const char *id, double now);
-/* Removes and frees the machine with every placement on it: it is proved gone. */
+/* Removes and frees a machine that is proved gone, with every placement on it. */
 void fc_cluster_remove_machine(fc_cluster *cluster, fc_machine *machine);
-/* Looks up the type and zone that the machine's record names. */
+/* Sets the machine's type and zone indices from its record. */
 void fc_cluster_locate_machine(const fc_cluster *cluster, fc_machine *machine);
 
-/* Adds a placement to the machine and, where it is known, to the job. Owned by the machine. */
+/* Adds a placement to the machine and, if the job is known, to the job. Owned by the machine. */
 fc_placement *fc_cluster_add_placement(fc_cluster *cluster, fc_machine *machine, const char *job_id, uint32_t index,
                                        uint64_t attempt, double now);
 
-/* Does it belong to our shard? */
+/* Whether the machine belongs to this controller's shard. */
 static inline bool fc_machine_owned_by_self(const fc_cluster *cluster, const fc_machine *machine) {
   return machine->owner == cluster->membership.self;
 }
-/* Has its owner a task list that follows the present term's fencing token, or is the machine
- * proved to be empty? */
+/* Whether the owner has read a task list fenced by the current term's token, or has proof that the
+ * machine is empty. */
 static inline bool fc_machine_reconciled(const fc_cluster *cluster, const fc_machine *machine) {
   return machine->reconciled_term == cluster->membership.term.number;
 }
 
-/* Resources that no placement uses; none when the type, or the job of some task, is unknown. */
+/* Resources that no placement uses; none if the machine's type, or the job of one of its tasks, is
+ * unknown. */
 fc_resources fc_machine_free_resources(const fc_cluster *cluster, const fc_machine *machine);
-/* What an empty machine of the type holds. */
+/* Resources of an empty machine of the type. */
 fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type);
-/* All that the machine may hold, far more than any limit while its type is not known: a
- * controller that has just started knows none, and once took machines full of tasks for empty
- * (fault test, seed 686). */
+/* Resources of the empty machine; far more than any limit if its type is unknown. A controller that
+ * has just started knows no types, and must not take machines full of tasks for empty (fault test,
+ * seed 686). */
 fc_resources fc_machine_capacity(const fc_cluster *cluster, const fc_machine *machine);
 
-/* A machine that we have owned for a while, that was up as its recorded address says, and that
- * has never contacted us: it dates from before our incarnation, and is dead or out of reach. A
- * live one has by then failed to answer several probes, and has had the time to come to another
- * member, which would have informed us. Until it is gone, what may be on it is started nowhere. */
+/* Whether this controller has owned the machine for a while, the machine is up according to its
+ * recorded endpoint, and yet it has never contacted this controller. The endpoint was then recorded
+ * before our incarnation started, and the machine is dead or unreachable: a live worker would by
+ * now have failed to answer several probes, and have had time to contact another member, which
+ * would have informed us. Until the machine is removed, tasks that may be on it are not started
+ * elsewhere. */
 bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now);
-/* Possibly lost: on the way to being unreachable, or never heard. Suspects are counted before
- * any machine is returned, or the first would be gone before it showed that most of them became
- * silent together. */
+/* Whether the machine may be lost: about to become unreachable, or never heard from. Suspects are
+ * counted before any machine is returned; otherwise the first would be returned before it was
+ * apparent that most of them became silent together. */
 bool fc_machine_suspect(const fc_cluster *cluster, const fc_machine *machine, double now);
-/* Heard of lately, with a sign that answers arrive too, and in a known epoch: may take new tasks. */
+/* Whether the machine may take new tasks: heard from recently, with evidence that answers arrive,
+ * and in a known epoch. */
 bool fc_machine_reachable(const fc_cluster *cluster, const fc_machine *machine, double now);
-/* The same but for its epoch: the worker's lease has expired, and no message has come since. */
+/* Whether the machine would be reachable, but its worker's lease has expired and no message has
+ * come since, so that its epoch is unknown. */
 bool fc_machine_awaits_epoch(const fc_cluster *cluster, const fc_machine *machine, double now);
 
 #endif
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -39,7 +39,7 @@
   return job->spec.deadline_s < 0 ? INFINITY : job->lifecycle.submitted_at + job->spec.deadline_s;
 }
 
-/* Lets the job inherit from a dependent. Returns whether that changed anything. */
+/* Lets the job inherit from a dependent. Returns whether the job changed. */
 static bool inherit_from(fc_job *job, const fc_job *dependent) {
   if (dependent->phase != FC_PHASE_ACCEPTED) return false;
   double due_at = fc_job_latest_start(dependent);
@@ -49,7 +49,7 @@
   return true;
 }
 
-/* Works out anew what a job inherits from all its dependents. Returns whether that changed. */
+/* Recomputes what a job inherits from all its dependents. Returns whether that changed. */
 static bool inherit_anew(const fc_cluster *cluster, fc_job *job) {
   fc_priority old_priority = job->queue.priority;
   double old_due_at = job->queue.due_at;
@@ -60,13 +60,13 @@
   return job->queue.priority != old_priority || job->queue.due_at != old_due_at;
 }
 
-/* NULL: that job has ended, or is not known. */
+/* NULL: that job has ended or is unknown. */
 static fc_job *open_job(const fc_cluster *cluster, const fc_dependency *dependency) {
   return dependency->state == FC_DEPENDENCY_OPEN ? fc_cluster_find_job(cluster, dependency->id) : NULL;
 }
 
-/* Changes what `job` inherits, of which `dependent` asks something or no longer does. Returns
- * whether anything changed. */
+/* Updates what `job` inherits after `dependent`, one of its dependents, changed or was removed.
+ * Returns whether the job changed. */
 typedef bool (*inherit_fn)(const fc_cluster *cluster, fc_job *job, const fc_job *dependent);
 
 static bool raise_one(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
@@ -79,8 +79,8 @@
   return inherit_anew(cluster, job);
 }
 
-/* Passes a change on to the jobs that `job` depends on, level by level, as far as it changes
- * anything. Chains may be long: no recursion. */
+/* Propagates a change to the jobs that `job` depends on, transitively, as long as it has an effect.
+ * Iterative, as chains may be long. */
 static void propagate(const fc_cluster *cluster, fc_job *job, inherit_fn inherit) {
   GQueue changed = G_QUEUE_INIT;
   g_queue_push_tail(&changed, job);
@@ -95,8 +95,8 @@
 
 /* ---- readiness and cancellation ---- */
 
-/* All dependencies of the job are done. It is queued now, and where that was seen as a change
- * within the present term no earlier owner can have started anything of it. */
+/* Queues a job whose dependencies are all done. If this was read as a change within the current
+ * term, no earlier owner can have started any of its tasks. */
 static void become_ready(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
   job->queue.entered_at = now;
   job->queue.sequence = cluster->next_queue_sequence++;
@@ -105,8 +105,8 @@
   fc_arrival_stats_add(&cluster->arrivals, &job->spec, now);
 }
 
-/* The job is cancelled with one that it depends on. That is as final as the other's record, so
- * it counts from here on; the job's own record follows. */
+/* Cancels a job because of a dependency. This is as final as the record of the dependency, so it
+ * applies immediately; the job's own record is written later. */
 static void cancel_dependent(fc_cluster *cluster, fc_job *job, double now) {
   job->phase = FC_PHASE_CANCELLED;
   if (!job->lifecycle.cancelled_since) job->lifecycle.cancelled_since = now;
@@ -115,8 +115,7 @@
   propagate(cluster, job, lower_one);
 }
 
-/* Informs the dependents of a job that has ended; those that are cancelled by that are added to
- * `cancelled`. */
+/* Updates the dependents of a job that has ended; those cancelled by it are added to `cancelled`. */
 static void notify_dependents(fc_cluster *cluster, const fc_dependency *dependency, bool fresh, double now,
                               GQueue *cancelled) {
   for (guint i = 0; i < dependency->dependents->len; i++) {
@@ -130,7 +129,7 @@
   }
 }
 
-/* The next job of the queue that others depend on; NULL: there is none. */
+/* The next job of the queue that others depend on; NULL: none. */
 static fc_dependency *pop_dependency(const fc_cluster *cluster, GQueue *jobs) {
   const fc_job *job;
   while ((job = g_queue_pop_head(jobs))) {
@@ -140,8 +139,8 @@
   return NULL;
 }
 
-/* Notes a job's state as it is known now, and what follows from it for all that depend on it,
- * directly or through others. Chains may be long: no recursion. */
+/* Sets a job's state and applies the consequences to all jobs that depend on it, transitively.
+ * Iterative, as chains may be long. */
 static void note_state(fc_cluster *cluster, const char *id, fc_dependency_state state, bool fresh, double now) {
   GQueue cancelled = G_QUEUE_INIT;
   fc_dependency *dependency = find_dependency(cluster, id);
@@ -194,7 +193,8 @@
 void fc_dependencies_apply(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
   bool was_blocked = job->dependencies.unmet > 0;
   if (job->record.phase != FC_PHASE_ACCEPTED || !job->spec.dependencies) {
-    /* Its own record decides: it has ended, or was written when all dependencies were done. */
+    /* Its own record decides: it has ended, or the record was written after all dependencies were
+     * done. */
     unlink_dependencies(cluster, job);
     g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
     if (was_blocked && job->phase == FC_PHASE_ACCEPTED) become_ready(cluster, job, fresh, now);
@@ -211,7 +211,7 @@
 void fc_dependencies_remove(fc_cluster *cluster, fc_job *job) {
   unlink_dependencies(cluster, job);
   g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
-  /* A final state stays known; otherwise its end was missed, and is looked up. */
+  /* A final state is retained; otherwise the job's end was missed and has to be looked up. */
   note_state(cluster, job->spec.id, FC_DEPENDENCY_UNKNOWN, false, 0);
 }
 
--- a/src/bookkeeping/description_parts.c
+++ b/src/bookkeeping/description_parts.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 typedef struct description_part {
-  uint64_t version; /* of the last change of its key, also of a deletion; 0: never read */
+  uint64_t version; /* of the last change of its key, including a deletion; 0: never read */
   bool exists;
   char *text; /* NULL: the key does not exist, or the text has been dropped */
 } description_part;
--- a/src/bookkeeping/group_commit.c
+++ b/src/bookkeeping/group_commit.c
@@ -6,24 +6,24 @@
 #include "protocol/records.h"
 #include "transport/routine.h"
 
-/* The protocol's bound for the body of a transaction is 64 KiB; the rest is for its frame. */
+/* The protocol limits the body of a transaction to 64 KiB; the rest is for the envelope. */
 #define MAX_TXN_BODY_BYTES ((size_t)60 * 1024)
 
-/* Transactions without a response at one time. */
+/* The maximum number of transactions without a response. */
 #define MAX_TXNS_IN_FLIGHT 4u
 
-/* The fraction of the response timeout after which a transaction no longer holds up the next. */
+/* The fraction of the response timeout after which a transaction no longer delays the next. */
 #define PIPELINE_AFTER 0.15
 
-/* The pause after a refusal or a lost connection is random, so that the controllers do not all
- * retry at the same moment. */
+/* The pause after a refusal or a lost connection is random, so that the controllers don't retry
+ * simultaneously. */
 #define MIN_RETRY_PAUSE_S 0.1
 #define MAX_RETRY_PAUSE_S 0.4
 
-/* Waits on the condition are repeated at least this often. */
+/* The longest single wait on the condition variable. */
 #define MAX_COND_WAIT_S 1.0
 
-/* A timer can't be set to less: the loop around the sleep would spin. */
+/* Shorter waits are below the resolution of a timer: the loop around the sleep would spin. */
 #define MIN_SLEEP_S 1e-6
 
 /* A request from its submission until its outcome is known. */
@@ -32,7 +32,7 @@
   double deadline;
   fc_routine *waiter; /* NULL: its routine was cancelled */
   bool isolated;      /* refused together with others: it gets a transaction of its own */
-  bool in_flight;     /* in the batch of a transaction, not in a queue */
+  bool in_flight;     /* in a transaction's batch, not in a queue */
   bool resolved;      /* result and revision are set */
   fc_kv_result result;
   uint64_t revision;
@@ -51,16 +51,16 @@
   double response_timeout_s;
   fc_write_rate rate;
   GQueue queues[FC_WRITE_PRIORITIES]; /* queued_write */
-  double rate_limited_writes;         /* changes of the transaction that waits for the rates */
+  double rate_limited_writes;         /* changes in the transaction that waits for the rate limits */
   fc_cond changed;                    /* a request was queued, or a transaction has ended */
-  GPtrArray *in_flight;               /* transaction: being sent, or waiting for the rates */
+  GPtrArray *in_flight;               /* being sent, or waiting for the rate limits */
   fc_group_commit_counts counts;
 };
 
 fc_group_commit *fc_group_commit_new(fc_kv *kv, const fc_group_commit_limits *limits) {
   fc_group_commit *commit = g_new0(fc_group_commit, 1);
   commit->kv = kv;
-  /* A transaction larger than one second's worth at the minimum rate would never be sent. */
+  /* At the minimum rate, a transaction larger than one second's worth would never be sent. */
   unsigned min_burst = limits->min_writes_per_s < 1 ? 1 : (unsigned)limits->min_writes_per_s;
   commit->max_txn_ops = MIN(limits->txn_ops, min_burst);
   commit->max_value_bytes = limits->value_bytes;
@@ -118,7 +118,7 @@
   return false;
 }
 
-/* A request that clashes with a transaction in flight has to wait for that one's outcome. */
+/* A request that clashes with a transaction in flight must wait for its outcome. */
 static bool clashes_in_flight(const fc_group_commit *commit, const queued_write *queued) {
   for (guint i = 0; i < commit->in_flight->len; i++) {
     const transaction *sent = commit->in_flight->pdata[i];
@@ -127,15 +127,15 @@
   return false;
 }
 
-/* The requests of the next transaction, while they are collected. */
+/* The next transaction while it is being assembled. */
 typedef struct batch_builder {
   GPtrArray *batch; /* queued_write */
   unsigned changes;
   size_t body_bytes;
-  bool full; /* nothing may be added */
+  bool full; /* no further request may be added */
 } batch_builder;
 
-/* The first request may be added whatever its size. */
+/* The first request is added whatever its size. */
 static bool may_add(const fc_group_commit *commit, const batch_builder *builder, const queued_write *queued) {
   if (clashes_in_flight(commit, queued)) return false;
   if (builder->batch->len == 0) return true;
@@ -153,7 +153,7 @@
   g_ptr_array_add(builder->batch, queued);
 }
 
-/* Moves requests of a queue into the batch, and gives up those past their deadline. */
+/* Moves requests from a queue to the batch, and fails those past their deadline. */
 static void collect_from_queue(const fc_group_commit *commit, GQueue *queue, double now, batch_builder *builder) {
   for (GList *link = queue->head; link && !builder->full;) {
     queued_write *queued = link->data;
@@ -190,7 +190,7 @@
   return txn;
 }
 
-/* Takes over the batch, and lists the transaction as in flight. */
+/* Takes ownership of the batch and registers the transaction as in flight. */
 static transaction *transaction_new(fc_group_commit *commit, GPtrArray *batch) {
   transaction *created = g_new(transaction, 1);
   *created = (transaction){.commit = commit, .batch = batch, .txn = build_txn(batch)};
@@ -222,13 +222,13 @@
   }
 }
 
-/* Ahead of all priorities: the request has waited the longest. */
+/* At the head of the highest priority, as the request has waited the longest. */
 static void requeue(fc_group_commit *commit, queued_write *queued) {
   queued->in_flight = false;
   g_queue_push_head(&commit->queues[FC_WRITE_PRIORITY_HEARTBEAT], queued);
 }
 
-/* Resolves the requests whose own conditions failed; false: there are none. */
+/* Resolves the requests whose own conditions failed; returns false if there are none. */
 static bool resolve_conflicts(const GPtrArray *batch, const GPtrArray *failed_keys) {
   bool found = false;
   for (guint i = 0; i < batch->len; i++) {
@@ -240,12 +240,12 @@
   return found;
 }
 
-/* Passes the outcome of a transaction on to its requests. Those that were not executed for no
- * fault of their own are queued again, in the order that they had. */
+/* Resolves the requests of a transaction with its outcome. Those that were not executed through no
+ * fault of their own are queued again in their original order. */
 static void resolve_batch(fc_group_commit *commit, GPtrArray *batch, fc_kv_result result, uint64_t revision,
                           const GPtrArray *failed_keys) {
   bool conflicts_found = result == FC_KV_CONFLICT && resolve_conflicts(batch, failed_keys);
-  /* The store does not say which request it refused: each is repeated by itself. */
+  /* The store does not report which request it refused: each is retried in its own transaction. */
   bool isolate = result == FC_KV_REFUSED && batch->len > 1;
   bool retry = conflicts_found || isolate || result == FC_KV_BUSY || result == FC_KV_DOWN;
   for (guint i = batch->len; i-- > 0;) {
@@ -260,7 +260,7 @@
   }
 }
 
-/* A routine that sends one transaction and frees it after its outcome. */
+/* Routine that sends one transaction and frees it after its outcome. */
 static void send_transaction(void *arg) {
   transaction *sent = arg;
   fc_group_commit *commit = sent->commit;
@@ -288,11 +288,10 @@
   fc_write_rate_take(&commit->rate, writes, fc_now());
 }
 
-/* Transactions are sent one after the other as long as responses are prompt: requests that arrive
- * meanwhile share the next one. A transaction without a prompt response no longer holds up
- * requests for other keys; as every request is conditional, no order among them is needed. When
- * each was waited for until its timeout, and half of them got no response, half of the submissions
- * were late. */
+/* While responses are prompt, transactions are sent one at a time: requests that arrive meanwhile
+ * share the next one. A transaction without a prompt response no longer delays requests for other
+ * keys; as every request is conditional, no order among them is needed. When every transaction was
+ * waited for until its timeout and half of them got no response, half of the submissions were late. */
 static void send_and_wait(fc_group_commit *commit, transaction *sent) {
   double prompt_until = fc_now() + commit->response_timeout_s * PIPELINE_AFTER;
   if (!fc_routine_spawn(send_transaction, sent)) {
@@ -331,12 +330,12 @@
   }
 }
 
-/* Suspends the calling routine until the request is resolved. False: the routine was cancelled
- * while the request was in flight. */
+/* Suspends the calling routine until the request is resolved. Returns false if the routine was
+ * cancelled while the request was in flight. */
 static bool wait_until_resolved(fc_group_commit *commit, queued_write *queued) {
   while (!queued->resolved) {
-    /* The deadline bounds the time in the queue only: the caller needs the outcome of a request
-     * in flight. */
+    /* The deadline bounds only the time in the queue: the caller needs the outcome of a request in
+     * flight. */
     fc_wake wake = fc_routine_park(queued->in_flight ? fc_now() + commit->response_timeout_s : queued->deadline);
     if (queued->resolved || wake == FC_WAKE_OK) continue;
     if (!queued->in_flight) {
@@ -362,7 +361,7 @@
   g_queue_push_tail(&commit->queues[priority], queued);
   fc_cond_broadcast(&commit->changed);
   if (!wait_until_resolved(commit, queued)) {
-    queued->waiter = NULL; /* the batch still refers to it, until the process ends */
+    queued->waiter = NULL; /* the batch still refers to it; freed only with the process */
     return FC_KV_UNKNOWN;
   }
   fc_kv_result result = queued->result;
@@ -372,9 +371,9 @@
   return result;
 }
 
-/* Judges by the tokens left at present and includes the transaction that waits for the rates:
- * before, a burst already spent counted as available and that transaction did not count, so that
- * submissions waited twice as long as estimated and were refused in the end. */
+/* Estimates from the tokens currently left, and includes the transaction that waits for the rate
+ * limits. An estimate that counted a spent burst as available and ignored that transaction accepted
+ * submissions that waited twice as long as estimated and were refused in the end. */
 bool fc_group_commit_accepts(fc_group_commit *commit, fc_write_priority priority, double wait_s) {
   double writes_ahead = commit->rate_limited_writes;
   for (int i = 0; i <= (int)priority; i++) writes_ahead += g_queue_get_length(&commit->queues[i]);
--- a/src/bookkeeping/group_commit.h
+++ b/src/bookkeeping/group_commit.h
@@ -1,5 +1,5 @@
-/* Group commit: sends the write requests of many routines together in transactions, by priority,
- * within the size limits of a transaction and this member's write rate (write_rate.h). */
+/* Group commit: combines the write requests of many routines into transactions, by priority, within
+ * the size limits of a transaction and this member's write rate (write_rate.h). */
 #ifndef FC_BOOKKEEPING_GROUP_COMMIT_H
 #define FC_BOOKKEEPING_GROUP_COMMIT_H
 
@@ -10,8 +10,8 @@
 #include "bookkeeping/write_request.h"
 #include "protocol/kv_store.h"
 
-/* The order in which requests are sent under overload: heartbeats of workers first, then
- * scheduling decisions, then submissions, then maintenance, which nobody waits for. */
+/* The order in which requests are sent under overload: worker heartbeats first, then scheduling
+ * decisions, then submissions, then maintenance, which no caller waits for. */
 typedef enum {
   FC_WRITE_PRIORITY_HEARTBEAT,
   FC_WRITE_PRIORITY_DECISION,
@@ -24,50 +24,52 @@
 
 /* The limits of the key-value store; the rates are this member's even share of them. */
 typedef struct fc_group_commit_limits {
-  unsigned txn_ops;          /* changes of one transaction */
+  unsigned txn_ops;          /* changes in one transaction */
   size_t value_bytes;        /* size of one encoded value */
-  double writes_per_s;       /* changes per second, at present */
-  double min_writes_per_s;   /* what the store may lower that rate to without notice */
+  double writes_per_s;       /* current rate, changes per second */
+  double min_writes_per_s;   /* the store may lower the rate to this without notice */
   double requests_per_s;     /* transactions per second */
-  double response_timeout_s; /* after this a transaction's outcome is unknown */
+  double response_timeout_s; /* after this time the outcome of a transaction is unknown */
 } fc_group_commit_limits;
 
-/* `kv` has to outlive the result, which lives as long as the process. `limits` is copied. */
+/* `kv` must outlive the result, which lives as long as the process. `limits` is copied. */
 fc_group_commit *fc_group_commit_new(fc_kv *kv, const fc_group_commit_limits *limits);
 
-/* This member's share of both rates: the fraction `share` of the total, `even` if all were equal.
- * The burst sizes stay. */
+/* Sets this member's share of both rates: the fraction `share` of the total, where `even` is the
+ * fraction if all were equal. The burst sizes are unchanged. */
 void fc_group_commit_set_share(fc_group_commit *commit, double share, double even);
 
-/* The greatest number of changes sent per second at present. */
+/* The current write rate, in changes per second. */
 double fc_group_commit_rate(const fc_group_commit *commit);
 
-/* Takes one request from this member's share of the request rate, for another purpose. False:
+/* Takes one request from this member's request rate, for another purpose. Returns false if
  * transactions may need all that is left. */
 bool fc_group_commit_take_spare_request(fc_group_commit *commit);
 
-/* The number of changes that have no outcome yet, queued or sent. */
+/* The number of changes, queued or sent, whose outcome is not known yet. */
 unsigned fc_group_commit_backlog(const fc_group_commit *commit);
 
-/* The routine that sends transactions; `commit` is an fc_group_commit. Runs until cancelled. */
+/* Main function of the routine that sends transactions; `commit` is an fc_group_commit. Runs until
+ * cancelled. */
 void fc_group_commit_run(void *commit);
 
-/* Queues the request and waits until its outcome is known. Consumes `write`. May suspend the
- * calling routine. `deadline` (fc_now()) bounds the time in the queue. OK: executed, at *revision
- * (which may be NULL). CONFLICT: a condition of this request failed. DOWN: not executed, and not
- * sent before the deadline. UNKNOWN: may have been executed; read before deciding. REFUSED: not
- * executed, nor would it be if it were repeated; a value above the size limit is not sent at
- * all. */
+/* Queues the request and waits for its outcome. Consumes `write`. May suspend the calling routine.
+ * `deadline` (fc_now()) bounds the time in the queue. OK: executed, at *revision (which may be
+ * NULL). CONFLICT: a condition of this request failed. DOWN: not executed; it could not be sent
+ * before the deadline. UNKNOWN: may have been executed; the caller has to read the keys before
+ * deciding. REFUSED: not executed, and repeating it would not help; a request with a value above
+ * the size limit is not sent at all. */
 fc_kv_result fc_group_commit_write(fc_group_commit *commit, fc_write *write, fc_write_priority priority,
                                    double deadline, uint64_t *revision);
 
-/* The greatest number of changes in one transaction, and so in one request. */
+/* The maximum number of changes in one transaction, and so in one request. */
 unsigned fc_group_commit_max_writes(const fc_group_commit *commit);
 
-/* Would another request of this priority be sent within `wait_s` seconds, at the present rate? */
+/* Whether another request of this priority would be sent within `wait_s` seconds at the current
+ * rate. */
 bool fc_group_commit_accepts(fc_group_commit *commit, fc_write_priority priority, double wait_s);
 
-/* What kind of record a change is for, by its key. */
+/* The kind of record that a change belongs to, by its key. */
 typedef enum {
   FC_WRITE_KIND_JOB,
   FC_WRITE_KIND_MACHINE,
@@ -80,11 +82,11 @@
 /* The label of each kind in metrics. */
 extern const char *const fc_write_kind_names[FC_WRITE_KINDS];
 
-/* Counters since the start, for metrics. */
+/* Counters since the process started, for metrics. */
 typedef struct fc_group_commit_counts {
   uint64_t transactions;           /* sent */
-  uint64_t writes[FC_WRITE_KINDS]; /* changes sent, repetitions included */
-  double waited_s;                 /* total time that transactions waited for the rates */
+  uint64_t writes[FC_WRITE_KINDS]; /* changes sent, including retries */
+  double waited_s;                 /* total time that transactions waited for the rate limits */
 } fc_group_commit_counts;
 
 fc_group_commit_counts fc_group_commit_stats(const fc_group_commit *commit);
--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -7,7 +7,7 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "bookkeeping/shard_ownership.h"
 
-/* Placements that were reported before the job's record was read belong to it too. */
+/* Links placements that were reported before the job's record was read. */
 static void link_placements(fc_cluster *cluster, fc_job *job) {
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
@@ -20,7 +20,7 @@
   }
 }
 
-/* Adds a job with what its record says for good. */
+/* Adds a job with the immutable fields of its record. */
 static fc_job *add_job(fc_cluster *cluster, const fc_job_record *record, bool fresh, double now) {
   fc_job *job = g_new0(fc_job, 1);
   job->spec = fc_job_spec_copy(&record->spec);
@@ -40,7 +40,7 @@
   return job;
 }
 
-/* A record is written without the job's dependencies once all of them are done. */
+/* Once all dependencies are done, the record is written without them. */
 static void apply_dependencies(fc_job *job, const fc_job_record *record) {
   if (record->awaiting) return;
   g_strfreev(job->spec.dependencies);
@@ -57,7 +57,7 @@
                         double now) {
   job->phase = phase;
   job->record.phase = phase;
-  /* Known to be cancelled by a later record, which is still to be read. */
+  /* Cancelled by a later record that has not been read yet. */
   const fc_unread_cancellation *unread = g_hash_table_lookup(cluster->unread_cancellations, id);
   if (unread && unread->revision > version) job->phase = FC_PHASE_CANCELLED;
   if (job->phase == FC_PHASE_CANCELLED && !job->lifecycle.cancelled_since)
@@ -65,7 +65,8 @@
   if (job->phase != FC_PHASE_ACCEPTED && !job->lifecycle.ended_at) job->lifecycle.ended_at = now;
 }
 
-/* Takes over to whom slices were handed over. Returns those that were, a bit a slice. */
+/* Applies the recorded transfers of slices. Returns the slices whose receiver changed, one bit for
+ * each. */
 static unsigned apply_receivers(fc_job *job, const fc_job_record *record) {
   unsigned moved = 0;
   for (unsigned i = 0; i < job->slices.count; i++) {
@@ -77,12 +78,12 @@
   return moved;
 }
 
-/* Whoever hands a slice over knows all of it, and does so only after the receiver has acknowledged a
- * view that shows whatever of it is on a machine; or the record says that some of it is on other
- * members' machines, which are reconciled for the receiver one by one. That is no knowledge of
- * those who only read of it: one of them took the slice for known, received it in a later handover,
- * and started again what ran at the member that had given it away (fault test with meetings, seed
- * 20588). */
+/* A member that hands over a slice knows all of its tasks. It does so only after the receiver has
+ * acknowledged a view that shows which of them are on a machine, or else the record says that some
+ * are on other members' machines, which are then reconciled for the receiver one by one. A third
+ * member that only reads the record has no such knowledge. One such member treated the slice as
+ * resolved, received it in a later handover, and started tasks again that were running at the
+ * member that had handed it over (fault test with meetings, seed 20588). */
 static void resolve_received_slices(const fc_cluster *cluster, fc_job *job, unsigned moved) {
   for (unsigned i = 0; i < job->slices.count; i++) {
     if (!(moved >> i & 1)) continue;
@@ -91,7 +92,7 @@
     job->slices.resolved &= ~(1u << i);
     if (received && fully_known) job->slices.resolved |= 1u << i;
   }
-  /* What this term's task lists show counts all the same. */
+  /* Task lists read in this term still resolve slices. */
   fc_cluster_resolve_slices(cluster, job);
 }
 
@@ -115,7 +116,7 @@
     resolve_received_slices(cluster, job, moved);
   }
   fc_dependencies_apply(cluster, job, fresh, now);
-  /* A job that is read back after a start arrived before that: it is no arrival. */
+  /* A job read back after a restart arrived earlier: it is not counted as an arrival. */
   if (is_new && fresh && fc_job_dependencies_met(job)) fc_arrival_stats_add(&cluster->arrivals, &job->spec, now);
   return job;
 }
--- a/src/bookkeeping/machine_state.c
+++ b/src/bookkeeping/machine_state.c
@@ -6,7 +6,7 @@
 
 #define IMAGES_MAX 64u
 
-/* The silence timeout, as a part of the worker's lease and in heartbeat intervals at least. */
+/* The silence timeout: in worker leases, but no less than this number of heartbeat intervals. */
 #define SILENCE_TIMEOUT_LEASES 0.6
 #define SILENCE_TIMEOUT_HEARTBEATS 3
 
--- a/src/bookkeeping/quota_usage.c
+++ b/src/bookkeeping/quota_usage.c
@@ -24,13 +24,14 @@
   }
 }
 
-/* What may be in use: started in this term, started before it, or possibly there unseen. The
- * last two together were within the share that was carried over. */
+/* Upper bound of the usage: tasks started in this term, tasks started before it, and tasks on
+ * machines not yet reconciled. The last two together were within the carried-over share. */
 static double max_usage(double started_now, double started_before, double unseen, double carried) {
   return started_now + MIN(started_before + unseen, MAX(started_before, carried));
 }
 
-/* Adds the machine's tasks to what their teams use, apart by the term that they were started in. */
+/* Adds the machine's tasks to their teams' usage, separately for tasks started in this term and
+ * before. */
 static void add_usage_by_term(const fc_cluster *cluster, const fc_machine *machine, fc_resources *started_now,
                               fc_resources *started_before) {
   for (guint i = 0; i < machine->placements->len; i++) {
--- a/src/bookkeeping/quota_usage.h
+++ b/src/bookkeeping/quota_usage.h
@@ -1,4 +1,4 @@
-/* The stored quota shares, and what our shard uses of each team's limit. */
+/* The stored quota shares, and this shard's usage of each team's limit. */
 #ifndef FC_BOOKKEEPING_QUOTA_USAGE_H
 #define FC_BOOKKEEPING_QUOTA_USAGE_H
 
@@ -8,8 +8,8 @@
 int fc_quota_record_find(const fc_quota_record *quota, const char *member);
 /* Applies the shares as stored. */
 void fc_cluster_apply_quota(fc_cluster *cluster, const fc_quota_record *quota, uint64_t version);
-/* What the tasks on our shard's machines use of each team's limit, at most: machines that are
- * not reconciled count as full, as far as the share allows that was carried over. */
+/* Upper bound of what the tasks on this shard's machines use of each team's limit: machines that
+ * are not reconciled count as full, up to the share that was carried over. */
 void fc_cluster_max_usage(const fc_cluster *cluster, double cpus[FC_TEAMS_MAX], double gpus[FC_TEAMS_MAX]);
 
 #endif
--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -2,12 +2,12 @@
 
 #include "bookkeeping/cluster_machines.h"
 
-/* The members on whose machines tasks of a slice of ours may be, a bit each; 0: not known. While
- * the members have the same names, no slice and no machine is assigned anew: a slice is started
- * by its owner alone, on machines that are the owner's, and a machine leaves a member only
- * empty. So a slice that was never handed over since it was accepted is on our machines or
- * nowhere, and one that was is where the record of its handover says: whoever hands over knows
- * all of it. */
+/* The members on whose machines tasks of a slice of this shard may be, one bit for each; 0:
+ * unknown. While the member names stay the same, no slice or machine is reassigned: only a slice's
+ * owner starts its tasks, only on its own machines, and a machine changes owner only when empty. So
+ * the tasks of a slice that has never been transferred since it was accepted are on this
+ * controller's machines or nowhere, and those of a transferred slice are where the record of the
+ * last transfer says, as a member that hands over a slice knows all of its tasks. */
 static unsigned possible_locations(const fc_cluster *cluster, const fc_job *job, unsigned slice) {
   const fc_job_origin *origin = &job->record.origin;
   bool moved = origin->transferred >> slice & 1;
@@ -16,7 +16,7 @@
   return moved ? origin->last_transfer[slice].members : 1u << cluster->membership.self;
 }
 
-/* Slices of ours whose possible locations have all been reconciled. */
+/* Slices of this shard whose possible locations have all been reconciled. */
 static unsigned located_slices(const fc_cluster *cluster, const fc_job *job) {
   const fc_membership *membership = &cluster->membership;
   unsigned located = 0;
@@ -39,8 +39,8 @@
   job->slices.resolved |= located_slices(cluster, job);
 }
 
-/* Members with a machine that is still to be reconciled, a bit each; stops once that is so for
- * all that `reconciled` does not name. *all: no machine is left. */
+/* Members with a machine still to be reconciled, one bit for each; the scan stops once every member
+ * is in the result or in `reconciled`. *all: all machines are reconciled. */
 static unsigned members_left(const fc_cluster *cluster, unsigned reconciled, bool *all) {
   const unsigned everyone = (1u << cluster->membership.term.count) - 1;
   unsigned left = 0;
@@ -48,9 +48,9 @@
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine;
        (*all || (left | reconciled) != everyone) && (machine = fc_machine_iter_next(&machine_iter));) {
-    /* Nothing was ever started on a machine whose address is not recorded. With a wait for such
-     * machines too, a fleet that keeps scaling out would start nothing for long after every
-     * change of term: one is always booting. */
+    /* No task was ever started on a machine whose endpoint is not recorded. If such machines were
+     * waited for, a fleet that keeps scaling out would start nothing for a long time after every
+     * change of term, as one is always booting. */
     if (!machine->announced || fc_machine_reconciled(cluster, machine)) continue;
     *all = false;
     if (machine->owner >= 0) left |= 1u << machine->owner;
--- a/src/bookkeeping/record_writes.c
+++ b/src/bookkeeping/record_writes.c
@@ -8,7 +8,7 @@
   return json_dumpb(value, NULL, 0, JSON_COMPACT) <= fc_settings_value_bytes(cluster->settings);
 }
 
-/* The encoded record, a new reference. NULL: it does not fit into a value. */
+/* The encoded record, a new reference. NULL: it exceeds the value size. */
 static json_t *encode_job_record(const fc_cluster *cluster, const fc_job *job, fc_job_phase phase,
                                  const uint8_t *completed, char *const *handed_to, const fc_job_origin *origin) {
   char *ranges = fc_ranges_encode(completed, job->spec.tasks);
@@ -16,11 +16,11 @@
       .spec = job->spec, .origin = *origin, .phase = phase, .done = ranges, .slices = job->slices.count};
   memcpy(record.handed_to, handed_to, sizeof record.handed_to);
   record.parts = job->record.description;
-  /* Dependencies that were met once stay met. */
+  /* Dependencies that have been met stay met. */
   record.awaiting = !fc_job_dependencies_met(job);
   json_t *value = fc_job_record_encode(&record);
   if (!fits_in_value(cluster, value) && phase != FC_PHASE_ACCEPTED) {
-    /* The record was stored under a larger limit. No task of the job will be placed any more. */
+    /* The record was stored under a larger limit. No task of the job will be placed again. */
     json_decref(value);
     record.spec.types = NULL;
     value = fc_job_record_encode(&record);
@@ -60,8 +60,8 @@
 
 bool fc_job_record_fit_completions(const fc_cluster *cluster, const fc_job *job, const uint8_t *ended,
                                    uint8_t *completed) {
-  /* The lowest task numbers, as far as they fit: tasks start in order, so completions fill gaps
-   * sooner or later, and each filled gap shortens the encoded ranges. */
+  /* Records the lowest task numbers that fit: tasks start in order, so completions eventually fill
+   * the gaps, and each filled gap shortens the encoded ranges. */
   uint32_t low = 0, high = job->spec.tasks;
   while (low < high) {
     uint32_t middle = high - (high - low) / 2;
--- a/src/bookkeeping/record_writes.h
+++ b/src/bookkeeping/record_writes.h
@@ -1,5 +1,5 @@
-/* Conditional writes of job and machine records, for all the routines that store them. The caller
- * owns each write that is returned: fc_group_commit_write() consumes it, else fc_write_free().
+/* Conditional writes of job and machine records, for all routines that store them. The caller owns
+ * a returned write until it passes it to fc_group_commit_write(), or frees it with fc_write_free().
  * Nothing here suspends the calling routine. */
 #ifndef FC_BOOKKEEPING_RECORD_WRITES_H
 #define FC_BOOKKEEPING_RECORD_WRITES_H
@@ -7,15 +7,16 @@
 #include "bookkeeping/cluster.h"
 #include "bookkeeping/group_commit.h"
 
-/* Replaces the job's record, on condition that it is still the one that was read.
- * `completed` is a bitmap of its tasks, `handed_to` as in fc_job_record. NULL: the record exceeds
- * the value size of the key-value store, present or announced. The record of a finished job always
- * fits: fields that only matter for placing tasks are left out if need be. */
+/* Replaces the job's record, on condition that it is still the one that was read. `completed` is a
+ * bitmap of its tasks; `handed_to` is as in fc_job_record. NULL: the record exceeds the value size
+ * of the key-value store, current or announced. The record of a finished job always fits: fields
+ * that matter only for placing tasks are left out if necessary. */
 fc_write *fc_job_record_write(const fc_cluster *cluster, const fc_job *job, fc_job_phase phase,
                               const uint8_t *completed, char *const *handed_to, const fc_job_origin *origin);
 
 /* Fills `completed`, a bitmap of the job's size, with the recorded completions and as many of the
- * newly `ended` tasks as the job's record has room for. True: it holds at least one new one. */
+ * newly `ended` tasks as fit into the job's record. Returns whether it contains at least one new
+ * completion. */
 bool fc_job_record_fit_completions(const fc_cluster *cluster, const fc_job *job, const uint8_t *ended,
                                    uint8_t *completed);
 
--- a/src/bookkeeping/resources.c
+++ b/src/bookkeeping/resources.c
@@ -1,6 +1,6 @@
 #include "bookkeeping/resources.h"
 
-/* Sums and differences of decimal amounts are this exact. */
+/* Tolerance for rounding errors in sums and differences of decimal amounts. */
 #define ROUNDING 1e-6
 
 bool fc_resources_fit(const fc_resources *resources, const fc_job_spec *spec) {
--- a/src/bookkeeping/resources.h
+++ b/src/bookkeeping/resources.h
@@ -1,4 +1,4 @@
-/* Amounts of a machine's resources, and how a task's demand compares with them. */
+/* Amounts of a machine's resources, and their comparison with the demand of a task. */
 #ifndef FC_BOOKKEEPING_RESOURCES_H
 #define FC_BOOKKEEPING_RESOURCES_H
 
@@ -10,9 +10,9 @@
   double cpus, gpus, memory_gb;
 } fc_resources;
 
-/* Does one task of the job fit? Rounding of sums is allowed for. */
+/* Whether one task of the job fits; tolerates rounding errors in sums. */
 bool fc_resources_fit(const fc_resources *resources, const fc_job_spec *spec);
-/* Takes away, or gives back, what one task of the job uses. */
+/* Subtracts, or adds back, what one task of the job uses. */
 void fc_resources_subtract(fc_resources *resources, const fc_job_spec *spec);
 void fc_resources_add(fc_resources *resources, const fc_job_spec *spec);
 
--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -15,7 +15,7 @@
   }
 }
 
-/* -1: nobody, as the machine has no record. */
+/* -1: none, as the machine has no record. */
 static int owner_by_record(const fc_cluster *cluster, const fc_machine *machine) {
   if (!machine->record_version) return -1;
   return fc_assign_machine(&cluster->membership.term, machine->id, machine->record.owner);
@@ -25,19 +25,19 @@
   int owner = owner_by_record(cluster, machine);
   if (owner == machine->owner) return;
   machine->owner = owner;
-  machine->reconciled_term = 0; /* the new owner has to fence it and read its task list first */
-  machine->view.digest = 0;     /* no view of ours has shown it as the new owner's */
+  machine->reconciled_term = 0; /* the new owner must first fence it and read its task list */
+  machine->view.digest = 0;     /* no view has shown it under the new owner */
   fc_machine_forget_owner(machine, now);
 }
 
-/* What stays as it was over a change of term. */
+/* The state before a change of term. */
 typedef struct term_change {
   uint64_t old_number;
   int old_self;
   bool continuous;
 } term_change;
 
-/* A bit a slice: it belonged to us in the term before. */
+/* Slices that belonged to this controller in the previous term, one bit for each. */
 static unsigned slices_owned_before(const fc_job *job, const term_change *change) {
   unsigned owned = 0;
   if (change->old_self < 0) return 0;
@@ -46,8 +46,8 @@
   return owned;
 }
 
-/* Slices that stay ours through the change are known as well as before. In a term that we have
- * missed the slice may have been assigned to another and back. */
+/* Slices that this controller owns before and after the change remain resolved. If it has missed a
+ * term, a slice may have been assigned to another member and back. */
 static void reassign_job(const fc_cluster *cluster, fc_job *job, const term_change *change) {
   const fc_membership *membership = &cluster->membership;
   unsigned owned_before = slices_owned_before(job, change);
@@ -59,10 +59,10 @@
   }
 }
 
-/* A machine that stays with the process that has reconciled it needs no new fence: nobody else
- * could command it in between. Its owner must be recorded: one that is assigned by hashing may
- * have changed and changed back. One that has not been reconciled yet has been silent for as
- * long as before. */
+/* A machine that stays with the process that has reconciled it needs no new fence, as no other
+ * member could command it in between. This requires a recorded owner: an owner assigned by hashing
+ * may have changed and changed back. For a machine not reconciled yet, the time of silence
+ * continues to count. */
 static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const term_change *change, double now) {
   const fc_membership *membership = &cluster->membership;
   bool was_ours = change->continuous && machine->owner == change->old_self && change->old_self >= 0 &&
@@ -98,7 +98,7 @@
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     const fc_machine_record *record = &machine->record;
     if (machine->owner < 0 || strcmp(record->type, type) != 0) continue;
-    /* Even for each zone and kind first, over all of them next. */
+    /* Balance within each zone and kind takes precedence over balance of the whole type. */
     bool same_kind = strcmp(record->zone, zone) == 0 && record->spot == spot;
     counts[machine->owner] += same_kind ? FC_BALANCE_SAME_KIND : 1;
   }
--- a/src/bookkeeping/token_bucket.c
+++ b/src/bookkeeping/token_bucket.c
@@ -1,7 +1,7 @@
 #include "bookkeeping/token_bucket.h"
 
-/* A smaller deficit is rounding error: the wait for it would be shorter than a timer's
- * resolution, and a loop around that wait would spin. */
+/* A smaller deficit is a rounding error: the wait for it would be below the resolution of a timer,
+ * and a loop around that wait would spin. */
 #define TOKEN_EPSILON 1e-6
 
 void fc_token_bucket_init(fc_token_bucket *bucket, double per_s, double burst, double now) {
--- a/src/bookkeeping/token_bucket.h
+++ b/src/bookkeeping/token_bucket.h
@@ -1,5 +1,5 @@
-/* A token bucket: enforces an average rate and a burst size. Holds no memory of its own; all times
- * are on the monotonic clock of fc_now(), in seconds. Nothing here suspends the calling routine. */
+/* A token bucket: enforces an average rate and a burst size. Allocates no memory; times are on the
+ * monotonic clock of fc_now(), in seconds. Nothing here suspends the calling routine. */
 #ifndef FC_BOOKKEEPING_TOKEN_BUCKET_H
 #define FC_BOOKKEEPING_TOKEN_BUCKET_H
 
--- a/src/bookkeeping/write_rate.c
+++ b/src/bookkeeping/write_rate.c
@@ -3,15 +3,15 @@
 #include <glib.h>
 #include <math.h>
 
-/* The factor on the write rate at each refusal. */
+/* Factor applied to the write rate at each refusal. */
 #define BACKOFF_FACTOR 0.8
 /* The time in which the write rate recovers by a factor of e. With BACKOFF_FACTOR, a store that
- * keeps to its lower rate refuses a transaction about every thirteen seconds. */
+ * enforces its lower rate refuses a transaction about every thirteen seconds. */
 #define RECOVERY_TIME_CONSTANT_S 60.0
-/* The greatest share of requests, relative to the even one. It is bounded on both sides, as every
- * member needs requests for reads and lease renewal as well. */
+/* The maximum share of requests, relative to the even share. It is bounded in both directions, as
+ * every member also needs requests for reads and lease renewal. */
 #define MAX_REQUEST_SHARE 1.5
-/* Fraction of the request burst that requests for other purposes leave to transactions. */
+/* Fraction of the request burst that is reserved for transactions. */
 #define TRANSACTION_RESERVE 0.5
 /* A transaction larger than the burst could never be sent. */
 #define MIN_BURST 1
@@ -36,7 +36,7 @@
   return rate->writes.burst;
 }
 
-/* The burst is one second's worth of the store's present rate, whatever this member's share. */
+/* The burst is one second's worth of the store's current rate, whatever this member's share. */
 static void apply_write_rate(fc_write_rate *rate, double now) {
   fc_token_bucket_set_rate(&rate->writes, fc_write_rate_per_s(rate), now);
   rate->writes.burst = MAX(MIN_BURST, floor(rate->even_writes_per_s * rate->backoff));
@@ -51,14 +51,15 @@
 
 void fc_write_rate_back_off(fc_write_rate *rate, double now) {
   if (rate->min_backoff >= 1) return; /* no lower rate was announced */
-  /* One step below the minimum is allowed: for a while the members' shares may add up to more than
+  /* One step below the minimum is allowed: the members' shares may temporarily add up to more than
    * the total. */
   rate->backoff = MAX(rate->min_backoff * BACKOFF_FACTOR, rate->backoff * BACKOFF_FACTOR);
   rate->backoff_updated_at = now;
   apply_write_rate(rate, now);
 }
 
-/* Recovery is gradual: the refusal may have been due to chance, or to another member's share. */
+/* Recovery is gradual: the refusal may have been due to a random spike, or to another member's
+ * share. */
 void fc_write_rate_recover(fc_write_rate *rate, double now) {
   if (rate->backoff >= 1) return;
   rate->backoff = MIN(1, rate->backoff * exp((now - rate->backoff_updated_at) / RECOVERY_TIME_CONSTANT_S));
--- a/src/bookkeeping/write_request.c
+++ b/src/bookkeeping/write_request.c
@@ -123,8 +123,8 @@
 void fc_write_add_to_txn(const fc_write *write, fc_txn *txn, GHashTable *compared) {
   for (guint i = 0; i < write->conditions->len; i++) {
     const condition *entry = condition_at(write, i);
-    /* Requests of one batch may disagree about a key's version. Both conditions are sent, and
-     * the key-value store's answer says which one fails. */
+    /* Requests of one batch may expect different versions of a key. Both conditions are sent, and
+     * the answer of the key-value store says which one failed. */
     char *mark = g_strdup_printf("%s@%" G_GUINT64_FORMAT, entry->key, (guint64)entry->version);
     if (g_hash_table_add(compared, mark)) fc_txn_compare(txn, entry->key, entry->version);
   }
