--- a/src/bookkeeping/cluster.c
+++ b/src/bookkeeping/cluster.c
@@ -5,17 +5,17 @@
 
 /* The decay time of arrival statistics, in worker leases: about two boot times of a machine. With a
  * longer one, capacity stays reserved for a burst that has long ended. */
-#define ARRIVAL_MEMORY_LEASES 8
+#define ARRIVAL_DECAY_LEASES 8
 
 /* Earlier than any time of the monotonic clock: nothing has been read yet. */
-#define NEVER (-1e9)
+#define NEVER_READ_S (-1e9)
 
 /* The maximum age of the last read, in heartbeat intervals. While nothing changes, a read takes
  * half an interval and its age counts from when it was sent, so that just before the next one ends
  * the last is a whole interval old. With a bound of one interval, an idle store was considered
  * unreachable for a moment each second, and submissions were refused (scene
  * replies_about_archived_jobs). */
-#define REACHABLE_HEARTBEATS 1.5
+#define MAX_READ_AGE_HEARTBEATS 1.5
 
 static void incomplete_job_free(gpointer freed) {
   fc_incomplete_job *incomplete = freed;
@@ -30,7 +30,7 @@
 fc_cluster *fc_cluster_new(const fc_settings *settings) {
   fc_cluster *cluster = g_new0(fc_cluster, 1);
   cluster->settings = settings;
-  cluster->sync.read_at = NEVER;
+  cluster->sync.read_at = NEVER_READ_S;
   cluster->jobs = table_by_id(NULL, fc_job_free);
   cluster->machines = table_by_id(NULL, fc_machine_free);
   cluster->machine_types = g_ptr_array_new_with_free_func(fc_machine_type_free);
@@ -42,7 +42,7 @@
   cluster->incomplete_jobs = table_by_id(g_free, incomplete_job_free);
   cluster->dependencies.by_id = table_by_id(NULL, fc_dependency_free);
   cluster->dependencies.unrecorded_cancellations = table_by_id(NULL, NULL);
-  fc_arrival_stats_init(&cluster->arrivals, settings->lease_s * ARRIVAL_MEMORY_LEASES);
+  fc_arrival_stats_init(&cluster->arrivals, settings->lease_s * ARRIVAL_DECAY_LEASES);
   for (size_t team = 0; team < FC_TEAMS_MAX; team++) {
     cluster->quota.carried_cpus[team] = INFINITY;
     cluster->quota.carried_gpus[team] = INFINITY;
@@ -83,7 +83,7 @@
 }
 
 bool fc_cluster_store_reachable(const fc_cluster *cluster, double now) {
-  double max_age_s = cluster->settings->heartbeat_s * REACHABLE_HEARTBEATS;
+  double max_age_s = cluster->settings->heartbeat_s * MAX_READ_AGE_HEARTBEATS;
   return cluster->sync.loaded && now - cluster->sync.read_at < max_age_s;
 }
 
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -50,7 +50,7 @@
 }
 
 /* Recomputes what a job inherits from all its dependents. Returns whether that changed. */
-static bool inherit_anew(const fc_cluster *cluster, fc_job *job) {
+static bool recompute_inherited(const fc_cluster *cluster, fc_job *job) {
   fc_priority old_priority = job->queue.priority;
   double old_due_at = job->queue.due_at;
   job->queue.priority = job->spec.priority;
@@ -61,7 +61,7 @@
 }
 
 /* NULL: that job has ended or is unknown. */
-static fc_job *open_job(const fc_cluster *cluster, const fc_dependency *dependency) {
+static fc_job *find_open_job(const fc_cluster *cluster, const fc_dependency *dependency) {
   return dependency->state == FC_DEPENDENCY_OPEN ? fc_cluster_find_job(cluster, dependency->id) : NULL;
 }
 
@@ -69,14 +69,14 @@
  * Returns whether the job changed. */
 typedef bool (*inherit_fn)(const fc_cluster *cluster, fc_job *job, const fc_job *dependent);
 
-static bool raise_one(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
+static bool inherit_from_dependent(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
   (void)cluster;
   return inherit_from(job, dependent);
 }
 
-static bool lower_one(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
+static bool recompute_without_dependent(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
   (void)dependent;
-  return inherit_anew(cluster, job);
+  return recompute_inherited(cluster, job);
 }
 
 /* Propagates a change to the jobs that `job` depends on, transitively, as long as it has an effect.
@@ -87,7 +87,7 @@
   while ((job = g_queue_pop_head(&changed))) {
     const GPtrArray *list = job->dependencies.list;
     for (guint i = 0; list && i < list->len; i++) {
-      fc_job *dependency = open_job(cluster, list->pdata[i]);
+      fc_job *dependency = find_open_job(cluster, list->pdata[i]);
       if (dependency && inherit(cluster, dependency, job)) g_queue_push_tail(&changed, dependency);
     }
   }
@@ -97,7 +97,7 @@
 
 /* Queues a job whose dependencies are all done. If this was read as a change within the current
  * term, no earlier owner can have started any of its tasks. */
-static void become_ready(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
+static void enqueue_ready_job(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
   job->queue.entered_at = now;
   job->queue.sequence = cluster->next_queue_sequence++;
   if (!fresh) return;
@@ -112,7 +112,7 @@
   if (!job->lifecycle.cancelled_since) job->lifecycle.cancelled_since = now;
   if (!job->lifecycle.ended_at) job->lifecycle.ended_at = now;
   g_hash_table_insert(cluster->dependencies.unrecorded_cancellations, job->spec.id, job);
-  propagate(cluster, job, lower_one);
+  propagate(cluster, job, recompute_without_dependent);
 }
 
 /* Updates the dependents of a job that has ended; those cancelled by it are added to `cancelled`. */
@@ -121,7 +121,8 @@
   for (guint i = 0; i < dependency->dependents->len; i++) {
     fc_job *job = dependency->dependents->pdata[i];
     if (dependency->state == FC_DEPENDENCY_DONE) {
-      if (--job->dependencies.unmet == 0 && job->phase == FC_PHASE_ACCEPTED) become_ready(cluster, job, fresh, now);
+      if (--job->dependencies.unmet == 0 && job->phase == FC_PHASE_ACCEPTED)
+        enqueue_ready_job(cluster, job, fresh, now);
     } else if (job->phase == FC_PHASE_ACCEPTED) {
       cancel_dependent(cluster, job, now);
       g_queue_push_tail(cancelled, job);
@@ -141,7 +142,7 @@
 
 /* Sets a job's state and applies the consequences to all jobs that depend on it, transitively.
  * Iterative, as chains may be long. */
-static void note_state(fc_cluster *cluster, const char *id, fc_dependency_state state, bool fresh, double now) {
+static void set_state(fc_cluster *cluster, const char *id, fc_dependency_state state, bool fresh, double now) {
   GQueue cancelled = G_QUEUE_INIT;
   fc_dependency *dependency = find_dependency(cluster, id);
   while (dependency) {
@@ -165,7 +166,7 @@
     cancelled |= dependency->state == FC_DEPENDENCY_CANCELLED;
   }
   if (cancelled && job->phase == FC_PHASE_ACCEPTED) cancel_dependent(cluster, job, now);
-  propagate(cluster, job, raise_one);
+  propagate(cluster, job, inherit_from_dependent);
 }
 
 static void unlink_dependencies(fc_cluster *cluster, fc_job *job) {
@@ -173,7 +174,7 @@
   if (!list) return;
   for (guint i = 0; i < list->len; i++)
     (void)g_ptr_array_remove_fast(((fc_dependency *)list->pdata[i])->dependents, job);
-  propagate(cluster, job, lower_one);
+  propagate(cluster, job, recompute_without_dependent);
   for (guint i = 0; i < list->len; i++) {
     const fc_dependency *dependency = list->pdata[i];
     if (dependency->dependents->len == 0) g_hash_table_remove(cluster->dependencies.by_id, dependency->id);
@@ -197,28 +198,28 @@
      * done. */
     unlink_dependencies(cluster, job);
     g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
-    if (was_blocked && job->phase == FC_PHASE_ACCEPTED) become_ready(cluster, job, fresh, now);
+    if (was_blocked && job->phase == FC_PHASE_ACCEPTED) enqueue_ready_job(cluster, job, fresh, now);
   } else if (!job->dependencies.list) {
     link_dependencies(cluster, job, now);
   } else if (job->phase == FC_PHASE_ACCEPTED && has_cancelled_dependency(job)) {
     cancel_dependent(cluster, job, now);
   }
-  (void)inherit_anew(cluster, job);
-  propagate(cluster, job, raise_one);
-  note_state(cluster, job->spec.id, state_of_job(job), fresh, now);
+  (void)recompute_inherited(cluster, job);
+  propagate(cluster, job, inherit_from_dependent);
+  set_state(cluster, job->spec.id, state_of_job(job), fresh, now);
 }
 
 void fc_dependencies_remove(fc_cluster *cluster, fc_job *job) {
   unlink_dependencies(cluster, job);
   g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
   /* A final state is retained; otherwise the job's end was missed and has to be looked up. */
-  note_state(cluster, job->spec.id, FC_DEPENDENCY_UNKNOWN, false, 0);
+  set_state(cluster, job->spec.id, FC_DEPENDENCY_UNKNOWN, false, 0);
 }
 
 void fc_dependencies_learn(fc_cluster *cluster, const char *id, fc_dependency_state state, double now) {
   fc_job *job = fc_cluster_find_job(cluster, id);
-  if (job && state == FC_DEPENDENCY_CANCELLED) propagate(cluster, job, lower_one);
-  note_state(cluster, id, state, false, now);
+  if (job && state == FC_DEPENDENCY_CANCELLED) propagate(cluster, job, recompute_without_dependent);
+  set_state(cluster, id, state, false, now);
 }
 
 bool fc_dependencies_has_dependents(const fc_cluster *cluster, const char *id) {
--- a/src/bookkeeping/description_parts.c
+++ b/src/bookkeeping/description_parts.c
@@ -68,41 +68,41 @@
 }
 
 /* NULL: the description is NULL, or no part of this number has been read. */
-static description_part *part_at(const description *of, unsigned number) {
-  return of && number < of->parts->len ? &g_array_index(of->parts, description_part, number) : NULL;
+static description_part *part_at(const description *desc, unsigned number) {
+  return desc && number < desc->parts->len ? &g_array_index(desc->parts, description_part, number) : NULL;
 }
 
-static bool any_part_exists(const description *of) {
-  for (guint i = 0; i < of->parts->len; i++)
-    if (part_at(of, i)->exists) return true;
+static bool any_part_exists(const description *desc) {
+  for (guint i = 0; i < desc->parts->len; i++)
+    if (part_at(desc, i)->exists) return true;
   return false;
 }
 
-static void remove_if_empty(fc_description_parts *descriptions, const description *of) {
-  if (any_part_exists(of)) return;
-  char *key = index_key(of->job, of->digest);
+static void remove_if_empty(fc_description_parts *descriptions, const description *desc) {
+  if (any_part_exists(desc)) return;
+  char *key = index_key(desc->job, desc->digest);
   g_hash_table_remove(descriptions->by_key, key);
   g_free(key);
 }
 
 void fc_description_parts_put(fc_description_parts *descriptions, const char *job, const char *digest, unsigned number,
                               const char *text, uint64_t version, double now) {
-  description *of = text ? find_or_create(descriptions, job, digest, now) : find(descriptions, job, digest);
-  if (!of) return;
-  if (text && number >= of->parts->len) g_array_set_size(of->parts, number + 1);
-  description_part *part = part_at(of, number);
+  description *desc = text ? find_or_create(descriptions, job, digest, now) : find(descriptions, job, digest);
+  if (!desc) return;
+  if (text && number >= desc->parts->len) g_array_set_size(desc->parts, number + 1);
+  description_part *part = part_at(desc, number);
   if (!part || part->version >= version) return;
   g_free(part->text);
   *part = (description_part){.version = version, .exists = text != NULL, .text = g_strdup(text)};
-  if (!text) remove_if_empty(descriptions, of);
+  if (!text) remove_if_empty(descriptions, desc);
 }
 
 char *fc_description_parts_join(const fc_description_parts *descriptions, const char *job,
                                 const fc_description_ref *ref) {
-  const description *of = find(descriptions, job, ref->digest);
+  const description *desc = find(descriptions, job, ref->digest);
   GString *joined = g_string_new(NULL);
   for (unsigned i = 0; i < ref->count; i++) {
-    const description_part *part = part_at(of, i);
+    const description_part *part = part_at(desc, i);
     if (!part || !part->text) {
       g_string_free(joined, TRUE);
       return NULL;
@@ -113,10 +113,10 @@
 }
 
 void fc_description_parts_drop_texts(fc_description_parts *descriptions, const char *job, const char *digest) {
-  const description *of = find(descriptions, job, digest);
-  if (!of) return;
-  for (guint i = 0; i < of->parts->len; i++) {
-    description_part *part = part_at(of, i);
+  const description *desc = find(descriptions, job, digest);
+  if (!desc) return;
+  for (guint i = 0; i < desc->parts->len; i++) {
+    description_part *part = part_at(desc, i);
     g_free(part->text);
     part->text = NULL;
   }
@@ -133,17 +133,17 @@
   gpointer value;
   g_hash_table_iter_init(&iterator, descriptions->by_key);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-    const description *of = value;
+    const description *desc = value;
     const fc_description_entry entry = {
-        .job = of->job, .digest = of->digest, .count = of->parts->len, .first_seen = of->first_seen};
+        .job = desc->job, .digest = desc->digest, .count = desc->parts->len, .first_seen = desc->first_seen};
     fn(&entry, arg);
   }
 }
 
-static void retain_parts(description *of, GHashTable *present, uint64_t revision) {
-  for (guint i = 0; i < of->parts->len; i++) {
-    description_part *part = part_at(of, i);
-    char *key = fc_job_part_key(of->job, of->digest, i);
+static void retain_parts(description *desc, GHashTable *present, uint64_t revision) {
+  for (guint i = 0; i < desc->parts->len; i++) {
+    description_part *part = part_at(desc, i);
+    char *key = fc_job_part_key(desc->job, desc->digest, i);
     if (part->exists && part->version <= revision && !g_hash_table_contains(present, key)) part->exists = false;
     g_free(key);
   }
@@ -154,8 +154,8 @@
   gpointer value;
   g_hash_table_iter_init(&iterator, descriptions->by_key);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-    description *of = value;
-    retain_parts(of, present, revision);
-    if (!any_part_exists(of)) g_hash_table_iter_remove(&iterator);
+    description *desc = value;
+    retain_parts(desc, present, revision);
+    if (!any_part_exists(desc)) g_hash_table_iter_remove(&iterator);
   }
 }
--- a/src/bookkeeping/group_commit.c
+++ b/src/bookkeeping/group_commit.c
@@ -13,7 +13,7 @@
 #define MAX_TXNS_IN_FLIGHT 4u
 
 /* The fraction of the response timeout after which a transaction no longer delays the next. */
-#define PIPELINE_AFTER 0.15
+#define PROMPT_RESPONSE_FRACTION 0.15
 
 /* The pause after a refusal or a lost connection is random, so that the controllers don't retry
  * simultaneously. */
@@ -136,7 +136,7 @@
 } batch_builder;
 
 /* The first request is added whatever its size. */
-static bool may_add(const fc_group_commit *commit, const batch_builder *builder, const queued_write *queued) {
+static bool can_add(const fc_group_commit *commit, const batch_builder *builder, const queued_write *queued) {
   if (clashes_in_flight(commit, queued)) return false;
   if (builder->batch->len == 0) return true;
   if (queued->isolated) return false;
@@ -161,7 +161,7 @@
     if (now >= queued->deadline) {
       g_queue_delete_link(queue, link);
       resolve(queued, FC_KV_DOWN, 0);
-    } else if (may_add(commit, builder, queued)) {
+    } else if (can_add(commit, builder, queued)) {
       g_queue_delete_link(queue, link);
       add_to_batch(commit, builder, queued);
     }
@@ -293,7 +293,7 @@
  * keys; as every request is conditional, no order among them is needed. When every transaction was
  * waited for until its timeout and half of them got no response, half of the submissions were late. */
 static void send_and_wait(fc_group_commit *commit, transaction *sent) {
-  double prompt_until = fc_now() + commit->response_timeout_s * PIPELINE_AFTER;
+  double prompt_until = fc_now() + commit->response_timeout_s * PROMPT_RESPONSE_FRACTION;
   if (!fc_routine_spawn(send_transaction, sent)) {
     send_transaction(sent);
     return;
--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -67,15 +67,15 @@
 
 /* Applies the recorded transfers of slices. Returns the slices whose receiver changed, one bit for
  * each. */
-static unsigned apply_receivers(fc_job *job, const fc_job_record *record) {
-  unsigned moved = 0;
+static unsigned apply_transfers(fc_job *job, const fc_job_record *record) {
+  unsigned transferred = 0;
   for (unsigned i = 0; i < job->slices.count; i++) {
     if (g_strcmp0(job->record.handed_to[i], record->handed_to[i]) == 0) continue;
-    moved |= 1u << i;
+    transferred |= 1u << i;
     g_free(job->record.handed_to[i]);
     job->record.handed_to[i] = g_strdup(record->handed_to[i]);
   }
-  return moved;
+  return transferred;
 }
 
 /* A member that hands over a slice knows all of its tasks. It does so only after the receiver has
@@ -84,9 +84,9 @@
  * member that only reads the record has no such knowledge. One such member treated the slice as
  * resolved, received it in a later handover, and started tasks again that were running at the
  * member that had handed it over (fault test with meetings, seed 20588). */
-static void resolve_received_slices(const fc_cluster *cluster, fc_job *job, unsigned moved) {
+static void resolve_transferred_slices(const fc_cluster *cluster, fc_job *job, unsigned transferred) {
   for (unsigned i = 0; i < job->slices.count; i++) {
-    if (!(moved >> i & 1)) continue;
+    if (!(transferred >> i & 1)) continue;
     bool received = fc_job_slice_owner(job, i) == cluster->membership.self;
     bool fully_known = !(job->record.origin.partly_known >> i & 1);
     job->slices.resolved &= ~(1u << i);
@@ -106,14 +106,14 @@
   apply_completion(job, id, record->done);
   apply_phase(cluster, job, id, record->phase, version, now);
   job->record.version = version;
-  unsigned moved = apply_receivers(job, record);
+  unsigned transferred = apply_transfers(job, record);
   job->record.origin = record->origin;
   fc_cluster_assign_slices(cluster, job);
   if (is_new) {
     fc_cluster_resolve_slices(cluster, job);
     link_placements(cluster, job);
-  } else if (moved) {
-    resolve_received_slices(cluster, job, moved);
+  } else if (transferred) {
+    resolve_transferred_slices(cluster, job, transferred);
   }
   fc_dependencies_apply(cluster, job, fresh, now);
   /* A job read back after a restart arrived earlier: it is not counted as an arrival. */
--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -10,10 +10,10 @@
  * last transfer says, as a member that hands over a slice knows all of its tasks. */
 static unsigned possible_locations(const fc_cluster *cluster, const fc_job *job, unsigned slice) {
   const fc_job_origin *origin = &job->record.origin;
-  bool moved = origin->transferred >> slice & 1;
-  uint64_t known_since = moved ? origin->last_transfer[slice].term : origin->term;
+  bool transferred = origin->transferred >> slice & 1;
+  uint64_t known_since = transferred ? origin->last_transfer[slice].term : origin->term;
   if (!known_since || known_since < cluster->membership.term.names_since) return 0;
-  return moved ? origin->last_transfer[slice].members : 1u << cluster->membership.self;
+  return transferred ? origin->last_transfer[slice].members : 1u << cluster->membership.self;
 }
 
 /* Slices of this shard whose possible locations have all been reconciled. */
@@ -40,22 +40,22 @@
 }
 
 /* Members with a machine still to be reconciled, one bit for each; the scan stops once every member
- * is in the result or in `reconciled`. *all: all machines are reconciled. */
-static unsigned members_left(const fc_cluster *cluster, unsigned reconciled, bool *all) {
-  const unsigned everyone = (1u << cluster->membership.term.count) - 1;
-  unsigned left = 0;
-  *all = true;
+ * is in the result or in `reconciled`. Sets *all_reconciled to whether all machines are reconciled. */
+static unsigned unreconciled_members(const fc_cluster *cluster, unsigned reconciled, bool *all_reconciled) {
+  const unsigned all_members = (1u << cluster->membership.term.count) - 1;
+  unsigned unreconciled = 0;
+  *all_reconciled = true;
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
-  for (const fc_machine *machine;
-       (*all || (left | reconciled) != everyone) && (machine = fc_machine_iter_next(&machine_iter));) {
+  for (const fc_machine *machine; (*all_reconciled || (unreconciled | reconciled) != all_members) &&
+                                  (machine = fc_machine_iter_next(&machine_iter));) {
     /* No task was ever started on a machine whose endpoint is not recorded. If such machines were
      * waited for, a fleet that keeps scaling out would start nothing for a long time after every
      * change of term, as one is always booting. */
     if (!machine->announced || fc_machine_reconciled(cluster, machine)) continue;
-    *all = false;
-    if (machine->owner >= 0) left |= 1u << machine->owner;
+    *all_reconciled = false;
+    if (machine->owner >= 0) unreconciled |= 1u << machine->owner;
   }
-  return left;
+  return unreconciled;
 }
 
 bool fc_cluster_member_reconciled(const fc_cluster *cluster, int member) {
@@ -71,14 +71,14 @@
   if (fc_cluster_fully_reconciled(cluster)) return true;
   if (membership->self < 0) return false;
   const unsigned before = progress->members_term == membership->term.number ? progress->members : 0;
-  const unsigned everyone = (1u << membership->term.count) - 1;
-  bool all;
-  unsigned left = members_left(cluster, before, &all);
-  if (all) progress->complete_in_term = membership->term.number;
+  const unsigned all_members = (1u << membership->term.count) - 1;
+  bool all_reconciled;
+  unsigned unreconciled = unreconciled_members(cluster, before, &all_reconciled);
+  if (all_reconciled) progress->complete_in_term = membership->term.number;
   progress->members_term = membership->term.number;
-  progress->members = before | (everyone & ~left);
-  if (!all && progress->members == before) return false;
+  progress->members = before | (all_members & ~unreconciled);
+  if (!all_reconciled && progress->members == before) return false;
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) fc_cluster_resolve_slices(cluster, job);
-  return all;
+  return all_reconciled;
 }
--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -30,28 +30,28 @@
   fc_machine_forget_owner(machine, now);
 }
 
-/* The state before a change of term. */
-typedef struct term_change {
-  uint64_t old_number;
-  int old_self;
-  bool continuous;
-} term_change;
+/* The term before a change, as far as it matters for what remains valid. */
+typedef struct previous_term {
+  uint64_t number;
+  int self;
+  bool continuous; /* this process was a member of it in the same incarnation */
+} previous_term;
 
 /* Slices that belonged to this controller in the previous term, one bit for each. */
-static unsigned slices_owned_before(const fc_job *job, const term_change *change) {
+static unsigned slices_owned_before(const fc_job *job, const previous_term *previous) {
   unsigned owned = 0;
-  if (change->old_self < 0) return 0;
+  if (previous->self < 0) return 0;
   for (unsigned i = 0; i < job->slices.count; i++)
-    owned |= (unsigned)(fc_job_slice_owner(job, i) == change->old_self) << i;
+    owned |= (unsigned)(fc_job_slice_owner(job, i) == previous->self) << i;
   return owned;
 }
 
 /* Slices that this controller owns before and after the change remain resolved. If it has missed a
  * term, a slice may have been assigned to another member and back. */
-static void reassign_job(const fc_cluster *cluster, fc_job *job, const term_change *change) {
+static void reassign_job(const fc_cluster *cluster, fc_job *job, const previous_term *previous) {
   const fc_membership *membership = &cluster->membership;
-  unsigned owned_before = slices_owned_before(job, change);
-  bool next_term = change->continuous && membership->term.number == change->old_number + 1 && membership->self >= 0;
+  unsigned owned_before = slices_owned_before(job, previous);
+  bool next_term = previous->continuous && membership->term.number == previous->number + 1 && membership->self >= 0;
   fc_cluster_assign_slices(cluster, job);
   for (unsigned i = 0; i < job->slices.count; i++) {
     bool stays = next_term && (owned_before >> i & 1) && fc_job_slice_owner(job, i) == membership->self;
@@ -63,11 +63,12 @@
  * member could command it in between. This requires a recorded owner: an owner assigned by hashing
  * may have changed and changed back. For a machine not reconciled yet, the time of silence
  * continues to count. */
-static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const term_change *change, double now) {
+static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const previous_term *previous,
+                             double now) {
   const fc_membership *membership = &cluster->membership;
-  bool was_ours = change->continuous && machine->owner == change->old_self && change->old_self >= 0 &&
+  bool was_ours = previous->continuous && machine->owner == previous->self && previous->self >= 0 &&
                   membership->self >= 0 && strcmp(machine->record.owner, cluster->settings->name) == 0;
-  bool was_reconciled = was_ours && machine->reconciled_term == change->old_number;
+  bool was_reconciled = was_ours && machine->reconciled_term == previous->number;
   machine->owner = owner_by_record(cluster, machine);
   machine->view.digest = 0;
   bool is_ours = fc_machine_owned_by_self(cluster, machine);
@@ -77,16 +78,16 @@
 
 void fc_cluster_apply_term(fc_cluster *cluster, const fc_term *term, uint64_t version, bool continuous, double now) {
   fc_membership *membership = &cluster->membership;
-  const term_change change = {
-      .old_number = membership->term.number, .old_self = membership->self, .continuous = continuous};
+  const previous_term previous = {
+      .number = membership->term.number, .self = membership->self, .continuous = continuous};
   membership->term = *term;
   membership->term_version = version;
   membership->self = fc_term_find(term, cluster->settings->name);
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
-  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) reassign_job(cluster, job, &change);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) reassign_job(cluster, job, &previous);
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));)
-    reassign_machine(cluster, machine, &change, now);
+    reassign_machine(cluster, machine, &previous, now);
 }
 
 int fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
--- a/src/bookkeeping/write_rate.c
+++ b/src/bookkeeping/write_rate.c
@@ -12,9 +12,9 @@
  * every member also needs requests for reads and lease renewal. */
 #define MAX_REQUEST_SHARE 1.5
 /* Fraction of the request burst that is reserved for transactions. */
-#define TRANSACTION_RESERVE 0.5
+#define TRANSACTION_RESERVE_FRACTION 0.5
 /* A transaction larger than the burst could never be sent. */
-#define MIN_BURST 1
+#define MIN_BURST_TOKENS 1
 
 void fc_write_rate_init(fc_write_rate *rate, double writes_per_s, double min_writes_per_s, double requests_per_s,
                         double now) {
@@ -24,8 +24,8 @@
                           .backoff = 1,
                           .min_backoff = MIN(1, min_writes_per_s / writes_per_s),
                           .backoff_updated_at = now};
-  fc_token_bucket_init(&rate->writes, writes_per_s, MAX(MIN_BURST, floor(writes_per_s)), now);
-  fc_token_bucket_init(&rate->requests, requests_per_s, MAX(MIN_BURST, requests_per_s), now);
+  fc_token_bucket_init(&rate->writes, writes_per_s, MAX(MIN_BURST_TOKENS, floor(writes_per_s)), now);
+  fc_token_bucket_init(&rate->requests, requests_per_s, MAX(MIN_BURST_TOKENS, requests_per_s), now);
 }
 
 double fc_write_rate_per_s(const fc_write_rate *rate) {
@@ -39,7 +39,7 @@
 /* The burst is one second's worth of the store's current rate, whatever this member's share. */
 static void apply_write_rate(fc_write_rate *rate, double now) {
   fc_token_bucket_set_rate(&rate->writes, fc_write_rate_per_s(rate), now);
-  rate->writes.burst = MAX(MIN_BURST, floor(rate->even_writes_per_s * rate->backoff));
+  rate->writes.burst = MAX(MIN_BURST_TOKENS, floor(rate->even_writes_per_s * rate->backoff));
 }
 
 void fc_write_rate_set_share(fc_write_rate *rate, double share, double even, double now) {
@@ -87,5 +87,5 @@
 }
 
 bool fc_write_rate_take_spare_request(fc_write_rate *rate, double now) {
-  return fc_token_bucket_take(&rate->requests, 1, rate->requests.burst * TRANSACTION_RESERVE, now);
+  return fc_token_bucket_take(&rate->requests, 1, rate->requests.burst * TRANSACTION_RESERVE_FRACTION, now);
 }
