--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -1,4 +1,4 @@
-/* A small cluster state to test on: machine types, machines, jobs and placements in a line each. */
+/* Builders for a small cluster state in tests: machine types, machines, jobs and placements. */
 #ifndef FC_TESTS_FIXTURE_H
 #define FC_TESTS_FIXTURE_H
 
@@ -63,13 +63,13 @@
   return machine;
 }
 
-/* Owners of all slices anew, after a test has put a term of its own in place. */
+/* Recomputes the owners of all slices, after a test has replaced the term. */
 static inline void fixture_assign_slices(fc_cluster *cluster) {
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) fc_cluster_assign_slices(cluster, job);
 }
 
-/* Term 1 of that many members. */
+/* Term 1 with `count` members. */
 static inline fc_term fixture_term(size_t count) {
   fc_term term = {.number = 1, .seed = 42, .count = count};
   for (size_t i = 0; i < count; i++) {
@@ -79,14 +79,15 @@
   return term;
 }
 
-/* Term 1 of two members, of which this one is the first. */
+/* Applies term 1 with two members, of which this controller is the first. */
 static inline void fixture_two_members(fc_cluster *cluster) {
   fc_term term = {.number = 1, .seed = 1, .members = {{"paddock-0", 1}, {"paddock-1", 1}}, .count = 2};
   cluster->membership.term = term;
   fixture_assign_slices(cluster);
 }
 
-/* `extra`: more fields of the submission, separated by commas; those of the defaults go. */
+/* Adds a job with one slice, read as a change. `extra`: further fields of the submission, separated
+ * by commas; they replace the defaults of samePlace and scatter. */
 static inline fc_job *fixture_job(fc_cluster *cluster, const char *id, const char *kind, const char *priority,
                                   const char *team, unsigned tasks, double gpus, const char *extra) {
   char *text = g_strdup_printf(
@@ -110,7 +111,7 @@
   return job;
 }
 
-/* A running task, started at second 10. */
+/* Adds a running task, started at second 10. */
 static inline fc_placement *fixture_run_task(fc_cluster *cluster, fc_machine *machine, const fc_job *job,
                                              uint32_t index, uint64_t attempt) {
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, job->spec.id, index, attempt, 10);
--- a/tests/test_cancellation_log.c
+++ b/tests/test_cancellation_log.c
@@ -1,4 +1,4 @@
-/* Cancellations that members pass on: the log of them, and their effect on the cluster state. */
+/* Cancellations forwarded between members: the log of them, and their effect on the cluster state. */
 #include "fixture.h"
 
 #include "bookkeeping/cancellation_log.h"
@@ -10,14 +10,14 @@
   assert_int_equal(fc_cancellation_log_add(log, id, revision, (double)revision), expect_new);
 }
 
-/* Whoever has read up to a revision gets all that is newer, and whether that is complete. */
+/* A reader at a revision gets all newer entries, and whether they are complete. */
 static void cancellations_since_a_revision(void **state) {
   (void)state;
   fc_cancellation_log *log = fc_cancellation_log_new();
   const fc_cancellation *first;
   size_t count;
   add(log, 3, 30, true);
-  add(log, 1, 10, true); /* from a peer, late */
+  add(log, 1, 10, true); /* from a peer, out of order */
   add(log, 4, 30, true); /* of the same transaction */
   add(log, 3, 30, false);
   add(log, 5, 50, true);
@@ -38,7 +38,7 @@
   frame = fc_cancellations_to_frame(first, count, 60);
   assert_int_equal(frame[0].age_ms, 10000);
   g_free(frame);
-  /* All members have read up to 30: those entries go, and are not taken in again. */
+  /* All members have read up to revision 30: those entries are removed and not added again. */
   fc_cancellation_log_trim(log, 30);
   add(log, 1, 10, false);
   assert_true(fc_cancellation_log_since(log, 30, &first, &count));
@@ -47,7 +47,7 @@
   fc_cancellation_log_free(log);
 }
 
-/* They are dropped by whole transactions, and from then on the log is not complete before them. */
+/* Whole transactions are dropped, and the log then reports itself incomplete for older revisions. */
 static void oldest_cancellations_are_dropped_at_the_bound(void **state) {
   (void)state;
   fc_cancellation_log *log = fc_cancellation_log_new();
@@ -86,8 +86,8 @@
   }
 }
 
-/* A job whose cancellation a peer passed on stays cancelled whatever older records are still read, also when
- * its record has not been read at all. */
+/* A job whose cancellation was reported by a peer stays cancelled whatever older records are still
+ * read, even if none of its records has been read. */
 static void cancellation_is_final(void **state) {
   (void)state;
   static const struct {
@@ -110,7 +110,7 @@
     for (unsigned step = 0; step < rows[i].step_count; step++) apply_step(cluster, rows[i].steps[step]);
     check_row(rows[i].name, fc_cluster_is_cancelled(cluster, "job-000001") == rows[i].cancelled);
     const fc_job *job = fc_cluster_find_job(cluster, "job-000001");
-    /* Writes are conditional on the version read, never on what a peer passed on. */
+    /* Writes are conditional on the version read, not on one reported by a peer. */
     if (job) check_row(rows[i].name, job->record.version == (rows[i].step_count > 2 ? 9 : 5));
     fc_cluster_free(cluster);
   }
--- a/tests/test_dependencies.c
+++ b/tests/test_dependencies.c
@@ -1,5 +1,5 @@
-/* Dependencies between jobs: which are runnable, which are cancelled with another, what they
- * inherit from their dependents. */
+/* Dependencies between jobs: which jobs are runnable, which are cancelled because of another, and
+ * what they inherit from their dependents. */
 #include "fixture.h"
 
 #include <math.h>
@@ -28,7 +28,7 @@
   g_free(pipeline);
 }
 
-/* One of four buffers in rotation: valid through three more calls. */
+/* Returns one of four buffers in rotation, valid through three more calls. */
 static const char *job_id(unsigned number) {
   static char ids[4][32];
   static unsigned next;
@@ -45,7 +45,7 @@
   unsigned dependencies[4];      /* 0: no more */
 } stage;
 
-/* The job's record is read in that phase; `fresh`: as a change, not from a full read. */
+/* Applies the job's record in that phase; `fresh`: read as a change, not in a full read. */
 static fc_job *apply_record_at(pipeline_fixture *pipeline, const stage *job, fc_job_phase phase, bool fresh,
                                double now) {
   char *dependencies[5] = {NULL};
@@ -95,7 +95,8 @@
     for (unsigned i = 0; i < DIAMOND; i++)
       apply_record_at(pipeline, &k_diamond[orders[order][i]], FC_PHASE_ACCEPTED, false, 0);
     for (unsigned k = 1; k <= 6; k++) assert_int_equal(fc_job_runnable(find_job(pipeline, k)), k == 1 || k == 6);
-    /* Latest starts, from the deadline of 5 less the estimates: 5 by 190, 4 by 185, 2 by 165, 3 by 155, 1 by 145. */
+    /* Latest starts, from the deadline of job 5 minus the estimates: 5 by 190, 4 by 185, 2 by 165,
+     * 3 by 155, 1 by 145. */
     static const double latest_start[] = {0, 145, 165, 155, 185, 190};
     for (unsigned k = 1; k <= 5; k++) {
       assert_int_equal(find_job(pipeline, k)->queue.priority, FC_PRIORITY_HIGH);
@@ -110,8 +111,8 @@
 typedef struct readiness_row {
   const char *name;
   unsigned ended[6];       /* jobs in the order in which they end; 0: no more */
-  fc_job_phase last_phase; /* of the last of them; the others are done */
-  unsigned runnable;       /* a bit a job, as in `cancelled` */
+  fc_job_phase last_phase; /* of the last one; the others are done */
+  unsigned runnable;       /* one bit for each job, as in `cancelled` */
   unsigned cancelled;
 } readiness_row;
 
@@ -153,7 +154,7 @@
       apply_record(pipeline, &k_diamond[row->ended[end] - 1], last ? row->last_phase : FC_PHASE_DONE);
     }
     check_readiness(pipeline, row);
-    /* The same from a full read of the records, in both orders. */
+    /* The result is the same from a full read of the records, in either order. */
     for (int backwards = 0; backwards < 2; backwards++) {
       pipeline_fixture *reread = pipeline_new();
       for (unsigned position = 0; position < DIAMOND; position++) {
@@ -167,8 +168,8 @@
   }
 }
 
-/* An end counts the same whether its record was read, a peer passed it on or the archive holds it. */
-static void ends_learned_from_peers_and_the_archive(void **state) {
+/* The end of a job has the same effect whether it is known from its record, a peer or the archive. */
+static void final_states_from_peers_and_archive(void **state) {
   (void)state;
   enum { PEER_CANCELLED, ARCHIVED_CANCELLED, ARCHIVED_DONE, REMOVED };
   static const struct {
@@ -177,8 +178,8 @@
     int source;
     bool runnable, cancelled;
   } rows[] = {
-      {"cancelled, from a peer", true, PEER_CANCELLED, false, true},
-      {"cancelled, from a peer, and its record not read", false, PEER_CANCELLED, false, true},
+      {"cancelled, reported by a peer", true, PEER_CANCELLED, false, true},
+      {"cancelled, reported by a peer, its record not read", false, PEER_CANCELLED, false, true},
       {"archived as cancelled", false, ARCHIVED_CANCELLED, false, true},
       {"archived as done", false, ARCHIVED_DONE, true, false},
       {"removed before its end was read", true, REMOVED, false, false},
@@ -206,26 +207,27 @@
 }
 
 /* A dependent of a cancelled job stays cancelled whatever older records of it are read, and is
- * listed for its owner until its own record is cancelled. */
+ * listed for its owner until its own record says so. */
 static void cancellation_reaches_dependents(void **state) {
   (void)state;
   pipeline_fixture *pipeline = pipeline_new();
   for (unsigned k = 0; k < 3; k++) apply_record(pipeline, &k_diamond[k], FC_PHASE_ACCEPTED);
   apply_record(pipeline, &k_diamond[0], FC_PHASE_CANCELLED);
-  apply_record(pipeline, &k_diamond[1], FC_PHASE_ACCEPTED); /* written before its writer knew */
+  apply_record(pipeline, &k_diamond[1],
+               FC_PHASE_ACCEPTED); /* written by a member that had not yet read the cancellation */
   assert_int_equal(find_job(pipeline, 2)->phase, FC_PHASE_CANCELLED);
   assert_int_equal(find_job(pipeline, 2)->record.phase, FC_PHASE_ACCEPTED);
   GPtrArray *ids = fc_dependencies_unrecorded(pipeline->cluster, pipeline->cluster->membership.self, 9);
   assert_int_equal(ids->len, 2);
   g_ptr_array_free(ids, TRUE);
-  assert_true(fc_dependencies_has_dependents(pipeline->cluster, job_id(1))); /* so it is not archived yet */
+  assert_true(fc_dependencies_has_dependents(pipeline->cluster, job_id(1))); /* so that it is not archived yet */
   apply_record(pipeline, &k_diamond[1], FC_PHASE_CANCELLED);
   apply_record(pipeline, &k_diamond[2], FC_PHASE_CANCELLED);
   ids = fc_dependencies_unrecorded(pipeline->cluster, pipeline->cluster->membership.self, 9);
   assert_int_equal(ids->len, 0);
   g_ptr_array_free(ids, TRUE);
   assert_false(fc_dependencies_has_dependents(pipeline->cluster, job_id(1)));
-  /* A dependent that is submitted now is cancelled from the start. */
+  /* A dependent submitted after that is cancelled immediately. */
   static const stage late = {9, FC_PRIORITY_HIGH, 1, 0, {1}};
   apply_record(pipeline, &late, FC_PHASE_ACCEPTED);
   assert_int_equal(find_job(pipeline, 9)->phase, FC_PHASE_CANCELLED);
@@ -264,7 +266,8 @@
   pipeline_free(pipeline);
 }
 
-/* Time in the queue, and the class's demand, count from when the job's dependencies are met. */
+/* Time in the queue and the arrival statistics of the class count from when the dependencies are
+ * met. */
 static void queue_time_begins_when_runnable(void **state) {
   (void)state;
   pipeline_fixture *pipeline = pipeline_new();
@@ -277,7 +280,7 @@
   assert_true(job_class->weight > 1);
   assert_int_equal(find_job(pipeline, 2)->slices.resolved, ~0u);
   pipeline_free(pipeline);
-  /* Runnable on a full read, it may have been started before: its slices are not resolved. */
+  /* If it is runnable in a full read, it may have been started before: its slices are not resolved. */
   pipeline = pipeline_new();
   pipeline->cluster->reconciliation.complete_in_term = 0;
   apply_record_at(pipeline, &k_diamond[1], FC_PHASE_ACCEPTED, false, 2);
@@ -287,7 +290,8 @@
   pipeline_free(pipeline);
 }
 
-/* The owner writes the record without its dependencies once they are met; others may read that first. */
+/* Once the dependencies are met, the owner writes the record without them; other members may read
+ * that record before the end of the dependency. */
 static void record_without_met_dependencies(void **state) {
   (void)state;
   pipeline_fixture *pipeline = pipeline_new();
@@ -309,7 +313,7 @@
   fc_team_allowance allowance = fixture_unlimited_allowance();
   GArray *plan = fc_bin_packing_plan(pipeline->cluster, &allowance, 1);
   assert_int_equal(plan->len, 2);
-  /* Job 1 inherits the priority of the last of its pipeline. */
+  /* Job 1 inherits the priority of the last job that depends on it. */
   assert_string_equal(g_array_index(plan, fc_placement_decision, 0).job->spec.id, "job-000001");
   assert_string_equal(g_array_index(plan, fc_placement_decision, 1).job->spec.id, "job-000006");
   g_array_free(plan, TRUE);
@@ -326,26 +330,31 @@
   bool in_order;
 } order_row;
 
-/* Jobs of equal priority go by their latest start. */
+/* Jobs of equal priority are ordered by their latest start. */
 static void queue_order_of_two_jobs(void **state) {
   (void)state;
   static const order_row rows[] = {
       {"by priority", {1, FC_PRIORITY_STANDARD, 9, 10, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, false},
-      {"first come", {1, FC_PRIORITY_HIGH, 9, 0, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, true},
+      {"first submitted", {1, FC_PRIORITY_HIGH, 9, 0, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, true},
       {"the sooner deadline", {1, FC_PRIORITY_HIGH, 9, 90, {0}}, {2, FC_PRIORITY_HIGH, 9, 50, {0}}, 0, 5, false},
-      {"the longer one of equal deadlines",
+      {"the longer job at equal deadlines",
        {1, FC_PRIORITY_HIGH, 9, 90, {0}},
        {2, FC_PRIORITY_HIGH, 30, 90, {0}},
        0,
        0,
        false},
-      {"a distant deadline yields to a job without one",
+      {"a distant deadline after a job without one",
        {1, FC_PRIORITY_HIGH, 9, 90, {0}},
        {2, FC_PRIORITY_HIGH, 9, 0, {0}},
        0,
        5,
        false},
-      {"a close deadline does not", {1, FC_PRIORITY_HIGH, 9, 12, {0}}, {2, FC_PRIORITY_HIGH, 9, 0, {0}}, 0, 5, true},
+      {"a close deadline before a job without one",
+       {1, FC_PRIORITY_HIGH, 9, 12, {0}},
+       {2, FC_PRIORITY_HIGH, 9, 0, {0}},
+       0,
+       5,
+       true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     pipeline_fixture *pipeline = pipeline_new();
@@ -361,7 +370,7 @@
 
 enum { MANY_JOBS = 5000 };
 
-/* Priority, deadline and cancellation pass through a long chain without deep recursion. */
+/* Priority, deadline and cancellation propagate through a long chain without deep recursion. */
 static void chain_of_thousands(void **state) {
   (void)state;
   pipeline_fixture *pipeline = pipeline_new();
@@ -398,7 +407,7 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(result_is_independent_of_record_order),
       cmocka_unit_test(runnable_or_cancelled_by_dependencies),
-      cmocka_unit_test(ends_learned_from_peers_and_the_archive),
+      cmocka_unit_test(final_states_from_peers_and_archive),
       cmocka_unit_test(cancellation_reaches_dependents),
       cmocka_unit_test(priority_and_deadline_from_dependents),
       cmocka_unit_test(queue_time_begins_when_runnable),
--- a/tests/test_description_parts.c
+++ b/tests/test_description_parts.c
@@ -1,11 +1,11 @@
-/* The parts of long descriptions that have been read. */
+/* The index of the parts of long descriptions. */
 #include "check.h"
 
 #include "bookkeeping/description_parts.h"
 
 #define DIGEST "0123456789abcdef0123456789abcdef"
 
-static void parts_come_and_go_in_any_order(void **state) {
+static void parts_added_and_removed_in_any_order(void **state) {
   (void)state;
   fc_description_parts *parts = fc_description_parts_new();
   const fc_description_ref ref = {.digest = DIGEST, .count = 3};
@@ -25,7 +25,7 @@
   assert_int_equal(fc_description_parts_version(parts, "job-000001", DIGEST, 0), 10);
   fc_description_parts_put(parts, "job-000001", DIGEST, 0, NULL, 20, 8);
   assert_int_equal(fc_description_parts_version(parts, "job-000001", DIGEST, 0), 0);
-  /* After all keys were read again: parts without a key go, but for newer ones. */
+  /* After a full read, parts without a key are removed unless they are newer. */
   GHashTable *present = g_hash_table_new(g_str_hash, g_str_equal);
   g_hash_table_add(present, "fc1/part/job-000001/" DIGEST "/1");
   fc_description_parts_put(parts, "job-000001", DIGEST, 5, "f", 31, 8);
@@ -40,7 +40,7 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(parts_come_and_go_in_any_order),
+      cmocka_unit_test(parts_added_and_removed_in_any_order),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_reconciliation_progress.c
+++ b/tests/test_reconciliation_progress.c
@@ -1,12 +1,12 @@
-/* Which machines are reconciled and which slices resolved in a new term. */
+/* Which machines are reconciled, and which slices resolved, in a new term. */
 #include "fixture.h"
 
 #include "bookkeeping/cluster_machines.h"
 #include "bookkeeping/reconciliation_progress.h"
 
-/* What was reconciled in the last term counts in the next only where nothing can have changed
- * unseen in between. */
-static void what_a_new_term_keeps_reconciled(void **state) {
+/* Reconciliation of the previous term remains valid only where nothing can have changed unseen in
+ * between. */
+static void reconciliation_across_term_change(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -15,8 +15,8 @@
   } rows[] = {
       {"a member of both terms", 2, true, true, true, true},
       {"a new incarnation", 2, false, true, false, false},
-      {"missed a term between", 3, true, true, true, false},
-      {"ours by the term alone, not by its record", 2, true, false, false, true},
+      {"a term in between was missed", 3, true, true, true, false},
+      {"assigned to this member by the term, not by its record", 2, true, false, false, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
@@ -37,8 +37,8 @@
   }
 }
 
-/* Unannounced machines don't count (day hunt-879d-7): while a fleet kept renting, reconciliation
- * never completed and no task started. */
+/* Machines whose endpoint is not recorded don't count (day hunt-879d-7): while the fleet kept
+ * renting machines, reconciliation never completed and no task started. */
 static void reconciliation_completes(void **state) {
   (void)state;
   static const struct {
@@ -66,35 +66,35 @@
 
 typedef struct resolution_row {
   const char *name;
-  bool ours_reconciled, theirs_reconciled;
-  uint64_t accepted, names_since; /* terms; this is the tenth */
-  unsigned moved;
+  bool own_reconciled, peer_reconciled;
+  uint64_t accepted, names_since; /* terms; the current one is 10 */
+  unsigned transferred;
   bool other_owner, resolved;
-  uint64_t moved_in;       /* the term of the first slice's last handover */
-  unsigned machine_owners; /* a bit a member: on whose machines its tasks may be since */
+  uint64_t transferred_in; /* the term of the first slice's last transfer */
+  unsigned machine_owners; /* one bit for each member: its machines may hold tasks of the slice since that transfer */
 } resolution_row;
 
 static const resolution_row k_resolutions[] = {
     {"all machines are reconciled", true, true, 0, 10, 1, true, true, 0, 0},
-    {"ours are reconciled", true, false, 5, 5, 0, false, true, 0, 0},
-    {"ours are, but the job's term is not known", true, false, 0, 1, 0, false, false, 0, 0},
-    {"ours are not", false, true, 5, 5, 0, false, false, 0, 0},
-    {"a member has come or gone since", true, false, 5, 6, 0, false, false, 0, 0},
+    {"this member's machines are reconciled", true, false, 5, 5, 0, false, true, 0, 0},
+    {"this member's are reconciled, but the job's term is unknown", true, false, 0, 1, 0, false, false, 0, 0},
+    {"this member's are not reconciled", false, true, 5, 5, 0, false, false, 0, 0},
+    {"the member names have changed since", true, false, 5, 6, 0, false, false, 0, 0},
     {"the slice has been handed over", true, false, 5, 5, 1, false, false, 0, 0},
-    {"another slice has been", true, false, 5, 5, 2, false, true, 0, 0},
-    {"it is another shard's", true, false, 5, 5, 0, true, false, 0, 0},
+    {"another slice has been handed over", true, false, 5, 5, 2, false, true, 0, 0},
+    {"it belongs to another shard", true, false, 5, 5, 0, true, false, 0, 0},
     {"handed over to us, with no task elsewhere", true, false, 5, 5, 1, false, true, 7, 1},
     {"handed over to us, with tasks on the peer's machines", true, false, 5, 5, 1, false, false, 7, 3},
-    {"the peer's are reconciled, and its tasks are on ours too", false, true, 5, 5, 1, false, false, 7, 3},
+    {"the peer's are reconciled, and its tasks are on this member's too", false, true, 5, 5, 1, false, false, 7, 3},
     {"the peer's are reconciled, and its tasks are on those alone", false, true, 5, 5, 1, false, true, 7, 2},
-    {"handed over since a member has come or gone", true, false, 3, 6, 1, false, true, 6, 1},
-    {"handed over before that", true, false, 3, 6, 1, false, false, 5, 1},
-    {"handed over, and the job's term is not known", true, false, 0, 6, 1, false, true, 7, 1},
-    {"handed over, and not ours any more", true, false, 5, 5, 1, true, false, 7, 1},
-    {"never handed over: owners that were recorded don't count", true, false, 5, 6, 0, false, false, 7, 1},
+    {"handed over since the member names changed", true, false, 3, 6, 1, false, true, 6, 1},
+    {"handed over before the member names changed", true, false, 3, 6, 1, false, false, 5, 1},
+    {"handed over, and the job's term is unknown", true, false, 0, 6, 1, false, true, 7, 1},
+    {"handed over, and owned by another shard", true, false, 5, 5, 1, true, false, 7, 1},
+    {"never handed over: recorded owners don't count", true, false, 5, 6, 0, false, false, 7, 1},
 };
 
-/* The same record read after a gap in the changes: its slice is resolved as before. */
+/* Rereading the same record after missed changes resolves its slice as before. */
 static void check_reread_job(fc_cluster *cluster, const fc_job *job, const resolution_row *row) {
   fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .done = (char *)"", .slices = 1, .origin = job->record.origin};
   char error[200];
@@ -110,35 +110,36 @@
   fc_job_spec_clear(&record.spec);
 }
 
-/* Slices that were always in this shard, or were handed over to it with known tasks, are resolved
+/* Slices that were always in this shard, or were transferred to it with known tasks, are resolved
  * as soon as the machines that may hold their tasks are reconciled. */
-static void slices_resolved_before_all_is_reconciled(void **state) {
+static void slices_resolved_before_all_machines_are_reconciled(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_resolutions); i++) {
     const resolution_row *row = &k_resolutions[i];
     fc_settings settings = fixture_settings();
     fc_cluster *cluster = fixture_cluster(&settings);
-    fc_machine *ours = fixture_machine(cluster, "vm-1", "a", false);
-    fc_machine *theirs = fixture_machine(cluster, "vm-2", "a", false);
+    fc_machine *own_machine = fixture_machine(cluster, "vm-1", "a", false);
+    fc_machine *peer_machine = fixture_machine(cluster, "vm-2", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-    job->record.origin = (fc_job_origin){
-        .term = row->accepted, .transferred = row->moved, .last_transfer = {{row->moved_in, row->machine_owners}}};
+    job->record.origin = (fc_job_origin){.term = row->accepted,
+                                         .transferred = row->transferred,
+                                         .last_transfer = {{row->transferred_in, row->machine_owners}}};
     job->record.handed_to[0] = g_strdup(row->other_owner ? "paddock-1" : "paddock-0");
-    g_strlcpy(theirs->record.owner, "paddock-1", sizeof theirs->record.owner);
+    g_strlcpy(peer_machine->record.owner, "paddock-1", sizeof peer_machine->record.owner);
     fc_term term = {
         .number = 10, .names_since = row->names_since, .members = {{"paddock-0", 3}, {"paddock-1", 4}}, .count = 2};
     fc_cluster_apply_term(cluster, &term, 20, false, 5);
     assert_int_equal(job->slices.resolved & 1, 0);
-    if (row->ours_reconciled) ours->reconciled_term = 10;
-    if (row->theirs_reconciled) theirs->reconciled_term = 10;
-    check_row(row->name, fc_cluster_update_reconciled(cluster) == (row->ours_reconciled && row->theirs_reconciled));
+    if (row->own_reconciled) own_machine->reconciled_term = 10;
+    if (row->peer_reconciled) peer_machine->reconciled_term = 10;
+    check_row(row->name, fc_cluster_update_reconciled(cluster) == (row->own_reconciled && row->peer_reconciled));
     check_row(row->name, (job->slices.resolved & 1) == row->resolved);
     check_reread_job(cluster, job, row);
     fc_cluster_free(cluster);
   }
 }
 
-/* The job's record as it is, with its slice handed over to that member. */
+/* Applies the job's record with its slice transferred to `to`. */
 static void apply_handover(fc_cluster *cluster, const fc_job *job, const char *to, unsigned machine_owners,
                            bool partly_known) {
   fc_job_record record = {.phase = FC_PHASE_ACCEPTED,
@@ -154,15 +155,15 @@
   fc_job_spec_clear(&record.spec);
 }
 
-/* What the giver of a slice knows of it is knowledge of the receiver alone: a third member that reads
- * of the handover has acknowledged nothing. */
+/* The sender's knowledge of a slice counts only for the receiver: a third member that reads the
+ * record of the handover has not acknowledged any view. */
 static void handovers_resolve_for_their_receiver(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    const char *first, *then; /* whom it is handed over to; NULL: no more */
-    bool partly_known;        /* the last of these */
-    bool reconciled;          /* all machines are, before */
+    const char *first, *then; /* the receivers; NULL: no second handover */
+    bool partly_known;        /* of the last handover */
+    bool reconciled;          /* all machines are reconciled before */
     bool resolved;
   } rows[] = {
       {"to us, fully known", "paddock-0", NULL, false, false, true},
@@ -176,16 +177,16 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
     fc_cluster *cluster = fixture_cluster(&settings);
-    fc_machine *theirs = fixture_machine(cluster, "vm-2", "a", false);
-    g_strlcpy(theirs->record.owner, "paddock-2", sizeof theirs->record.owner);
+    fc_machine *peer_machine = fixture_machine(cluster, "vm-2", "a", false);
+    g_strlcpy(peer_machine->record.owner, "paddock-2", sizeof peer_machine->record.owner);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     job->record.handed_to[0] = g_strdup("paddock-2");
     fc_term term = {
         .number = 10, .names_since = 5, .members = {{"paddock-0", 3}, {"paddock-1", 4}, {"paddock-2", 5}}, .count = 3};
     fc_cluster_apply_term(cluster, &term, 20, false, 5);
-    if (rows[i].reconciled) theirs->reconciled_term = 10;
+    if (rows[i].reconciled) peer_machine->reconciled_term = 10;
     (void)fc_cluster_update_reconciled(cluster);
-    const unsigned machine_owners = 1u << 0 | 1u << 2; /* ours, and the first owner's */
+    const unsigned machine_owners = 1u << 0 | 1u << 2; /* this member's, and the first owner's */
     apply_handover(cluster, job, rows[i].first, machine_owners, rows[i].partly_known && !rows[i].then);
     if (rows[i].then) apply_handover(cluster, job, rows[i].then, machine_owners, rows[i].partly_known);
     check_row(rows[i].name, (job->slices.resolved & 1) == rows[i].resolved);
@@ -195,9 +196,9 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(what_a_new_term_keeps_reconciled),
+      cmocka_unit_test(reconciliation_across_term_change),
       cmocka_unit_test(reconciliation_completes),
-      cmocka_unit_test(slices_resolved_before_all_is_reconciled),
+      cmocka_unit_test(slices_resolved_before_all_machines_are_reconciled),
       cmocka_unit_test(handovers_resolve_for_their_receiver),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_record_writes.c
+++ b/tests/test_record_writes.c
@@ -1,11 +1,12 @@
-/* Writes of job records within the size of a value. */
+/* Writes of job records within the value size limit. */
 #include "fixture.h"
 
 #include "bookkeeping/job_records.h"
 #include "bookkeeping/record_writes.h"
 
-/* Ranges of completed tasks scattered over a large array can exceed a value: as many are recorded as
- * fit, none that has not completed; the rest follows once gaps have closed. */
+/* The encoded ranges of completions scattered over a large array can exceed the value size: as many
+ * completions are recorded as fit, and no task that has not completed; the rest follows once gaps
+ * have closed. */
 static void completions_that_fit_a_value(void **state) {
   (void)state;
   static const struct {
@@ -30,7 +31,7 @@
     check_row(rows[i].name, fc_job_record_fit_completions(cluster, job, completed, recorded));
     char *ranges = fc_ranges_encode(recorded, rows[i].tasks);
     check_row(rows[i].name, strlen(ranges) > 0 && strlen(ranges) < 2048);
-    /* The value is nearly full where not all fit. */
+    /* If not all completions fit, the value is nearly full. */
     check_row(rows[i].name, rows[i].fits || strlen(ranges) > 1200);
     check_row(rows[i].name, (memcmp(completed, recorded, bytes) == 0) == rows[i].fits);
     for (size_t byte = 0; byte < bytes; byte++) check_row(rows[i].name, (recorded[byte] & ~completed[byte]) == 0);
