--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -30,7 +30,7 @@
   g_hash_table_remove(cluster->machines, machine->id);
 }
 
-void fc_cluster_locate_machine(const fc_cluster *cluster, fc_machine *machine) {
+void fc_cluster_resolve_type_and_zone(const fc_cluster *cluster, fc_machine *machine) {
   machine->type = fc_cluster_find_machine_type(cluster, machine->record.type);
   machine->zone = fc_settings_zone(cluster->settings, machine->record.zone);
 }
--- a/src/bookkeeping/cluster_machines.h
+++ b/src/bookkeeping/cluster_machines.h
@@ -11,7 +11,7 @@
 /* Removes and frees a machine that is proved gone, with every placement on it. */
 void fc_cluster_remove_machine(fc_cluster *cluster, fc_machine *machine);
 /* Sets the machine's type and zone indices from its record. */
-void fc_cluster_locate_machine(const fc_cluster *cluster, fc_machine *machine);
+void fc_cluster_resolve_type_and_zone(const fc_cluster *cluster, fc_machine *machine);
 
 /* Adds a placement to the machine and, if the job is known, to the job. Owned by the machine. */
 fc_placement *fc_cluster_add_placement(fc_cluster *cluster, fc_machine *machine, const char *job_id, uint32_t index,
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -216,7 +216,7 @@
   set_state(cluster, job->spec.id, FC_DEPENDENCY_UNKNOWN, false, 0);
 }
 
-void fc_dependencies_learn(fc_cluster *cluster, const char *id, fc_dependency_state state, double now) {
+void fc_dependencies_apply_state(fc_cluster *cluster, const char *id, fc_dependency_state state, double now) {
   fc_job *job = fc_cluster_find_job(cluster, id);
   if (job && state == FC_DEPENDENCY_CANCELLED) propagate(cluster, job, recompute_without_dependent);
   set_state(cluster, id, state, false, now);
@@ -246,7 +246,7 @@
   return ids;
 }
 
-GPtrArray *fc_dependencies_unrecorded(const fc_cluster *cluster, int member, guint max) {
+GPtrArray *fc_dependencies_unrecorded_cancellations(const fc_cluster *cluster, int member, guint max) {
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
   gpointer value;
--- a/src/bookkeeping/dependencies.h
+++ b/src/bookkeeping/dependencies.h
@@ -13,7 +13,7 @@
 /* Unlinks a job that is about to be removed from the cluster state. */
 void fc_dependencies_remove(fc_cluster *cluster, fc_job *job);
 /* Applies the final state of a job, learned from its archived record or from a peer. */
-void fc_dependencies_learn(fc_cluster *cluster, const char *id, fc_dependency_state state, double now);
+void fc_dependencies_apply_state(fc_cluster *cluster, const char *id, fc_dependency_state state, double now);
 
 /* Whether accepted jobs still depend on the job; while they do, its record must stay. */
 bool fc_dependencies_has_dependents(const fc_cluster *cluster, const char *id);
@@ -23,6 +23,6 @@
 GPtrArray *fc_dependencies_unknown(const fc_cluster *cluster, guint max);
 /* Ids of at most `max` jobs that are cancelled because of a dependency although their own records
  * don't say so yet, and whose first slice belongs to `member`; ownership as above. */
-GPtrArray *fc_dependencies_unrecorded(const fc_cluster *cluster, int member, guint max);
+GPtrArray *fc_dependencies_unrecorded_cancellations(const fc_cluster *cluster, int member, guint max);
 
 #endif
--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -132,10 +132,10 @@
     job->lifecycle.cancelled_since = since;
     if (!job->lifecycle.ended_at) job->lifecycle.ended_at = now;
   }
-  fc_dependencies_learn(cluster, id, FC_DEPENDENCY_CANCELLED, now);
+  fc_dependencies_apply_state(cluster, id, FC_DEPENDENCY_CANCELLED, now);
 }
 
-void fc_cluster_caught_up(fc_cluster *cluster, uint64_t revision) {
+void fc_cluster_prune_unread_cancellations(fc_cluster *cluster, uint64_t revision) {
   GHashTableIter iter;
   gpointer unread;
   g_hash_table_iter_init(&iter, cluster->unread_cancellations);
--- a/src/bookkeeping/job_records.h
+++ b/src/bookkeeping/job_records.h
@@ -17,7 +17,7 @@
 void fc_cluster_apply_cancellation(fc_cluster *cluster, const char *id, uint64_t revision, double since, double now);
 /* Called when all changes up to `revision` have been read: drops the unread cancellations up to
  * there, which the records now contain. */
-void fc_cluster_caught_up(fc_cluster *cluster, uint64_t revision);
+void fc_cluster_prune_unread_cancellations(fc_cluster *cluster, uint64_t revision);
 /* Removes and frees an archived job. Its remaining placements stay on their machines, without a
  * job. */
 void fc_cluster_remove_job(fc_cluster *cluster, fc_job *job);
--- a/src/bookkeeping/machine_state.c
+++ b/src/bookkeeping/machine_state.c
@@ -32,7 +32,7 @@
   g_free(machine);
 }
 
-void fc_machine_forget_owner(fc_machine *machine, double now) {
+void fc_machine_reset_owner_state(fc_machine *machine, double now) {
   machine->owned_since = now;
   machine->agent.reported = false;
   machine->drain.state = FC_DRAIN_NONE;
@@ -40,7 +40,7 @@
   machine->reachability.owner_suspects = false;
 }
 
-bool fc_machine_reserved_from(const fc_machine *machine, const char *job_id, double now) {
+bool fc_machine_reserved_for_other(const fc_machine *machine, const char *job_id, double now) {
   return now < machine->reservation.until && strcmp(machine->reservation.gang, job_id) != 0;
 }
 
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -128,7 +128,7 @@
   return machine->drain.state == FC_DRAIN_RETURNING;
 }
 /* Whether the machine is reserved for a gang other than the job. */
-bool fc_machine_reserved_from(const fc_machine *machine, const char *job_id, double now);
+bool fc_machine_reserved_for_other(const fc_machine *machine, const char *job_id, double now);
 /* Stops placing new tasks on the machine. */
 static inline void fc_machine_cordon(fc_machine *machine) {
   if (machine->drain.state == FC_DRAIN_NONE) machine->drain.state = FC_DRAIN_CORDONED;
@@ -141,7 +141,7 @@
   agent->sequence = sequence;
 }
 /* Resets the state that depends on the owner, after the machine got a new one. */
-void fc_machine_forget_owner(fc_machine *machine, double now);
+void fc_machine_reset_owner_state(fc_machine *machine, double now);
 
 /* NULL: that attempt is not on the machine. */
 fc_placement *fc_machine_find_placement(const fc_machine *machine, const char *job_id, uint32_t index,
--- a/src/bookkeeping/placement.c
+++ b/src/bookkeeping/placement.c
@@ -25,13 +25,13 @@
          placement->created_at > placement->machine->owned_since;
 }
 
-void fc_placement_outdate_copy(fc_placement *placement) {
+void fc_placement_mark_copy_outdated(fc_placement *placement) {
   if (placement->start.direct != FC_DIRECT_START_UNACKNOWLEDGED) return;
   placement->start.direct = FC_DIRECT_START_NONE;
   placement->start.outdated_copy = true;
 }
 
-void fc_placement_start_again(fc_placement *placement) {
+void fc_placement_reset_start(fc_placement *placement) {
   placement->start.sent = false;
   placement->start.heartbeat_sequence = 0;
   placement->status = (fc_placement_status){.state = FC_TASK_FETCHING};
--- a/src/bookkeeping/placement.h
+++ b/src/bookkeeping/placement.h
@@ -88,10 +88,10 @@
 bool fc_placement_outlives_worker(const fc_placement *placement);
 /* Marks an unacknowledged direct copy as refused by the worker in its current state, so that
  * another one may be sent. */
-void fc_placement_outdate_copy(fc_placement *placement);
+void fc_placement_mark_copy_outdated(fc_placement *placement);
 /* Resets the start, as the worker does not have the task: the same attempt is to be started there
  * again. */
-void fc_placement_start_again(fc_placement *placement);
+void fc_placement_reset_start(fc_placement *placement);
 /* Removes the placement from its machine and job, and frees it. */
 void fc_placement_remove(fc_placement *placement);
 
--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -27,7 +27,7 @@
   machine->owner = owner;
   machine->reconciled_term = 0; /* the new owner must first fence it and read its task list */
   machine->view.digest = 0;     /* no view has shown it under the new owner */
-  fc_machine_forget_owner(machine, now);
+  fc_machine_reset_owner_state(machine, now);
 }
 
 /* The term before a change, as far as it matters for what remains valid. */
@@ -73,7 +73,7 @@
   machine->view.digest = 0;
   bool is_ours = fc_machine_owned_by_self(cluster, machine);
   machine->reconciled_term = was_reconciled && is_ours ? membership->term.number : 0;
-  if (!was_ours || !is_ours) fc_machine_forget_owner(machine, now);
+  if (!was_ours || !is_ours) fc_machine_reset_owner_state(machine, now);
 }
 
 void fc_cluster_apply_term(fc_cluster *cluster, const fc_term *term, uint64_t version, bool continuous, double now) {
@@ -101,7 +101,7 @@
     if (machine->owner < 0 || strcmp(record->type, type) != 0) continue;
     /* Balance within each zone and kind takes precedence over balance of the whole type. */
     bool same_kind = strcmp(record->zone, zone) == 0 && record->spot == spot;
-    counts[machine->owner] += same_kind ? FC_BALANCE_SAME_KIND : 1;
+    counts[machine->owner] += same_kind ? FC_BALANCE_SAME_KIND_WEIGHT : 1;
   }
   int best = fc_assign_key(term, id);
   for (size_t member = 0; member < term->count; member++)
--- a/src/bookkeeping/shard_ownership.h
+++ b/src/bookkeeping/shard_ownership.h
@@ -18,8 +18,8 @@
 
 /* The member whose shard should get a new machine: the one with the fewest machines of its type,
  * comparing those of its zone and kind first. `expected`, by member (FC_MEMBERS_MAX), holds
- * FC_BALANCE_SAME_KIND for each machine that is already being provisioned for the member. */
-#define FC_BALANCE_SAME_KIND 1000u
+ * FC_BALANCE_SAME_KIND_WEIGHT for each machine that is already being provisioned for the member. */
+#define FC_BALANCE_SAME_KIND_WEIGHT 1000u
 int fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
                               const unsigned *expected);
 
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -121,7 +121,7 @@
   fc_archived_job archived;
   if (fc_archive_lookup_find_dependency(resolver->archive, id, deadline, &archived) != FC_ARCHIVE_FOUND) return false;
   fc_dependency_state state = archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED;
-  fc_dependencies_learn(resolver->cluster, id, state, fc_now());
+  fc_dependencies_apply_state(resolver->cluster, id, state, fc_now());
   fc_wakeups_raise(resolver->wakeups, FC_WAKEUP_SCHEDULE);
   return true;
 }
@@ -165,7 +165,7 @@
 static void record_cancellations(fc_dependency_resolver *resolver) {
   int self = resolver->cluster->membership.self;
   if (self < 0) return;
-  GPtrArray *ids = fc_dependencies_unrecorded(resolver->cluster, self, PASS_MAX);
+  GPtrArray *ids = fc_dependencies_unrecorded_cancellations(resolver->cluster, self, PASS_MAX);
   for (guint i = 0; i < ids->len; i++) record_cancellation(resolver, ids->pdata[i]);
   g_ptr_array_free(ids, TRUE);
 }
--- a/src/controller/kv_watch.c
+++ b/src/controller/kv_watch.c
@@ -102,7 +102,7 @@
     for (guint i = 0; i < all.rows->len; i++) fc_record_applier_apply(watch->applier, all.rows->pdata[i], false);
     fc_record_applier_retain(watch->applier, all.present, all.revision);
     cluster->sync.revision = all.revision;
-    fc_cluster_caught_up(cluster, all.revision);
+    fc_cluster_prune_unread_cancellations(cluster, all.revision);
     cluster->sync.loaded = true;
     g_info("loaded keys=%u revision=%" G_GUINT64_FORMAT, all.rows->len, (guint64)all.revision);
   }
@@ -124,7 +124,7 @@
     if (change->version > sync->revision) fc_record_applier_apply(watch->applier, change, true);
   }
   sync->revision = MAX(sync->revision, revision);
-  fc_cluster_caught_up(watch->cluster, sync->revision);
+  fc_cluster_prune_unread_cancellations(watch->cluster, sync->revision);
   sync->read_at = MAX(sync->read_at, sent_at);
   fc_leadership_read_fresh(watch->leadership, sent_at);
   fc_cond_broadcast(&watch->applied);
--- a/src/controller/machine_registration.c
+++ b/src/controller/machine_registration.c
@@ -108,7 +108,7 @@
   /* Machines whose records are being written count too: of a fleet that reported for the first
    * time, all at once, hundreds went to the member that had the fewest a moment before. */
   unsigned pending[FC_MEMBERS_MAX];
-  for (size_t i = 0; i < FC_MEMBERS_MAX; i++) pending[i] = registration->pending[i] * FC_BALANCE_SAME_KIND;
+  for (size_t i = 0; i < FC_MEMBERS_MAX; i++) pending[i] = registration->pending[i] * FC_BALANCE_SAME_KIND_WEIGHT;
   return fc_cluster_balanced_owner(registration->cluster, heartbeat->machine, heartbeat->type, heartbeat->zone,
                                    heartbeat->spot, pending);
 }
--- a/src/controller/machine_type_catalog.c
+++ b/src/controller/machine_type_catalog.c
@@ -48,7 +48,7 @@
 static void locate_machines(const fc_cluster *cluster) {
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));)
-    if (machine->type < 0) fc_cluster_locate_machine(cluster, machine);
+    if (machine->type < 0) fc_cluster_resolve_type_and_zone(cluster, machine);
 }
 
 void fc_machine_type_catalog_refresh(fc_machine_type_catalog *catalog) {
--- a/src/controller/reconciler.c
+++ b/src/controller/reconciler.c
@@ -43,7 +43,7 @@
     fc_placement *placement = machine->placements->pdata[i];
     if (fc_placement_start_outdated(placement, heartbeat->epoch) ||
         heartbeat->fencing_token > placement->start.direct_token)
-      fc_placement_outdate_copy(placement);
+      fc_placement_mark_copy_outdated(placement);
   }
 }
 
@@ -129,7 +129,7 @@
  * The same attempt is started there again, beside which a copy has no effect. */
 static void end_unlisted(fc_placement *placement) {
   if (fc_placement_outlives_worker(placement)) {
-    fc_placement_start_again(placement);
+    fc_placement_reset_start(placement);
   } else {
     fc_placement_remove(placement);
   }
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -162,7 +162,7 @@
   if (!announced) g_strlcpy(record.endpoint, machine->record.endpoint, sizeof record.endpoint);
   machine->record = record;
   machine->record_version = change->version;
-  fc_cluster_locate_machine(cluster, machine);
+  fc_cluster_resolve_type_and_zone(cluster, machine);
   fc_cluster_assign_machine(cluster, machine, fc_now());
   /* Announced within this term: it has never held anything, for anybody. */
   const fc_membership *membership = &cluster->membership;
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -168,7 +168,7 @@
   const fc_rental_record *rental = &batch->rental->record;
   int balanced_owner =
       fc_cluster_balanced_owner(cluster, id, rental->type, rental->zone, rental->spot, batch->assigned);
-  batch->assigned[balanced_owner] += FC_BALANCE_SAME_KIND;
+  batch->assigned[balanced_owner] += FC_BALANCE_SAME_KIND_WEIGHT;
   /* The owner that the rental names may have left the term. */
   bool owner_in_term = fc_term_find(term, rental->owner) >= 0;
   fc_machine_record record = {.spot = rental->spot};
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -99,8 +99,8 @@
     fc_placement_remove(placement);
     return;
   }
-  fc_placement_outdate_copy(placement);
-  fc_placement_start_again(placement);
+  fc_placement_mark_copy_outdated(placement);
+  fc_placement_reset_start(placement);
 }
 
 static void end_placements(fc_machine *machine) {
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -67,7 +67,7 @@
   const fc_machine *machine = machine_target->machine;
   if (!fc_resources_fit(&machine_target->room, spec)) return false;
   if (only_zone != FC_ANY_ZONE && machine->zone != only_zone) return false;
-  return fc_machine_suits_job(machine, placed->job) && !fc_machine_reserved_from(machine, spec->id, round->now);
+  return fc_machine_suits_job(machine, placed->job) && !fc_machine_reserved_for_other(machine, spec->id, round->now);
 }
 
 static double room_share(const target *machine_target) {
--- a/src/scheduler/victim_selection.c
+++ b/src/scheduler/victim_selection.c
@@ -121,7 +121,7 @@
     if (!fc_zone_spread_allows(&spread, &job->spec, entry->machine->zone) || !fc_machine_suits_job(entry->machine, job))
       continue;
     /* The job may not be placed there either. */
-    if (fc_machine_reserved_from(entry->machine, job->spec.id, query->now)) continue;
+    if (fc_machine_reserved_for_other(entry->machine, job->spec.id, query->now)) continue;
     double cost_s;
     GArray *victims = select_victims(query, entry, &cost_s);
     if (!victims) continue;
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -56,7 +56,7 @@
   machine->record.spot = spot;
   machine->record_version = 2;
   machine->announced = true;
-  fc_cluster_locate_machine(cluster, machine);
+  fc_cluster_resolve_type_and_zone(cluster, machine);
   fc_cluster_assign_machine(cluster, machine, 0);
   machine->reconciled_term = cluster->membership.term.number;
   machine->agent.reported = machine->agent.epoch_shown = true;
--- a/tests/test_cancellation_log.c
+++ b/tests/test_cancellation_log.c
@@ -81,7 +81,7 @@
       break;
     }
     default:
-      fc_cluster_caught_up(cluster, 9);
+      fc_cluster_prune_unread_cancellations(cluster, 9);
       assert_int_equal(g_hash_table_size(cluster->unread_cancellations), 0);
   }
 }
--- a/tests/test_dependencies.c
+++ b/tests/test_dependencies.c
@@ -192,8 +192,9 @@
     check_row(rows[i].name, (fc_job_unknown_dependency(find_job(pipeline, 2)) == NULL) == rows[i].known);
     if (rows[i].source == PEER_CANCELLED) fc_cluster_apply_cancellation(pipeline->cluster, job_id(1), 1000, 3, 4);
     if (rows[i].source == ARCHIVED_CANCELLED)
-      fc_dependencies_learn(pipeline->cluster, job_id(1), FC_DEPENDENCY_CANCELLED, 4);
-    if (rows[i].source == ARCHIVED_DONE) fc_dependencies_learn(pipeline->cluster, job_id(1), FC_DEPENDENCY_DONE, 4);
+      fc_dependencies_apply_state(pipeline->cluster, job_id(1), FC_DEPENDENCY_CANCELLED, 4);
+    if (rows[i].source == ARCHIVED_DONE)
+      fc_dependencies_apply_state(pipeline->cluster, job_id(1), FC_DEPENDENCY_DONE, 4);
     if (rows[i].source == REMOVED)
       fc_cluster_remove_job(pipeline->cluster, fc_cluster_find_job(pipeline->cluster, job_id(1)));
     const fc_job *dependent = find_job(pipeline, 2);
@@ -217,13 +218,13 @@
                FC_PHASE_ACCEPTED); /* written by a member that had not yet read the cancellation */
   assert_int_equal(find_job(pipeline, 2)->phase, FC_PHASE_CANCELLED);
   assert_int_equal(find_job(pipeline, 2)->record.phase, FC_PHASE_ACCEPTED);
-  GPtrArray *ids = fc_dependencies_unrecorded(pipeline->cluster, pipeline->cluster->membership.self, 9);
+  GPtrArray *ids = fc_dependencies_unrecorded_cancellations(pipeline->cluster, pipeline->cluster->membership.self, 9);
   assert_int_equal(ids->len, 2);
   g_ptr_array_free(ids, TRUE);
   assert_true(fc_dependencies_has_dependents(pipeline->cluster, job_id(1))); /* so that it is not archived yet */
   apply_record(pipeline, &k_diamond[1], FC_PHASE_CANCELLED);
   apply_record(pipeline, &k_diamond[2], FC_PHASE_CANCELLED);
-  ids = fc_dependencies_unrecorded(pipeline->cluster, pipeline->cluster->membership.self, 9);
+  ids = fc_dependencies_unrecorded_cancellations(pipeline->cluster, pipeline->cluster->membership.self, 9);
   assert_int_equal(ids->len, 0);
   g_ptr_array_free(ids, TRUE);
   assert_false(fc_dependencies_has_dependents(pipeline->cluster, job_id(1)));
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -224,7 +224,7 @@
   fc_peers_at(bench->peers, 0)->heard_at = -1e9; /* so that the worker is not sent there */
   assert_int_equal(send_heartbeat(bench, 3, 20, 5, RUNNING(0), out), 200);
   machine->owner = 0;
-  fc_machine_forget_owner(machine, fc_now() - 100);
+  fc_machine_reset_owner_state(machine, fc_now() - 100);
   machine->reconciled_term = 4;
   machine->lease.answered_at = fc_now() - 20;
   fc_worker_leases_expire(bench->leases);
