--- a/src/bookkeeping/cluster_machines.h
+++ b/src/bookkeeping/cluster_machines.h
@@ -33,8 +33,8 @@
 /* Resources of an empty machine of the type. */
 fc_resources fc_machine_type_capacity(const fc_machine_type *machine_type);
 /* Resources of the empty machine; far more than any limit if its type is unknown. A controller that
- * has just started knows no types, and must not take machines full of tasks for empty (fault test,
- * seed 686). */
+ * has just started knows no types, and one in that state took machines full of tasks for empty
+ * (fault test, seed 686). */
 fc_resources fc_machine_capacity(const fc_cluster *cluster, const fc_machine *machine);
 
 /* Whether this controller has owned the machine for a while, the machine is up according to its
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -36,8 +36,7 @@
 
 /* Whether messages arrive in both directions. */
 typedef struct fc_machine_reachability {
-  double
-      unidirectional_since; /* since then heartbeats have arrived without evidence that answers do; 0: answers arrive */
+  double unidirectional_since;   /* since when heartbeats arrive without evidence that answers do; 0: answers arrive */
   double peer_bidirectional_at;  /* when another member last renewed the lease with evidence that answers arrive */
   double peer_unidirectional_at; /* when others began to renew it without that evidence, if later */
   bool owner_suspects;           /* the owner, another member, reports that the machine may be lost */
