--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -39,7 +39,7 @@
   return job->spec.deadline_s < 0 ? INFINITY : job->lifecycle.submitted_at + job->spec.deadline_s;
 }
 
-/* Lets the job inherit from a dependent. Returns whether that changed anything. */
+/* Lets the job inherit from a dependent. Returns whether the job changed. */
 static bool inherit_from(fc_job *job, const fc_job *dependent) {
   if (dependent->phase != FC_PHASE_ACCEPTED) return false;
   double due_at = fc_job_latest_start(dependent);
@@ -49,8 +49,8 @@
   return true;
 }
 
-/* Works out anew what a job inherits from all its dependents. Returns whether that changed. */
-static bool inherit_anew(const fc_cluster *cluster, fc_job *job) {
+/* Recomputes what a job inherits from all its dependents. Returns whether that changed. */
+static bool recompute_inherited(const fc_cluster *cluster, fc_job *job) {
   fc_priority old_priority = job->queue.priority;
   double old_due_at = job->queue.due_at;
   job->queue.priority = job->spec.priority;
@@ -60,34 +60,34 @@
   return job->queue.priority != old_priority || job->queue.due_at != old_due_at;
 }
 
-/* NULL: that job has ended, or is not known. */
-static fc_job *open_job(const fc_cluster *cluster, const fc_dependency *dependency) {
+/* NULL: that job has ended or is unknown. */
+static fc_job *find_open_job(const fc_cluster *cluster, const fc_dependency *dependency) {
   return dependency->state == FC_DEPENDENCY_OPEN ? fc_cluster_find_job(cluster, dependency->id) : NULL;
 }
 
-/* Changes what `job` inherits, of which `dependent` asks something or no longer does. Returns
- * whether anything changed. */
+/* Updates what `job` inherits after `dependent`, one of its dependents, changed or was removed.
+ * Returns whether the job changed. */
 typedef bool (*inherit_fn)(const fc_cluster *cluster, fc_job *job, const fc_job *dependent);
 
-static bool raise_one(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
+static bool inherit_from_dependent(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
   (void)cluster;
   return inherit_from(job, dependent);
 }
 
-static bool lower_one(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
+static bool recompute_without_dependent(const fc_cluster *cluster, fc_job *job, const fc_job *dependent) {
   (void)dependent;
-  return inherit_anew(cluster, job);
+  return recompute_inherited(cluster, job);
 }
 
-/* Passes a change on to the jobs that `job` depends on, level by level, as far as it changes
- * anything. Chains may be long: no recursion. */
+/* Propagates a change to the jobs that `job` depends on, transitively, as long as it has an effect.
+ * Iterative, as chains may be long. */
 static void propagate(const fc_cluster *cluster, fc_job *job, inherit_fn inherit) {
   GQueue changed = G_QUEUE_INIT;
   g_queue_push_tail(&changed, job);
   while ((job = g_queue_pop_head(&changed))) {
     const GPtrArray *list = job->dependencies.list;
     for (guint i = 0; list && i < list->len; i++) {
-      fc_job *dependency = open_job(cluster, list->pdata[i]);
+      fc_job *dependency = find_open_job(cluster, list->pdata[i]);
       if (dependency && inherit(cluster, dependency, job)) g_queue_push_tail(&changed, dependency);
     }
   }
@@ -95,9 +95,9 @@
 
 /* ---- readiness and cancellation ---- */
 
-/* All dependencies of the job are done. It is queued now, and where that was seen as a change
- * within the present term no earlier owner can have started anything of it. */
-static void become_ready(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
+/* Queues a job whose dependencies are all done. If this was read as a change within the current
+ * term, no earlier owner can have started any of its tasks. */
+static void enqueue_ready_job(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
   job->queue.entered_at = now;
   job->queue.sequence = cluster->next_queue_sequence++;
   if (!fresh) return;
@@ -105,24 +105,24 @@
   fc_arrival_stats_add(&cluster->arrivals, &job->spec, now);
 }
 
-/* The job is cancelled with one that it depends on. That is as final as the other's record, so
- * it counts from here on; the job's own record follows. */
+/* Cancels a job because of a dependency. This is as final as the record of the dependency, so it
+ * applies immediately; the job's own record is written later. */
 static void cancel_dependent(fc_cluster *cluster, fc_job *job, double now) {
   job->phase = FC_PHASE_CANCELLED;
   if (!job->lifecycle.cancelled_since) job->lifecycle.cancelled_since = now;
   if (!job->lifecycle.ended_at) job->lifecycle.ended_at = now;
   g_hash_table_insert(cluster->dependencies.unrecorded_cancellations, job->spec.id, job);
-  propagate(cluster, job, lower_one);
+  propagate(cluster, job, recompute_without_dependent);
 }
 
-/* Informs the dependents of a job that has ended; those that are cancelled by that are added to
- * `cancelled`. */
+/* Updates the dependents of a job that has ended; those cancelled by it are added to `cancelled`. */
 static void notify_dependents(fc_cluster *cluster, const fc_dependency *dependency, bool fresh, double now,
                               GQueue *cancelled) {
   for (guint i = 0; i < dependency->dependents->len; i++) {
     fc_job *job = dependency->dependents->pdata[i];
     if (dependency->state == FC_DEPENDENCY_DONE) {
-      if (--job->dependencies.unmet == 0 && job->phase == FC_PHASE_ACCEPTED) become_ready(cluster, job, fresh, now);
+      if (--job->dependencies.unmet == 0 && job->phase == FC_PHASE_ACCEPTED)
+        enqueue_ready_job(cluster, job, fresh, now);
     } else if (job->phase == FC_PHASE_ACCEPTED) {
       cancel_dependent(cluster, job, now);
       g_queue_push_tail(cancelled, job);
@@ -130,7 +130,7 @@
   }
 }
 
-/* The next job of the queue that others depend on; NULL: there is none. */
+/* The next job of the queue that others depend on; NULL: none. */
 static fc_dependency *pop_dependency(const fc_cluster *cluster, GQueue *jobs) {
   const fc_job *job;
   while ((job = g_queue_pop_head(jobs))) {
@@ -140,9 +140,9 @@
   return NULL;
 }
 
-/* Notes a job's state as it is known now, and what follows from it for all that depend on it,
- * directly or through others. Chains may be long: no recursion. */
-static void note_state(fc_cluster *cluster, const char *id, fc_dependency_state state, bool fresh, double now) {
+/* Sets a job's state and applies the consequences to all jobs that depend on it, transitively.
+ * Iterative, as chains may be long. */
+static void set_state(fc_cluster *cluster, const char *id, fc_dependency_state state, bool fresh, double now) {
   GQueue cancelled = G_QUEUE_INIT;
   fc_dependency *dependency = find_dependency(cluster, id);
   while (dependency) {
@@ -166,7 +166,7 @@
     cancelled |= dependency->state == FC_DEPENDENCY_CANCELLED;
   }
   if (cancelled && job->phase == FC_PHASE_ACCEPTED) cancel_dependent(cluster, job, now);
-  propagate(cluster, job, raise_one);
+  propagate(cluster, job, inherit_from_dependent);
 }
 
 static void unlink_dependencies(fc_cluster *cluster, fc_job *job) {
@@ -174,7 +174,7 @@
   if (!list) return;
   for (guint i = 0; i < list->len; i++)
     (void)g_ptr_array_remove_fast(((fc_dependency *)list->pdata[i])->dependents, job);
-  propagate(cluster, job, lower_one);
+  propagate(cluster, job, recompute_without_dependent);
   for (guint i = 0; i < list->len; i++) {
     const fc_dependency *dependency = list->pdata[i];
     if (dependency->dependents->len == 0) g_hash_table_remove(cluster->dependencies.by_id, dependency->id);
@@ -194,31 +194,32 @@
 void fc_dependencies_apply(fc_cluster *cluster, fc_job *job, bool fresh, double now) {
   bool was_blocked = job->dependencies.unmet > 0;
   if (job->record.phase != FC_PHASE_ACCEPTED || !job->spec.dependencies) {
-    /* Its own record decides: it has ended, or was written when all dependencies were done. */
+    /* Its own record decides: it has ended, or the record was written after all dependencies were
+     * done. */
     unlink_dependencies(cluster, job);
     g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
-    if (was_blocked && job->phase == FC_PHASE_ACCEPTED) become_ready(cluster, job, fresh, now);
+    if (was_blocked && job->phase == FC_PHASE_ACCEPTED) enqueue_ready_job(cluster, job, fresh, now);
   } else if (!job->dependencies.list) {
     link_dependencies(cluster, job, now);
   } else if (job->phase == FC_PHASE_ACCEPTED && has_cancelled_dependency(job)) {
     cancel_dependent(cluster, job, now);
   }
-  (void)inherit_anew(cluster, job);
-  propagate(cluster, job, raise_one);
-  note_state(cluster, job->spec.id, state_of_job(job), fresh, now);
+  (void)recompute_inherited(cluster, job);
+  propagate(cluster, job, inherit_from_dependent);
+  set_state(cluster, job->spec.id, state_of_job(job), fresh, now);
 }
 
 void fc_dependencies_remove(fc_cluster *cluster, fc_job *job) {
   unlink_dependencies(cluster, job);
   g_hash_table_remove(cluster->dependencies.unrecorded_cancellations, job->spec.id);
-  /* A final state stays known; otherwise its end was missed, and is looked up. */
-  note_state(cluster, job->spec.id, FC_DEPENDENCY_UNKNOWN, false, 0);
+  /* A final state is retained; otherwise the job's end was missed and has to be looked up. */
+  set_state(cluster, job->spec.id, FC_DEPENDENCY_UNKNOWN, false, 0);
 }
 
-void fc_dependencies_learn(fc_cluster *cluster, const char *id, fc_dependency_state state, double now) {
+void fc_dependencies_apply_state(fc_cluster *cluster, const char *id, fc_dependency_state state, double now) {
   fc_job *job = fc_cluster_find_job(cluster, id);
-  if (job && state == FC_DEPENDENCY_CANCELLED) propagate(cluster, job, lower_one);
-  note_state(cluster, id, state, false, now);
+  if (job && state == FC_DEPENDENCY_CANCELLED) propagate(cluster, job, recompute_without_dependent);
+  set_state(cluster, id, state, false, now);
 }
 
 bool fc_dependencies_has_dependents(const fc_cluster *cluster, const char *id) {
@@ -245,7 +246,7 @@
   return ids;
 }
 
-GPtrArray *fc_dependencies_unrecorded(const fc_cluster *cluster, int member, guint max) {
+GPtrArray *fc_dependencies_unrecorded_cancellations(const fc_cluster *cluster, int member, guint max) {
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
   gpointer value;
--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -15,7 +15,7 @@
   }
 }
 
-/* -1: nobody, as the machine has no record. */
+/* -1: none, as the machine has no record. */
 static int owner_by_record(const fc_cluster *cluster, const fc_machine *machine) {
   if (!machine->record_version) return -1;
   return fc_assign_machine(&cluster->membership.term, machine->id, machine->record.owner);
@@ -25,33 +25,33 @@
   int owner = owner_by_record(cluster, machine);
   if (owner == machine->owner) return;
   machine->owner = owner;
-  machine->reconciled_term = 0; /* the new owner has to fence it and read its task list first */
-  machine->view.digest = 0;     /* no view of ours has shown it as the new owner's */
-  fc_machine_forget_owner(machine, now);
+  machine->reconciled_term = 0; /* the new owner must first fence it and read its task list */
+  machine->view.digest = 0;     /* no view has shown it under the new owner */
+  fc_machine_reset_owner_state(machine, now);
 }
 
-/* What stays as it was over a change of term. */
-typedef struct term_change {
-  uint64_t old_number;
-  int old_self;
-  bool continuous;
-} term_change;
+/* The term before a change, as far as it matters for what remains valid. */
+typedef struct previous_term {
+  uint64_t number;
+  int self;
+  bool continuous; /* this process was a member of it in the same incarnation */
+} previous_term;
 
-/* A bit a slice: it belonged to us in the term before. */
-static unsigned slices_owned_before(const fc_job *job, const term_change *change) {
+/* Slices that belonged to this controller in the previous term, one bit for each. */
+static unsigned slices_owned_before(const fc_job *job, const previous_term *previous) {
   unsigned owned = 0;
-  if (change->old_self < 0) return 0;
+  if (previous->self < 0) return 0;
   for (unsigned i = 0; i < job->slices.count; i++)
-    owned |= (unsigned)(fc_job_slice_owner(job, i) == change->old_self) << i;
+    owned |= (unsigned)(fc_job_slice_owner(job, i) == previous->self) << i;
   return owned;
 }
 
-/* Slices that stay ours through the change are known as well as before. In a term that we have
- * missed the slice may have been assigned to another and back. */
-static void reassign_job(const fc_cluster *cluster, fc_job *job, const term_change *change) {
+/* Slices that this controller owns before and after the change remain resolved. If it has missed a
+ * term, a slice may have been assigned to another member and back. */
+static void reassign_job(const fc_cluster *cluster, fc_job *job, const previous_term *previous) {
   const fc_membership *membership = &cluster->membership;
-  unsigned owned_before = slices_owned_before(job, change);
-  bool next_term = change->continuous && membership->term.number == change->old_number + 1 && membership->self >= 0;
+  unsigned owned_before = slices_owned_before(job, previous);
+  bool next_term = previous->continuous && membership->term.number == previous->number + 1 && membership->self >= 0;
   fc_cluster_assign_slices(cluster, job);
   for (unsigned i = 0; i < job->slices.count; i++) {
     bool stays = next_term && (owned_before >> i & 1) && fc_job_slice_owner(job, i) == membership->self;
@@ -59,34 +59,35 @@
   }
 }
 
-/* A machine that stays with the process that has reconciled it needs no new fence: nobody else
- * could command it in between. Its owner must be recorded: one that is assigned by hashing may
- * have changed and changed back. One that has not been reconciled yet has been silent for as
- * long as before. */
-static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const term_change *change, double now) {
+/* A machine that stays with the process that has reconciled it needs no new fence, as no other
+ * member could command it in between. This requires a recorded owner: an owner assigned by hashing
+ * may have changed and changed back. For a machine not reconciled yet, the time of silence
+ * continues to count. */
+static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const previous_term *previous,
+                             double now) {
   const fc_membership *membership = &cluster->membership;
-  bool was_ours = change->continuous && machine->owner == change->old_self && change->old_self >= 0 &&
+  bool was_ours = previous->continuous && machine->owner == previous->self && previous->self >= 0 &&
                   membership->self >= 0 && strcmp(machine->record.owner, cluster->settings->name) == 0;
-  bool was_reconciled = was_ours && machine->reconciled_term == change->old_number;
+  bool was_reconciled = was_ours && machine->reconciled_term == previous->number;
   machine->owner = owner_by_record(cluster, machine);
   machine->view.digest = 0;
   bool is_ours = fc_machine_owned_by_self(cluster, machine);
   machine->reconciled_term = was_reconciled && is_ours ? membership->term.number : 0;
-  if (!was_ours || !is_ours) fc_machine_forget_owner(machine, now);
+  if (!was_ours || !is_ours) fc_machine_reset_owner_state(machine, now);
 }
 
 void fc_cluster_apply_term(fc_cluster *cluster, const fc_term *term, uint64_t version, bool continuous, double now) {
   fc_membership *membership = &cluster->membership;
-  const term_change change = {
-      .old_number = membership->term.number, .old_self = membership->self, .continuous = continuous};
+  const previous_term previous = {
+      .number = membership->term.number, .self = membership->self, .continuous = continuous};
   membership->term = *term;
   membership->term_version = version;
   membership->self = fc_term_find(term, cluster->settings->name);
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
-  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) reassign_job(cluster, job, &change);
+  for (fc_job *job; (job = fc_job_iter_next(&job_iter));) reassign_job(cluster, job, &previous);
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));)
-    reassign_machine(cluster, machine, &change, now);
+    reassign_machine(cluster, machine, &previous, now);
 }
 
 int fc_cluster_balanced_owner(const fc_cluster *cluster, const char *id, const char *type, const char *zone, bool spot,
@@ -98,9 +99,9 @@
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     const fc_machine_record *record = &machine->record;
     if (machine->owner < 0 || strcmp(record->type, type) != 0) continue;
-    /* Even for each zone and kind first, over all of them next. */
+    /* Balance within each zone and kind takes precedence over balance of the whole type. */
     bool same_kind = strcmp(record->zone, zone) == 0 && record->spot == spot;
-    counts[machine->owner] += same_kind ? FC_BALANCE_SAME_KIND : 1;
+    counts[machine->owner] += same_kind ? FC_BALANCE_SAME_KIND_WEIGHT : 1;
   }
   int best = fc_assign_key(term, id);
   for (size_t member = 0; member < term->count; member++)
--- a/src/controller/machine_registration.c
+++ b/src/controller/machine_registration.c
@@ -110,7 +110,7 @@
   /* Records that are still being written count too: without them, when a whole fleet sent its first
    * heartbeats at once, hundreds of machines went to the member that had the fewest just before. */
   unsigned pending[FC_MEMBERS_MAX];
-  for (size_t i = 0; i < FC_MEMBERS_MAX; i++) pending[i] = registration->pending[i] * FC_BALANCE_SAME_KIND;
+  for (size_t i = 0; i < FC_MEMBERS_MAX; i++) pending[i] = registration->pending[i] * FC_BALANCE_SAME_KIND_WEIGHT;
   return fc_cluster_balanced_owner(registration->cluster, heartbeat->machine, heartbeat->type, heartbeat->zone,
                                    heartbeat->spot, pending);
 }
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -67,7 +67,7 @@
   const fc_machine *machine = machine_target->machine;
   if (!fc_resources_fit(&machine_target->room, spec)) return false;
   if (only_zone != FC_ANY_ZONE && machine->zone != only_zone) return false;
-  return fc_machine_suits_job(machine, placed->job) && !fc_machine_reserved_from(machine, spec->id, round->now);
+  return fc_machine_suits_job(machine, placed->job) && !fc_machine_reserved_for_other(machine, spec->id, round->now);
 }
 
 /* The free share of the machine's GPUs plus that of its CPUs. */
