--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -4,10 +4,9 @@
 #include "controller/http_answers.h"
 #include "scheduler/slice_assignment.h"
 
-/* Sums of decimal amounts are this exact. */
-#define ROUNDING 1e-6
+#define ROUNDING 1e-6 /* tolerance for rounding errors when amounts of CPUs or GPUs are compared */
 
-/* A submission is refused when it could not be written within this time. */
+/* A submission is refused when the write queue would delay it by more than this. */
 #define QUEUE_TIME_MAX_S 1.0
 
 #define ERROR_SIZE 200
@@ -21,15 +20,15 @@
   fc_description_store *descriptions;
 };
 
-/* A submission on its way into the key-value store. */
+/* A submission that is being checked and stored. */
 typedef struct submission {
   const fc_job_spec *spec;
   double deadline;          /* steady time */
-  char **open;              /* dependencies that are not done yet; NULL: none */
-  fc_job_phase phase;       /* in which it is accepted */
-  json_t *record;           /* the value of its record */
-  fc_description_ref parts; /* of its description, if that is stored apart */
-  uint64_t first_part;      /* the version of the first of them */
+  char **open;              /* dependencies that are not done yet, NULL-terminated; NULL: none */
+  fc_job_phase phase;       /* initial phase of the job */
+  json_t *record;           /* encoded job record */
+  fc_description_ref parts; /* of its description, if that is stored separately from the record */
+  uint64_t first_part;      /* version of the first part */
 } submission;
 
 fc_admission *fc_admission_new(fc_cluster *cluster, fc_group_commit *commit, fc_peers *peers, fc_job_lookup *lookup,
@@ -57,7 +56,7 @@
   fc_job_lookup_refuse_unless_known(admission->lookup, response, id, false, 400, error, deadline);
 }
 
-/* Does the team's limit allow the job: of an array one task, otherwise all of them? */
+/* Whether the team's limit admits the job: one task of an array, all tasks of any other job. */
 static bool limit_allows(const fc_team_settings *team, const fc_job_spec *spec) {
   double tasks = spec->kind == FC_JOB_ARRAY ? 1 : spec->tasks;
   bool cpus = team->cpus_max <= 0 || spec->cpus * tasks <= team->cpus_max + ROUNDING;
@@ -73,7 +72,7 @@
   return false;
 }
 
-/* Why the job can never run; NULL: it can. */
+/* Returns why the job can never run; NULL if it can. */
 static const char *never_runs_because(const fc_cluster *cluster, const fc_job_spec *spec) {
   int team = fc_settings_team(cluster->settings, spec->team);
   if (team < 0) return "unknown team";
@@ -83,9 +82,9 @@
   return "a task fits no allowed machine type";
 }
 
-/* ---- checks; each returns false when it has answered ---- */
+/* ---- checks; each returns false after it has sent the response ---- */
 
-/* Can the job be accepted now? */
+/* Checks the cluster state, the job's requirements and the write queue. */
 static bool check_acceptable(fc_admission *admission, fc_http_response *response, const submission *submitted) {
   const fc_cluster *cluster = admission->cluster;
   if (!fc_cluster_store_reachable(cluster, fc_now())) {
@@ -102,7 +101,7 @@
                                       submitted->deadline);
     return false;
   }
-  /* A controller that lags behind takes longer than the rate says. */
+  /* A lagging event loop adds to the delay that the write rate predicts. */
   if (!fc_group_commit_accepts(admission->commit, FC_WRITE_PRIORITY_SUBMISSION, QUEUE_TIME_MAX_S - fc_loop_lag())) {
     fc_http_answer_retry(response, 429, "more submissions than can be written");
     return false;
@@ -110,7 +109,7 @@
   return true;
 }
 
-/* May the jobs that it depends on be named, and can it be stored? */
+/* Checks the dependencies, and that every member can read a record with open ones. */
 static bool check_dependencies(fc_admission *admission, fc_http_response *response, submission *submitted) {
   switch (fc_dependency_resolver_admit(admission->resolver, submitted->spec->dependencies, submitted->deadline,
                                        &submitted->open)) {
@@ -133,7 +132,7 @@
 
 /* ---- storing ---- */
 
-/* The record of a new job without its description, with its slices assigned to members. */
+/* Builds the record of a new job with its slices assigned to members; the spec is still missing. */
 static fc_job_record new_record(fc_admission *admission, const submission *submitted) {
   const fc_cluster *cluster = admission->cluster;
   const fc_term *term = &cluster->membership.term;
@@ -148,14 +147,14 @@
   return record;
 }
 
-/* What is left of a value is for completed tasks and handovers. */
+/* A quarter of the value is reserved for completed tasks and handovers, which are added later. */
 static bool fits_a_value(const fc_admission *admission, const json_t *record) {
   size_t max_bytes = fc_settings_value_bytes(admission->cluster->settings) / 4 * 3;
   return json_dumpb(record, NULL, 0, JSON_COMPACT) <= max_bytes;
 }
 
-/* Makes the value of the record, and writes the description first where it is too long to be part
- * of it. False: that has been answered. */
+/* Encodes the record; a description that is too long for it is written separately first. Returns false after it has
+ * sent an error response. */
 static bool make_record(fc_admission *admission, fc_http_response *response, submission *submitted) {
   fc_job_record record = new_record(admission, submitted);
   record.spec = *submitted->spec;
@@ -168,8 +167,8 @@
     fc_http_answer_retry(response, 503, "another controller can't read so long a description yet");
     return false;
   }
-  /* With all dependencies that it names, also those that are done: a retry goes on with the same
-   * text. */
+  /* The description names all dependencies, also those that are done, so that a retry produces the same text and
+   * resumes where this attempt stopped. */
   fc_kv_result result = fc_description_store_write(admission->descriptions, submitted->spec, submitted->deadline,
                                                    &submitted->parts, &submitted->first_part);
   if (result != FC_KV_OK || !submitted->first_part) {
@@ -181,7 +180,7 @@
   return true;
 }
 
-/* The write of the record, on condition that there is no job of this id, nor an archived one. */
+/* Writes the record on condition that no job of this id exists, archived or not. */
 static fc_write *record_write(submission *submitted) {
   fc_write *write = fc_write_new();
   char *key = g_strconcat(FC_PREFIX_JOB, submitted->spec->id, NULL);
@@ -208,7 +207,7 @@
   fc_job_answer(response->body, spec->id, status, 0, 0, false);
 }
 
-/* Writes the record and answers. */
+/* Writes the record and sends the response. */
 static void store_job(fc_admission *admission, fc_http_response *response, submission *submitted) {
   const char *id = submitted->spec->id;
   uint64_t revision = 0;
@@ -218,20 +217,20 @@
     answer_accepted(admission, response, submitted);
     return;
   }
-  if (result == FC_KV_CONFLICT && fc_job_lookup_prove_current(admission->lookup, id, submitted->deadline) &&
+  if (result == FC_KV_CONFLICT && fc_job_lookup_wait_current(admission->lookup, id, submitted->deadline) &&
       fc_job_lookup_answer_if_known(admission->lookup, response, id, false))
     return;
   fc_http_answer_retry(response, 503, "not written; ask again");
 }
 
-/* Answers a retry of a submission that the cluster state holds with the job's present state. False:
- * the job is not known. */
+/* If the job is in the cluster state the submission is a retry: answers it with the job's current state. Returns false
+ * if the job is not known. */
 static bool answered_as_known(fc_admission *admission, fc_http_response *response, const submission *submitted) {
   const char *id = submitted->spec->id;
   const fc_job *job = fc_job_lookup_known(admission->lookup, id);
   if (job && !fc_job_has_ended(job)) {
-    /* Where that is hopeless a retry is not held until its user gives up either. */
-    if (!fc_job_lookup_prove_current(admission->lookup, id, submitted->deadline)) {
+    /* Fails at once while the store is unreachable, instead of holding the request until the client times out. */
+    if (!fc_job_lookup_wait_current(admission->lookup, id, submitted->deadline)) {
       fc_http_answer_retry(response, 503, "the state service can't be reached");
       return true;
     }
--- a/src/controller/admission.h
+++ b/src/controller/admission.h
@@ -1,5 +1,5 @@
-/* Admission of submissions: checks a job, stores it, and answers its user. A retry of a submission
- * is idempotent: it is answered with the job's present state. */
+/* Admission of submitted jobs: checks a job, stores it and answers the client. Submissions are idempotent: a retry is
+ * answered with the job's current state. */
 #ifndef FC_CONTROLLER_ADMISSION_H
 #define FC_CONTROLLER_ADMISSION_H
 
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -5,7 +5,7 @@
 
 #define PAUSE_HEARTBEATS 0.25 /* between two passes */
 #define LOOKUP_TIMEOUT_HEARTBEATS 0.5
-#define PASS_MAX 16u /* jobs of either kind in one pass */
+#define PASS_MAX 16u /* look-ups in one pass, and cancellations likewise */
 
 struct fc_dependency_resolver {
   fc_cluster *cluster;
@@ -33,17 +33,17 @@
 
 /* ---- admission ---- */
 
-/* What one dependency means for a submission that names it. */
+/* State of one dependency, as it matters for the admission of a job. */
 typedef enum {
   DEPENDENCY_OPEN,
   DEPENDENCY_DONE,
   DEPENDENCY_CANCELLED,
-  DEPENDENCY_REFUSED,
-  DEPENDENCY_ABSENT, /* not in the cluster state */
-  DEPENDENCY_UNAVAILABLE,
-} dependency_verdict;
+  DEPENDENCY_REFUSED,     /* never accepted, or a service */
+  DEPENDENCY_ABSENT,      /* not in the cluster state */
+  DEPENDENCY_UNAVAILABLE, /* can't be determined now */
+} dependency_status;
 
-static dependency_verdict judge_known(const fc_cluster *cluster, const char *id) {
+static dependency_status status_in_cluster(const fc_cluster *cluster, const char *id) {
   const fc_job *job = fc_cluster_find_job(cluster, id);
   if (!job) return DEPENDENCY_ABSENT;
   if (job->spec.kind == FC_JOB_SERVICE) return DEPENDENCY_REFUSED;
@@ -51,38 +51,40 @@
   return job->phase == FC_PHASE_DONE ? DEPENDENCY_DONE : DEPENDENCY_CANCELLED;
 }
 
-static dependency_verdict judge_archived(fc_dependency_resolver *resolver, const char *id, double deadline) {
+static dependency_status status_in_archive(fc_dependency_resolver *resolver, const char *id, double deadline) {
   fc_archived_job archived;
   switch (fc_archive_lookup_find_dependency(resolver->archive, id, deadline, &archived)) {
     case FC_ARCHIVE_FOUND:
       return archived.done ? DEPENDENCY_DONE : DEPENDENCY_CANCELLED;
     case FC_ARCHIVE_MISSING:
-      /* It may have been archived between the two looks. */
-      return judge_known(resolver->cluster, id) == DEPENDENCY_ABSENT ? DEPENDENCY_REFUSED : DEPENDENCY_UNAVAILABLE;
+      /* It may have been archived between the two look-ups. */
+      return status_in_cluster(resolver->cluster, id) == DEPENDENCY_ABSENT ? DEPENDENCY_REFUSED
+                                                                           : DEPENDENCY_UNAVAILABLE;
     default:
       return DEPENDENCY_UNAVAILABLE;
   }
 }
 
-/* *fresh: the cluster state was proved current since the submission came. */
-static dependency_verdict judge(fc_dependency_resolver *resolver, const char *id, double deadline, bool *fresh) {
+/* *fresh: whether a read that began after the submission arrived has been applied; updated here. */
+static dependency_status look_up_status(fc_dependency_resolver *resolver, const char *id, double deadline,
+                                        bool *fresh) {
   const fc_cluster *cluster = resolver->cluster;
-  dependency_verdict verdict = cluster->sync.loaded ? judge_known(cluster, id) : DEPENDENCY_ABSENT;
-  if (verdict == DEPENDENCY_ABSENT && !*fresh) {
+  dependency_status status = cluster->sync.loaded ? status_in_cluster(cluster, id) : DEPENDENCY_ABSENT;
+  if (status == DEPENDENCY_ABSENT && !*fresh) {
     if (!fc_kv_watch_wait_fresh(resolver->watch, deadline)) return DEPENDENCY_UNAVAILABLE;
     *fresh = true;
-    verdict = judge_known(cluster, id);
+    status = status_in_cluster(cluster, id);
   }
-  return verdict == DEPENDENCY_ABSENT ? judge_archived(resolver, id, deadline) : verdict;
+  return status == DEPENDENCY_ABSENT ? status_in_archive(resolver, id, deadline) : status;
 }
 
-/* Judges each; those that are not done yet are added to `open`. */
-static fc_dependency_verdict judge_all(fc_dependency_resolver *resolver, char *const *ids, double deadline,
+/* Checks all dependencies, and adds the ids of those that are not done yet to `open`. */
+static fc_dependency_verdict check_all(fc_dependency_resolver *resolver, char *const *ids, double deadline,
                                        GPtrArray *open) {
   fc_dependency_verdict verdict = FC_DEPENDENCIES_ADMITTED;
   bool fresh = false;
   for (char *const *id = ids; *id; id++) {
-    switch (judge(resolver, *id, deadline, &fresh)) {
+    switch (look_up_status(resolver, *id, deadline, &fresh)) {
       case DEPENDENCY_OPEN:
         g_ptr_array_add(open, g_strdup(*id));
         break;
@@ -105,7 +107,7 @@
   *open = NULL;
   if (!ids) return FC_DEPENDENCIES_ADMITTED;
   GPtrArray *open_ids = g_ptr_array_new_with_free_func(g_free);
-  fc_dependency_verdict verdict = judge_all(resolver, ids, deadline, open_ids);
+  fc_dependency_verdict verdict = check_all(resolver, ids, deadline, open_ids);
   if (verdict == FC_DEPENDENCIES_ADMITTED && open_ids->len > 0) {
     g_ptr_array_add(open_ids, NULL);
     *open = (char **)g_ptr_array_steal(open_ids, NULL);
@@ -116,8 +118,8 @@
 
 /* ---- resolving ---- */
 
-/* False: the key-value store can't say now. */
-static bool look_up(fc_dependency_resolver *resolver, const char *id, double deadline) {
+/* Looks the dependency up in the archive. Returns false if it was not found there, or the archive can't be read. */
+static bool learn_archived(fc_dependency_resolver *resolver, const char *id, double deadline) {
   fc_archived_job archived;
   if (fc_archive_lookup_find_dependency(resolver->archive, id, deadline, &archived) != FC_ARCHIVE_FOUND) return false;
   fc_dependency_state state = archived.done ? FC_DEPENDENCY_DONE : FC_DEPENDENCY_CANCELLED;
@@ -131,8 +133,8 @@
     const fc_job *job = fc_cluster_find_job(resolver->cluster, id);
     const char *unknown = job && job->phase == FC_PHASE_ACCEPTED ? fc_job_unknown_dependency(job) : NULL;
     if (!unknown) return true;
-    char *dependency = g_strdup(unknown); /* the job's may be freed during the look-up */
-    bool known = look_up(resolver, dependency, deadline);
+    char *dependency = g_strdup(unknown); /* the job, which owns the string, may be freed during the look-up */
+    bool known = learn_archived(resolver, dependency, deadline);
     g_free(dependency);
     if (!known) return false;
   }
@@ -140,7 +142,7 @@
 
 /* ---- the routine ---- */
 
-/* Writes into the job's own record what follows from another's. */
+/* Writes to the job's own record that it is cancelled, which so far only follows from a dependency's record. */
 static void record_cancellation(fc_dependency_resolver *resolver, const char *id) {
   const fc_job *job = fc_cluster_find_job(resolver->cluster, id);
   if (!job || job->record.phase != FC_PHASE_ACCEPTED || job->phase != FC_PHASE_CANCELLED) return;
@@ -158,7 +160,7 @@
 static void look_up_unknown(fc_dependency_resolver *resolver) {
   GPtrArray *ids = fc_dependencies_unknown(resolver->cluster, PASS_MAX);
   double timeout_s = resolver->cluster->settings->heartbeat_s * LOOKUP_TIMEOUT_HEARTBEATS;
-  for (guint i = 0; i < ids->len; i++) (void)look_up(resolver, ids->pdata[i], fc_now() + timeout_s);
+  for (guint i = 0; i < ids->len; i++) (void)learn_archived(resolver, ids->pdata[i], fc_now() + timeout_s);
   g_ptr_array_free(ids, TRUE);
 }
 
--- a/src/controller/description_cleanup.c
+++ b/src/controller/description_cleanup.c
@@ -6,8 +6,8 @@
 
 #define PAUSE_ROUNDS 2.5 /* between two passes, in scheduling rounds */
 
-/* Users retry a submission for up to a minute, and its parts are of use as long. */
-#define KEEP_S 120.0
+/* Clients retry a submission for up to a minute, and a retry reuses the parts already written. */
+#define RETENTION_S 120.0
 
 struct fc_description_cleanup {
   fc_cluster *cluster;
@@ -17,18 +17,18 @@
   fc_metrics *metrics;
 };
 
-/* A description that no record needs. */
-typedef struct leftover {
+/* A stored description that no job record refers to. */
+typedef struct unused_description {
   char job[32];
   char digest[FC_JOB_DIGEST_SIZE];
   unsigned count; /* of its parts */
-} leftover;
+} unused_description;
 
-typedef struct leftover_search {
+typedef struct unused_search {
   const fc_cluster *cluster;
-  GArray *found; /* leftover */
+  GArray *found; /* unused_description */
   double first_seen_before;
-} leftover_search;
+} unused_search;
 
 fc_description_cleanup *fc_description_cleanup_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                                    const fc_leadership *leadership, fc_metrics *metrics) {
@@ -44,20 +44,20 @@
   return job->record.description.count > 0 && strcmp(job->record.description.digest, entry->digest) == 0;
 }
 
-static void add_if_leftover(const fc_description_entry *entry, void *arg) {
-  leftover_search *search = arg;
+static void add_if_unused(const fc_description_entry *entry, void *arg) {
+  unused_search *search = arg;
   const fc_cluster *cluster = search->cluster;
   if (entry->first_seen > search->first_seen_before || is_needed(cluster, entry)) return;
   if (fc_assign_key(&cluster->membership.term, entry->job) != cluster->membership.self) return;
-  leftover found = {.count = entry->count};
+  unused_description found = {.count = entry->count};
   g_strlcpy(found.job, entry->job, sizeof found.job);
   g_strlcpy(found.digest, entry->digest, sizeof found.digest);
   g_array_append_val(search->found, found);
 }
 
-/* Adds the removal of parts from number `first` on, `max` at the most; returns how many. */
-static unsigned add_removals(const fc_description_cleanup *cleanup, const leftover *description, unsigned first,
-                             unsigned max, fc_write *write) {
+/* Adds deletions of at most `max` parts, from part `first` on, to the write. Returns how many. */
+static unsigned add_removals(const fc_description_cleanup *cleanup, const unused_description *description,
+                             unsigned first, unsigned max, fc_write *write) {
   unsigned removals = 0;
   for (unsigned i = first; i < description->count && removals < max; i++) {
     uint64_t version =
@@ -72,9 +72,10 @@
   return removals;
 }
 
-/* Removes parts from number `first` on, unless the job's record changes meanwhile. False: none were
- * left, or not now. */
-static bool remove_parts(fc_description_cleanup *cleanup, const leftover *description, unsigned first, unsigned max) {
+/* Removes at most `max` parts, from part `first` on, unless the job's record changes meanwhile. Returns false if none
+ * were left or the removal was not confirmed. */
+static bool remove_parts(fc_description_cleanup *cleanup, const unused_description *description, unsigned first,
+                         unsigned max) {
   const fc_settings *settings = cleanup->cluster->settings;
   const fc_job *job = fc_cluster_find_job(cleanup->cluster, description->job);
   char *record_key = g_strconcat(FC_PREFIX_JOB, description->job, NULL);
@@ -91,9 +92,9 @@
          fc_kv_watch_wait_revision(cleanup->watch, revision, fc_now() + settings->heartbeat_s);
 }
 
-/* The first part goes first and alone: a record is conditional on it, so that none can be written
- * any more when the others go. */
-static void remove_description(fc_description_cleanup *cleanup, const leftover *description) {
+/* Removes the first part in a transaction of its own: a record is conditional on it, so none can be written any more
+ * when the other parts are removed. */
+static void remove_description(fc_description_cleanup *cleanup, const unused_description *description) {
   bool first_gone =
       !fc_description_parts_version(cleanup->cluster->descriptions, description->job, description->digest, 0) ||
       remove_parts(cleanup, description, 0, 1);
@@ -103,11 +104,12 @@
 }
 
 static void run_pass(fc_description_cleanup *cleanup) {
-  leftover_search search = {.cluster = cleanup->cluster,
-                            .found = g_array_new(FALSE, FALSE, sizeof(leftover)),
-                            .first_seen_before = fc_now() - KEEP_S};
-  fc_description_parts_foreach(cleanup->cluster->descriptions, add_if_leftover, &search);
-  for (guint i = 0; i < search.found->len; i++) remove_description(cleanup, &g_array_index(search.found, leftover, i));
+  unused_search search = {.cluster = cleanup->cluster,
+                          .found = g_array_new(FALSE, FALSE, sizeof(unused_description)),
+                          .first_seen_before = fc_now() - RETENTION_S};
+  fc_description_parts_foreach(cleanup->cluster->descriptions, add_if_unused, &search);
+  for (guint i = 0; i < search.found->len; i++)
+    remove_description(cleanup, &g_array_index(search.found, unused_description, i));
   g_array_free(search.found, TRUE);
 }
 
--- a/src/controller/description_cleanup.h
+++ b/src/controller/description_cleanup.h
@@ -1,5 +1,5 @@
-/* Removes parts of job descriptions that no record needs: the job has been archived, or was never
- * accepted. */
+/* Garbage collection of stored job descriptions that no record refers to, because the job has been archived or was
+ * never accepted. */
 #ifndef FC_CONTROLLER_DESCRIPTION_CLEANUP_H
 #define FC_CONTROLLER_DESCRIPTION_CLEANUP_H
 
@@ -11,7 +11,7 @@
 /* The arguments have to outlive it, and it lives as long as its routine. */
 fc_description_cleanup *fc_description_cleanup_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                                    const fc_leadership *leadership, fc_metrics *metrics);
-/* Starts its routine; false: out of memory. */
+/* Starts its routine. Returns false when out of memory. */
 bool fc_description_cleanup_start(fc_description_cleanup *cleanup);
 
 #endif
--- a/src/controller/description_store.c
+++ b/src/controller/description_store.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Bytes of parts in one transaction: half of what its body may have. */
+/* Parts are added to a transaction up to this size, half of the limit on its body. */
 #define TXN_BYTES_MAX ((size_t)32 * 1024)
 
 struct fc_description_store {
@@ -17,7 +17,7 @@
   return store;
 }
 
-/* The next transaction with parts that are not there; NULL: all are. */
+/* Builds a transaction with the next parts that are missing in the store; NULL if none is. */
 static fc_write *next_parts(const fc_description_store *store, const char *job, const GPtrArray *texts,
                             const fc_description_ref *ref) {
   fc_write *write = NULL;
@@ -46,7 +46,7 @@
     uint64_t revision = 0;
     result = fc_group_commit_write(store->commit, write, FC_WRITE_PRIORITY_SUBMISSION, deadline, &revision);
     if (result == FC_KV_OK && !fc_kv_watch_wait_revision(store->watch, revision, deadline)) result = FC_KV_UNKNOWN;
-    /* Another controller writes the same parts, or a write of ours was executed late. */
+    /* Another controller has written the same parts, or an earlier write of this one was executed late. */
     if (result == FC_KV_CONFLICT && fc_kv_watch_wait_fresh(store->watch, deadline)) result = FC_KV_OK;
   }
   *first_version = fc_description_parts_version(store->cluster->descriptions, spec->id, ref->digest, 0);
--- a/src/controller/job_lookup.c
+++ b/src/controller/job_lookup.c
@@ -26,7 +26,7 @@
   return lookup->cluster->sync.loaded ? fc_cluster_find_job(lookup->cluster, id) : NULL;
 }
 
-bool fc_job_lookup_prove_current(fc_job_lookup *lookup, const char *id, double deadline) {
+bool fc_job_lookup_wait_current(fc_job_lookup *lookup, const char *id, double deadline) {
   return fc_cluster_store_reachable(lookup->cluster, fc_now()) && fc_kv_watch_wait_fresh(lookup->watch, deadline) &&
          fc_dependency_resolver_resolve(lookup->resolver, id, deadline);
 }
@@ -45,7 +45,7 @@
 }
 
 static bool answer_if_archived(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts) {
-  /* The job is there, and can't be read before more of its description is. */
+  /* The job exists, but its record can't be applied before the rest of its description has been read. */
   if (g_hash_table_contains(lookup->cluster->incomplete_jobs, id)) {
     fc_http_answer_retry(response, 503, "can't be read now");
     return true;
@@ -73,7 +73,7 @@
 
 void fc_job_lookup_refuse_unless_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts,
                                        int status, const char *error, double deadline) {
-  if (!fc_job_lookup_prove_current(lookup, id, deadline)) {
+  if (!fc_job_lookup_wait_current(lookup, id, deadline)) {
     fc_http_answer_retry(response, 503, "the state service can't be reached");
   } else if (!fc_job_lookup_answer_if_known(lookup, response, id, counts)) {
     fc_http_answer_error(response, status, error);
--- a/src/controller/job_queries.c
+++ b/src/controller/job_queries.c
@@ -31,7 +31,7 @@
     fc_http_answer_error(response, 404, "no such job");
     return;
   }
-  /* What may still change has to be proved current. */
+  /* A state that may still change has to be current. */
   double deadline = fc_now() + queries->cluster->settings->heartbeat_s * POLL_TIMEOUT_HEARTBEATS;
   fc_job_lookup_refuse_unless_known(queries->lookup, response, id, true, 404, "no such job", deadline);
 }
@@ -42,7 +42,7 @@
   CANCEL_FAILED,
 } cancel_result;
 
-/* Writes the cancellation of a job that the cluster state holds. */
+/* Writes the cancellation of a job in the cluster state. */
 static cancel_result write_cancellation(fc_job_queries *queries, const fc_job *job, double deadline,
                                         fc_http_response *response) {
   char *id = g_strdup(job->spec.id); /* the job may be freed during the write */
@@ -54,8 +54,8 @@
   fc_kv_result result = fc_group_commit_write(queries->commit, write, FC_WRITE_PRIORITY_HEARTBEAT, deadline, &revision);
   if (result == FC_KV_CONFLICT) outcome = CANCEL_CONFLICT;
   if (result != FC_KV_OK) goto out;
-  /* Before we read of it: the key-value store may be out of reach from here on, and we would go on
-   * with the job, and start more of it, for as long. */
+  /* Takes effect without waiting until the watch reads the record: if the key-value store became unreachable now, more
+   * tasks of the job would be started until it is back. */
   fc_cancellations_learned(queries->cancellations, id, revision, fc_now());
   response->status = 200;
   fc_job_answer(response->body, id, FC_STATUS_CANCELLED, 0, 0, false);
@@ -65,7 +65,7 @@
   return outcome;
 }
 
-/* One attempt; each needs a fresh read. */
+/* Makes one attempt, after a fresh read. */
 static cancel_result try_cancel(fc_job_queries *queries, const char *id, double deadline, fc_http_response *response) {
   const fc_job *job = fc_job_lookup_known(queries->lookup, id);
   bool ended = job && fc_job_has_ended(job);
--- a/src/controller/job_queries.h
+++ b/src/controller/job_queries.h
@@ -1,4 +1,4 @@
-/* Users' questions about jobs, and their cancellations. */
+/* Client requests about existing jobs: status polls and cancellations. */
 #ifndef FC_CONTROLLER_JOB_QUERIES_H
 #define FC_CONTROLLER_JOB_QUERIES_H
 
@@ -10,7 +10,7 @@
 fc_job_queries *fc_job_queries_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                    fc_cancellations *cancellations, fc_job_lookup *lookup);
 
-/* Each serves one request; `id` as it stands in the path. May suspend the calling routine. */
+/* Each serves one request; `id` is taken from the path, unchecked. May suspend the calling routine. */
 void fc_job_queries_poll(fc_job_queries *queries, const char *id, fc_http_response *response);
 void fc_job_queries_cancel(fc_job_queries *queries, const char *id, fc_http_response *response);
 
