--- a/src/controller/quota_plan.c
+++ b/src/controller/quota_plan.c
@@ -6,14 +6,14 @@
 #include "bookkeeping/quota_usage.h"
 #include "scheduler/team_quota.h"
 
-#define MIN_CHANGE 1e-6 /* shares that differ by less are equal but for rounding */
+#define MIN_CHANGE 1e-6 /* smaller differences of shares are rounding errors */
 
 /* ---- the first shares of a term ---- */
 
-/* The shares of the term before stay valid where its members are the same: every machine is still
- * owned by the same name, and what runs on a name's machines, known or not, is within its share.
- * Nobody has to be waited for: a new division takes a task list from every machine, and a partition
- * between zones blocked all teams with limits for as long as it lasted. */
+/* The shares of the previous term stay valid if the members are the same: every machine is still owned under the same
+ * name, and the tasks on the machines of a name, known or not, are within its share. This avoids a new division, which
+ * needs a task list from every machine: a partition between zones blocked all teams with limits for as long as it
+ * lasted. */
 bool fc_quota_plan_carry_over(const fc_cluster *cluster, fc_quota_record *quota) {
   const fc_term *term = &cluster->membership.term;
   const fc_quota_record *before = &cluster->quota.record;
@@ -26,7 +26,7 @@
   return true;
 }
 
-/* Divides one limit of one team; false: more may be in use than it allows. */
+/* Divides one limit of one team. Returns false if more than the limit may be in use. */
 static bool divide_limit(double limit, size_t team, const fc_quota_demand (*demand)[FC_TEAMS_MAX], size_t members,
                          double (*shares)[FC_TEAMS_MAX]) {
   fc_quota_demand team_demand[FC_MEMBERS_MAX] = {{0}};
@@ -37,8 +37,8 @@
   return true;
 }
 
-/* The task lists that the tally is taken from can only have become shorter since: nobody starts
- * anything of these teams before this record is written. */
+/* The task lists behind the tally can only have shrunk since they were reported: no member starts tasks of teams with
+ * limits before this record is written. */
 bool fc_quota_plan_divide(const fc_cluster *cluster, const fc_quota_tally *tally, fc_quota_record *quota) {
   const fc_settings *settings = cluster->settings;
   const fc_term *term = &cluster->membership.term;
@@ -55,31 +55,30 @@
   return true;
 }
 
-/* ---- changes of our own shares ---- */
+/* ---- changes of this member's own shares ---- */
 
-/* One limit of one team, and what our share of it depends on. */
+/* One limit of one team, and the inputs for this member's share of it. */
 typedef struct limit_state {
   double limit; /* 0: none */
   fc_quota_others others;
-  const fc_quota_demand *known; /* ours, by what is known to run */
-  double unplaceable;           /* of what we want */
-  double max_used;              /* what may run on our shard's machines at most */
-  bool bounded;                 /* max_used has a better bound than whole machines */
+  const fc_quota_demand *known; /* of this member, counting the tasks known to run */
+  double unplaceable;           /* part of the wanted amount */
+  double max_used;              /* upper bound of the use on this shard's machines */
+  bool bounded;                 /* max_used is capped by a share carried over, instead of counting whole machines */
 } limit_state;
 
-/* The share that we should have. It is lowered only below what may be in use at most: lowered by
- * what was known, it freed room for others that a silent machine still used (fault test, seed 642).
- * Where the use that is feared has no better bound than whole machines, the share is raised only by
- * what is known. */
+/* Returns the share to request. It is lowered no further than the worst-case use: lowered to the known use, it freed
+ * quota for other members that an unresponsive machine was still using (fault test, seed 642). Where the worst case
+ * counts whole machines, the share is raised only by the known use. */
 static double target_share(const limit_state *state, double share) {
-  fc_quota_demand feared = *state->known;
-  feared.used = state->max_used;
-  double target = fc_quota_adjust_by_room(state->limit, &state->others, share, &feared, state->unplaceable);
+  fc_quota_demand worst_case = *state->known;
+  worst_case.used = state->max_used;
+  double target = fc_quota_adjust_by_room(state->limit, &state->others, share, &worst_case, state->unplaceable);
   if (target <= share || state->bounded) return target;
   return MAX(share, fc_quota_adjust_by_room(state->limit, &state->others, share, state->known, state->unplaceable));
 }
 
-/* Returns whether the share changed. */
+/* Moves *share to its target. Returns whether it changed. */
 static bool adjust_share(const limit_state *state, double *share) {
   if (state->limit <= 0) return false;
   double target = target_share(state, *share);
@@ -88,7 +87,7 @@
   return true;
 }
 
-/* A member with machines that are not reconciled may be using all of its share. */
+/* A member with machines that are not reconciled may be using its whole share. */
 static void add_other(fc_quota_others *others, double share, const fc_quota_demand *demand, double unplaceable,
                       bool unreconciled) {
   double used = unreconciled ? MAX(demand->used, share) : demand->used;
@@ -97,7 +96,7 @@
   others->count++;
 }
 
-/* Marks the members that own a machine which is not reconciled, as far as we know. */
+/* Marks the members that own a machine not known to be reconciled. */
 static void find_unreconciled(const fc_cluster *cluster, bool unreconciled[FC_MEMBERS_MAX]) {
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
@@ -106,7 +105,7 @@
   }
 }
 
-/* Sums up what the other members have and lack of both limits of one team. `own`: our index in the
+/* Sums up the other members' shares and shortfalls for both limits of one team. `own`: index of this member in the
  * record. */
 static void sum_others(const fc_cluster *cluster, const fc_quota_tally *tally, const fc_quota_record *quota, int own,
                        size_t team, const bool *unreconciled, fc_quota_others *cpus, fc_quota_others *gpus) {
--- a/src/controller/quota_plan.h
+++ b/src/controller/quota_plan.h
@@ -1,5 +1,5 @@
-/* Plans the next record of quota shares: the first of a term, and then changes of our own share.
- * Functions over the cluster state, which they leave as it is. */
+/* Plans the next quota record: the first shares of a term, and later changes of this member's own shares. The functions
+ * read the cluster state and don't change it. */
 #ifndef FC_CONTROLLER_QUOTA_PLAN_H
 #define FC_CONTROLLER_QUOTA_PLAN_H
 
@@ -8,14 +8,14 @@
 #include "bookkeeping/cluster.h"
 #include "controller/quota_tally.h"
 
-/* Sets *quota to the shares of the term before, for the present term. False: its members were
- * others, and the limits have to be divided anew. */
+/* Sets *quota to the shares of the previous term. Returns false if its members were others, so that the limits have to
+ * be divided anew. */
 bool fc_quota_plan_carry_over(const fc_cluster *cluster, fc_quota_record *quota);
-/* Divides the limits by what is used and asked for. `quota` has to be zeroed. False: more is in use,
- * by the tally, than some limit allows; the shares of it and of all later limits are left 0. */
+/* Divides the limits by use and pending demand into *quota, which has to be zeroed. Returns false if, by the tally,
+ * more than some limit is in use; the shares of that limit and of all later ones are left 0. */
 bool fc_quota_plan_divide(const fc_cluster *cluster, const fc_quota_tally *tally, fc_quota_record *quota);
-/* Moves our shares in *quota, a copy of the present record, towards what our shard needs. Returns
- * whether any changed. */
+/* Adjusts this member's shares in *quota, a copy of the current record, to the needs of its shard. Returns whether any
+ * changed. */
 bool fc_quota_plan_adjust(const fc_cluster *cluster, const fc_quota_tally *tally, fc_quota_record *quota);
 
 #endif
--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -10,9 +10,9 @@
 #include "scheduler/shard_room.h"
 #include "scheduler/victim_selection.h"
 
-#define MIN_AMOUNT 1e-6 /* less is nothing but rounding */
+#define MIN_AMOUNT 1e-6 /* smaller amounts are rounding errors */
 
-/* ---- is a share unused while another member lacks some? ---- */
+/* ---- teams with an unused share while another member lacks some ---- */
 
 static bool limit_contended(const fc_cluster *cluster, const fc_quota_record *quota, double limit, size_t team,
                             const fc_quota_demand (*demands)[FC_TEAMS_MAX], const double (*shares)[FC_TEAMS_MAX]) {
@@ -37,20 +37,20 @@
          limit_contended(cluster, quota, settings->gpus_max, team, tally->gpus, quota->gpus);
 }
 
-/* ---- the room ---- */
+/* ---- pending work without room ---- */
 
-/* May it find no room but for the time being? Shares would be passed on at each submission. */
-static bool just_entered(const fc_gang_order *order, const fc_job *job) {
+/* A job that has just been submitted may find room soon: if it counted, shares would move at each submission. */
+static bool entered_recently(const fc_gang_order *order, const fc_job *job) {
   return order->now < job->queue.entered_at + order->cluster->settings->operator_settings.handover_wait_s;
 }
 
-/* The team's jobs that a share lets start, in the order of the queue. */
+/* The team's pending jobs that a larger share would let start, in queue order; without gangs. */
 static GPtrArray *pending_jobs_of(const fc_gang_order *order, size_t team) {
   GPtrArray *jobs = fc_cluster_open_jobs(order->cluster);
   guint retained = 0;
   for (guint i = 0; i < jobs->len; i++) {
     const fc_job *job = jobs->pdata[i];
-    if (job->team != (int)team || job->spec.kind == FC_JOB_GANG || just_entered(order, job)) continue;
+    if (job->team != (int)team || job->spec.kind == FC_JOB_GANG || entered_recently(order, job)) continue;
     if (!fc_gang_order_holds_back(order, job) && fc_job_has_pending_tasks(job, -1))
       jobs->pdata[retained++] = jobs->pdata[i];
   }
@@ -58,9 +58,9 @@
   return jobs;
 }
 
-/* Drops machines that have no room for the least that any of the jobs asks for, whatever is preempted
- * for the first of them, which has the highest priority. */
-static void keep_useful(const fc_shard_room *room, const GPtrArray *jobs) {
+/* Drops machines that can't hold even the smallest request of the jobs after preempting everything that the first job,
+ * which has the highest priority, may preempt. */
+static void drop_machines_without_room(const fc_shard_room *room, const GPtrArray *jobs) {
   const fc_job_spec least = fc_least_resources_of(jobs);
   guint retained = 0;
   for (guint i = 0; i < room->capacity->len; i++) {
@@ -81,8 +81,8 @@
   g_array_free(tasks, TRUE);
 }
 
-/* What a member's machines hold is not known before they are reconciled: after each change of term
- * the last to do so would be left without a share. */
+/* Skips members whose machines are not reconciled, as what they hold is unknown: after each change of term the last
+ * member to reconcile would be left without a share. */
 static void add_unplaceable(const fc_shard_room *room, const fc_job *job, fc_quota_tally *tally) {
   unsigned pending[FC_MEMBERS_MAX];
   count_by_member(job, pending);
@@ -94,14 +94,14 @@
   }
 }
 
-static void find_for_team(const fc_gang_order *order, size_t team, fc_quota_tally *tally) {
+static void find_unplaceable_of(const fc_gang_order *order, size_t team, fc_quota_tally *tally) {
   const fc_cluster *cluster = order->cluster;
   GPtrArray *jobs = pending_jobs_of(order, team);
   if (jobs->len > 0) {
     const fc_team_usage usage = fc_cluster_team_usage(cluster);
     GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable_by_owner, order->now);
     const fc_shard_room room = {.cluster = cluster, .capacity = capacity, .usage = &usage};
-    keep_useful(&room, jobs);
+    drop_machines_without_room(&room, jobs);
     fc_free_capacity_sort(capacity);
     for (guint i = 0; i < jobs->len; i++) add_unplaceable(&room, jobs->pdata[i], tally);
     g_array_free(capacity, TRUE);
@@ -116,6 +116,6 @@
     if (!fc_team_limited(&cluster->settings->teams[team]) || !team_contended(cluster, quota, tally, team)) continue;
     if (!order_taken) fc_gang_order_take(cluster, &order, now);
     order_taken = true;
-    find_for_team(&order, team, tally);
+    find_unplaceable_of(&order, team, tally);
   }
 }
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -17,16 +17,16 @@
 /* All in scheduling rounds. */
 #define CHECK_INTERVAL_ROUNDS 0.1
 #define ADJUST_INTERVAL_ROUNDS 0.25
-#define FIRST_WRITE_ROUNDS 0.5 /* by so much a member writes a term's first shares later than the one before it */
+#define FIRST_WRITE_ROUNDS 0.5 /* delay of a term's first write, per position of the member in the term */
 
-/* So long after a change of term machines that are not reconciled are waited for. */
+/* How long the first division of a term waits for machines that are not reconciled. */
 #define RECONCILIATION_HEARTBEATS 1.5
 
-/* Upper bounds of our shares while writes of ours are undecided: any of them may be the one that is
- * applied. INFINITY: none. */
+/* Upper bounds of this member's shares while the outcome of its writes is unknown: any of them may be the one that is
+ * applied. INFINITY: no bound. */
 typedef struct share_caps {
   bool active;
-  uint64_t version; /* of the record that the last write compared */
+  uint64_t version; /* of the quota record, on which the last write was conditional */
   double cpus[FC_TEAMS_MAX], gpus[FC_TEAMS_MAX];
 } share_caps;
 
@@ -40,10 +40,10 @@
   fc_metrics *metrics;
   share_caps caps;
   double adjusted_at;
-  double logged_at; /* when our demand was last logged */
-  /* Large, and allocated only where a team has a limit. */
+  double logged_at; /* when the demand was last logged */
+  /* Large, so allocated only if some team has a limit. */
   fc_quota_record *next; /* the record that is being planned */
-  fc_quota_tally *tally; /* what it is planned by */
+  fc_quota_tally *tally; /* use and demand that it is planned from */
 };
 
 /* ---- caps ---- */
@@ -53,7 +53,7 @@
   for (size_t team = 0; team < FC_TEAMS_MAX; team++) caps->cpus[team] = caps->gpus[team] = INFINITY;
 }
 
-/* The lowest of all undecided writes counts. `own`: our index in the record. */
+/* The lowest share of all writes of unknown outcome counts. `own`: index of this member in the record; -1: none. */
 static void lower_caps(share_caps *caps, const fc_quota_record *quota, int own) {
   caps->active = true;
   for (size_t team = 0; own >= 0 && team < FC_TEAMS_MAX; team++) {
@@ -104,17 +104,17 @@
 
 /* ---- planning ---- */
 
-/* Plans the first shares of the term; false: not yet, or not by us. */
+/* Plans the first shares of the term. Returns false if it is too early for this member to write them. */
 static bool plan_first(fc_quota_shares *shares, double now) {
   fc_cluster *cluster = shares->cluster;
   const fc_settings *settings = cluster->settings;
   double term_since = fc_leadership_term_since(shares->leadership);
-  /* Any member may write them; the first of the term does so at once. */
+  /* Any member may write them; the delays are staggered, and the first member of the term has none. */
   if (now < term_since + settings->operator_settings.round_s * FIRST_WRITE_ROUNDS * cluster->membership.self)
     return false;
-  /* A hung machine of a dead owner would block everybody for a lease: after a while it counts as
-   * full instead. What is reconciled by then can only have become less since; members that have
-   * not acknowledged the term are waited for. */
+  /* An unresponsive machine of a dead owner would block all members for a worker lease, so after a while it counts as
+   * full instead. On reconciled machines the use can only have shrunk since. Members that have not acknowledged the
+   * term are still waited for. */
   bool reconciled = fc_cluster_update_reconciled(cluster);
   if (fc_quota_plan_carry_over(cluster, shares->next)) return true;
   if (!reconciled && (now < term_since + settings->heartbeat_s * RECONCILIATION_HEARTBEATS ||
@@ -124,7 +124,7 @@
   return fc_quota_plan_divide(cluster, shares->tally, shares->next) || reconciled;
 }
 
-/* What our shares are judged by, once in a worker lease. */
+/* Logs the demand behind this member's shares, once in a worker lease. */
 static void log_demand(fc_quota_shares *shares) {
   const fc_settings *settings = shares->cluster->settings;
   const fc_quota_tally *tally = shares->tally;
@@ -145,19 +145,18 @@
   }
 }
 
-/* Plans a change of our share; false: nothing is to be written. */
+/* Plans a change of this member's shares. Returns false if nothing is to be written. */
 static bool plan_change(fc_quota_shares *shares) {
   *shares->next = shares->cluster->quota.record;
   fc_quota_tally_take(shares->cluster, false, shares->tally);
   fc_quota_room_find(shares->cluster, shares->next, shares->tally, fc_now());
   log_demand(shares);
-  /* Where nothing is to change, the record is written as it is while there are caps, or a write of
-   * unknown outcome would leave them in force for good (fault test, seed 510: a gang was pending
-   * forever beside its share). */
+  /* While there are caps the record is written even if unchanged: otherwise a write of unknown outcome would leave them
+   * in force for good (fault test, seed 510: a gang stayed pending forever although its share sufficed). */
   return fc_quota_plan_adjust(shares->cluster, shares->tally, shares->next) || shares->caps.active;
 }
 
-/* Plans the next record, if it is time for one; false: nothing is to be written. */
+/* Plans the next record if one is due. Returns false if nothing is to be written. */
 static bool plan_next(fc_quota_shares *shares) {
   double now = fc_now();
   memset(shares->next, 0, sizeof *shares->next);
@@ -170,7 +169,7 @@
 
 /* ---- the routine ---- */
 
-/* Our shares as written, and the version of the record that they were planned by. */
+/* Logs the shares as written, and the version of the record that they were planned from. */
 static void log_write(const fc_quota_shares *shares, fc_kv_result result, uint64_t revision) {
   const fc_settings *settings = shares->cluster->settings;
   int own = fc_quota_record_find(shares->next, settings->name);
@@ -215,8 +214,8 @@
   shares->tally = g_new0(fc_quota_tally, 1);
   while (!fc_routine_cancelled()) {
     (void)fc_routine_sleep(cluster->settings->operator_settings.round_s * CHECK_INTERVAL_ROUNDS);
-    /* A write of unknown outcome can be applied until the record has moved past the version that it
-     * compares; so long the caps stay. */
+    /* A write of unknown outcome may still be applied while the record has the version that it compares, so the caps
+     * stay until that version changes. */
     if (cluster->quota.version != shares->caps.version) lift_caps(&shares->caps);
     if (!fc_leadership_held(shares->leadership) || !fc_cluster_store_reachable(cluster, fc_now())) continue;
     if (plan_next(shares)) write_next(shares);
--- a/src/controller/quota_shares.h
+++ b/src/controller/quota_shares.h
@@ -1,6 +1,6 @@
-/* Quota shares: the duty that keeps each member's share of the teams' limits recorded in the
- * key-value store, and what our shard may start by its share. Nothing of a team with a limit is
- * started in a term before that term's shares are recorded. */
+/* Quota shares: the routine that keeps this member's shares of the teams' limits recorded in the key-value store, and
+ * the allowance that follows for the shard. No task of a team with a limit is started in a term before the shares of
+ * that term are recorded. */
 #ifndef FC_CONTROLLER_QUOTA_SHARES_H
 #define FC_CONTROLLER_QUOTA_SHARES_H
 
@@ -21,10 +21,10 @@
 fc_quota_shares *fc_quota_shares_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                      const fc_leadership *leadership, fc_peers *peers, fc_wakeups *wakeups,
                                      fc_metrics *metrics);
-/* Starts its routine; false: out of memory. */
+/* Starts its routine. Returns false when out of memory. */
 bool fc_quota_shares_start(fc_quota_shares *shares);
 
-/* Sets *allowance to what our shard may start now for each team. */
+/* Sets *allowance to the amounts that this shard may still start for each team now; INFINITY: no limit. */
 void fc_quota_shares_allowance(const fc_quota_shares *shares, fc_team_allowance *allowance);
 
 #endif
--- a/src/controller/quota_tally.c
+++ b/src/controller/quota_tally.c
@@ -47,9 +47,9 @@
   demand->wanted += amount;
 }
 
-/* Gangs start all at once: two shards that each hold half of what one needs would both be pending
- * forever (fault test, seed 15). So demand is counted for one gang of a team at a time, the same on
- * all members. */
+/* All tasks of a gang start together: two gangs in shards that each hold half of the needed share would both stay
+ * pending forever (fault test, seed 15). So demand is counted for one gang of a team at a time, the same one on all
+ * members. */
 static void add_gang(const fc_job *gang, fc_quota_tally *tally) {
   int owner = fc_job_slice_owner(gang, 0);
   if (owner < 0) return;
--- a/tests/test_quota_room.c
+++ b/tests/test_quota_room.c
@@ -1,4 +1,4 @@
-/* Which part of pending work counts as without room when shares of a team's limit are adjusted. */
+/* How much of the pending work counts as having no room when the shares of a team's limit are adjusted. */
 #include "fixture.h"
 
 #include "controller/quota_room.h"
@@ -6,16 +6,16 @@
 #define NOW 100.0
 #define MACHINE_GPUS 4
 
-/* Our only machine is in zone a, the peer's too; an array of team blue of eight tasks with a GPU each
- * is ours. */
+/* Both members have one machine, in zone a. This member's pending work is an array of team blue with eight tasks of one
+ * GPU each. */
 typedef struct room_row {
   const char *name;
-  const char *priority;      /* of the array; it is of blue, whose limit is 16 GPUs */
-  const char *extra;         /* fields of its submission */
-  const char *busy_kind;     /* of a job of red on our machine; NULL: none */
+  const char *priority;      /* of the array of team blue, whose limit is 16 GPUs */
+  const char *extra;         /* further fields of its submission */
+  const char *busy_kind;     /* of a job of team red that fills this member's machine; NULL: none */
   const char *busy_priority; /* of that job */
-  double shares[2];          /* ours, the peer's */
-  double unplaceable;        /* GPUs */
+  double shares[2];          /* this member's, the peer's */
+  double unplaceable;        /* expected, in GPUs */
 } room_row;
 
 static fc_quota_record shares_of(const fc_cluster *cluster, const double shares[2]) {
@@ -60,11 +60,11 @@
   const room_row rows[] = {
       {"half of it has room", "standard", "", NULL, NULL, {12, 4}, 4},
       {"the machine is full", "standard", "", "sweep", "standard", {12, 4}, 8},
-      {"full of what may be preempted", "high", "", "sweep", "standard", {12, 4}, 4},
-      {"full of a gang, which is not preempted for one task", "high", "", "gang", "standard", {12, 4}, 8},
-      {"in a zone without a machine of ours", "standard", zone_b, NULL, NULL, {12, 4}, 8},
-      {"the peer holds the whole limit unused", "standard", zone_b, NULL, NULL, {0, 16}, 8},
-      {"nobody holds any unused: nobody asks", "standard", zone_b, NULL, NULL, {0, 0}, 0},
+      {"full of tasks that may be preempted", "high", "", "sweep", "standard", {12, 4}, 4},
+      {"full of a gang, which is not preempted for a single task", "high", "", "gang", "standard", {12, 4}, 8},
+      {"in a zone without a machine of this member", "standard", zone_b, NULL, NULL, {12, 4}, 8},
+      {"the peer holds the whole limit, unused", "standard", zone_b, NULL, NULL, {0, 16}, 8},
+      {"no share is unused, so nothing is computed", "standard", zone_b, NULL, NULL, {0, 0}, 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     double gpus = unplaceable_gpus(&rows[i]);
