--- a/src/controller/task_stops.c
+++ b/src/controller/task_stops.c
@@ -3,7 +3,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "controller/worker_commands.h"
 
-/* A heartbeat is late after so many intervals. */
+/* A heartbeat counts as late after this many intervals. */
 #define LATE_HEARTBEATS 1.25
 
 struct fc_task_stops {
@@ -17,7 +17,7 @@
   return stops;
 }
 
-/* A task of a gang that lost another before it started: the gang can't become complete. */
+/* Whether the task waits for a gang that has lost another task before its start, and so can't become complete. */
 static bool is_orphaned(const fc_placement *placement) {
   const fc_job *job = placement->job;
   return job && job->spec.kind == FC_JOB_GANG && placement->status.state == FC_TASK_WAITING &&
@@ -38,8 +38,8 @@
   return any;
 }
 
-/* Can all tasks of the gang get the stop at once? */
-static bool reaches_whole_gang(const fc_cluster *cluster, const fc_job *job) {
+/* Whether all tasks of the gang can be sent the stop now. */
+static bool can_stop_whole_gang(const fc_cluster *cluster, const fc_job *job) {
   for (guint i = 0; i < job->placements->len; i++) {
     const fc_machine *machine = ((const fc_placement *)job->placements->pdata[i])->machine;
     if (!fc_machine_owned_by_self(cluster, machine) || !fc_machine_reconciled(cluster, machine) ||
@@ -49,11 +49,11 @@
   return true;
 }
 
-/* The orderly stop of a gang: all tasks get the stop at once, by direct calls; one stopped alone would
- * lose the others' work. Where some are on another member's machines (after a change of term) it is
- * left to run to its end. */
+/* Stops a gang with a checkpoint: all tasks are sent the stop at the same time, by direct calls, since stopping one
+ * alone would lose the work of the others. If some are on another member's machines (after a change of term) the gang
+ * runs on. */
 static void stop_gang(fc_task_stops *stops, const fc_job *job) {
-  if (!reaches_whole_gang(stops->cluster, job)) return;
+  if (!can_stop_whole_gang(stops->cluster, job)) return;
   for (guint i = 0; i < job->placements->len; i++) {
     fc_placement *placement = job->placements->pdata[i];
     if (!fc_placement_active(placement) || placement->stop.requested) continue;
@@ -63,7 +63,7 @@
   g_debug("stop gang job=%s", job->spec.id);
 }
 
-/* A task that never saves a checkpoint may still end in time; moving it only loses its work. */
+/* A running task without checkpoints may still end in time, and would lose its work if it was moved. */
 static bool is_worth_moving(const fc_placement *placement) {
   const fc_job_spec *spec = &placement->job->spec;
   return spec->checkpoint_s > 0 || spec->kind == FC_JOB_SERVICE || placement->status.state != FC_TASK_RUNNING;
@@ -87,7 +87,7 @@
 }
 
 bool fc_task_stops_call_due(const fc_task_stops *stops, const fc_machine *machine, double now) {
-  if (!machine->agent.epoch_shown) return false; /* a call would carry nothing */
+  if (!machine->agent.epoch_shown) return false; /* a call would carry no commands */
   bool late = now > machine->agent.heard_at + stops->cluster->settings->heartbeat_s * LATE_HEARTBEATS;
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
--- a/src/controller/worker_calls.c
+++ b/src/controller/worker_calls.c
@@ -7,11 +7,11 @@
 #include "protocol/worker_api.h"
 #include "transport/routine.h"
 
-#define SOCKETS_PER_CALL 8u /* one in so many of all sockets is for direct calls */
+#define FDS_PER_CALL 8u /* one of so many file descriptors may be used for direct calls */
 #define CALLS_MIN 2u
-#define FENCES_AND_PROBES_DIVISOR 2u /* of those calls */
+#define FENCES_AND_PROBES_DIVISOR 2u /* of these, the part open to calls that fence or probe */
 #define CALL_TIMEOUT_HEARTBEATS 0.75
-#define CALLS_PER_ROUTINE_MAX 2 /* a second one fences with what the first has learned */
+#define CALLS_PER_ROUTINE_MAX 2 /* the second fences with the epoch that the answer to the first has shown */
 #define MACHINE_ID_BYTES 64
 
 struct fc_worker_calls {
@@ -28,12 +28,12 @@
   char machine[MACHINE_ID_BYTES];
 } call_routine;
 
-/* What a direct call was made for. */
+/* The purpose of a direct call. */
 typedef struct direct_call {
   uint64_t term; /* its fencing token */
   bool fencing;  /* the machine was not reconciled in the term */
-  bool probing;  /* it was to be asked what it holds */
-  double asked_at;
+  bool probing;  /* it was to be asked which tasks it has */
+  double sent_at;
 } direct_call;
 
 fc_worker_calls *fc_worker_calls_new(fc_cluster *cluster, const fc_leadership *leadership, fc_worker_commands *commands,
@@ -62,10 +62,10 @@
 
 /* ---- answers ---- */
 
-/* Notes what became of a start that a call carried. */
-static void note_start(fc_placement *placement, fc_worker_call_result result) {
+/* Records the outcome of a start that a call carried. */
+static void record_start_outcome(fc_placement *placement, fc_worker_call_result result) {
   fc_placement_start *start = &placement->start;
-  if (result == FC_WORKER_CALL_UNKNOWN) { /* it may still arrive, minutes late */
+  if (result == FC_WORKER_CALL_UNKNOWN) { /* it may still arrive minutes later */
     start->direct = FC_DIRECT_START_UNACKNOWLEDGED;
     g_debug("start unacknowledged task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s token=%" G_GUINT64_FORMAT,
             placement->job_id, placement->index, (guint64)placement->attempt, placement->machine->id,
@@ -77,29 +77,29 @@
   if (!carried_out && !placement->status.reported) start->sent = start->heartbeat_sequence != 0;
 }
 
-static void note_starts(fc_worker_calls *calls, fc_machine *machine, fc_worker_call_result result) {
+static void record_start_outcomes(fc_worker_calls *calls, fc_machine *machine, fc_worker_call_result result) {
   for (guint i = 0; i < machine->placements->len; i++) {
     fc_placement *placement = machine->placements->pdata[i];
     if (placement->start.direct != FC_DIRECT_START_IN_FLIGHT) continue;
-    note_start(placement, result);
+    record_start_outcome(placement, result);
     calls->metrics->counters.unknown_starts += result == FC_WORKER_CALL_UNKNOWN;
   }
 }
 
-static void note_call_end(fc_worker_calls *calls, fc_machine *machine, const direct_call *call,
-                          fc_worker_call_result result) {
-  note_starts(calls, machine, result);
+static void record_call_outcome(fc_worker_calls *calls, fc_machine *machine, const direct_call *call,
+                                fc_worker_call_result result) {
+  record_start_outcomes(calls, machine, result);
   if (!call->fencing && !call->probing) return;
-  machine->probe.sent_at = call->asked_at;
+  machine->probe.sent_at = call->sent_at;
   machine->probe.answered = fc_worker_call_answered(result);
 }
 
-/* What the machine's incarnation before held is gone; only a direct start that may still arrive,
- * and would be carried out, stays. */
-static void forget_incarnation(fc_machine *machine, const fc_heartbeat *heartbeat) {
+/* Resets what is known of the worker after a restart. Its tasks are gone, except those with a direct start that may
+ * still arrive and would then be carried out. */
+static void reset_worker_state(fc_machine *machine, const fc_heartbeat *heartbeat) {
   for (guint i = 0; i < machine->placements->len; i++) {
     fc_placement *placement = machine->placements->pdata[i];
-    /* What counts as reported, and is not listed now, is gone. */
+    /* A task that counts as reported, and is missing in the new list, is removed. */
     if (placement->start.sent) placement->status.reported = placement->start.direct == FC_DIRECT_START_NONE;
   }
   fc_machine_agent_show_epoch(&machine->agent, heartbeat->epoch, heartbeat->sequence - 1);
@@ -109,30 +109,30 @@
 }
 
 void fc_worker_calls_apply_answer(fc_worker_calls *calls, fc_machine *machine, const fc_heartbeat *heartbeat,
-                                  double asked_at) {
-  /* An answer is newer than everything that had come when we asked; if it does not look so, the
-   * worker was restarted and counts from the beginning. A question from before its lease expired
-   * may have been answered in the epoch that ended with it. */
-  bool asked_since = asked_at > MAX(machine->agent.heard_at, machine->agent.expired_at);
-  if (!fc_heartbeat_order_is_newer(machine, heartbeat) && asked_since) {
+                                  double sent_at) {
+  /* An answer is newer than every heartbeat that had arrived when the call was sent. If its numbers say otherwise, the
+   * worker was restarted and counts from the beginning. A call sent before the worker's lease expired may have been
+   * answered in the epoch that ended with the lease. */
+  bool sent_afterwards = sent_at > MAX(machine->agent.heard_at, machine->agent.expired_at);
+  if (!fc_heartbeat_order_is_newer(machine, heartbeat) && sent_afterwards) {
     if (!machine->agent.restarted)
       g_info("worker restarted machine=%s tasks=%u", machine->id, machine->placements->len);
-    forget_incarnation(machine, heartbeat);
+    reset_worker_state(machine, heartbeat);
   }
   if (!fc_heartbeat_order_is_newer(machine, heartbeat)) return;
-  fc_reconciler_apply_answer(calls->reconciler, machine, heartbeat, asked_at);
-  machine->probe.confirmed_at = asked_at;
+  fc_reconciler_apply_answer(calls->reconciler, machine, heartbeat, sent_at);
+  machine->probe.confirmed_at = sent_at;
 }
 
-/* Applies the answer to a call. True: the machine is to be fenced with what it has shown. */
+/* Applies the answer to a call. Returns whether the machine has to be fenced with the epoch that it has shown. */
 static bool accept_answer(fc_worker_calls *calls, fc_machine *machine, const direct_call *call,
                           fc_worker_call_result result, const fc_heartbeat *heartbeat) {
   const fc_cluster *cluster = calls->cluster;
   if (cluster->membership.term.number != call->term || !fc_machine_owned_by_self(cluster, machine) ||
       strcmp(heartbeat->machine, machine->id) != 0)
     return false;
-  fc_worker_calls_apply_answer(calls, machine, heartbeat, call->asked_at);
-  /* It refused our epoch: the epoch is new, or this is the first message from the machine. */
+  fc_worker_calls_apply_answer(calls, machine, heartbeat, call->sent_at);
+  /* It refused the epoch in the call: it has a newer one, or this is the first message from the machine. */
   return call->fencing && result == FC_WORKER_CALL_REFUSED && heartbeat->fencing_token <= call->term &&
          machine->reconciled_term != call->term;
 }
@@ -144,8 +144,7 @@
          calls->cluster->membership.term.number == term && fc_leadership_held(calls->leadership);
 }
 
-/* Makes the call, if there is anything to fence, to ask or to command. Suspends the calling
- * routine. */
+/* Makes the call, if it has to fence or to probe the machine or there are commands. Suspends the calling routine. */
 static fc_worker_call_result send_call(fc_worker_calls *calls, fc_machine *machine, const fc_endpoint *endpoint,
                                        const direct_call *call, fc_heartbeat *heartbeat) {
   GArray *commands = call->fencing ? g_array_new(FALSE, TRUE, sizeof(fc_command))
@@ -160,28 +159,26 @@
   return result;
 }
 
-/* Calls the machine's worker once. True: another call is to fence it with what it has shown.
+/* Calls the machine's worker once. Returns whether another call has to fence it with the epoch that it has shown.
  * Suspends the calling routine. */
 static bool call_worker(fc_worker_calls *calls, const char *id, uint64_t term) {
   fc_machine *machine = fc_cluster_find_machine(calls->cluster, id);
   fc_endpoint endpoint;
   if (!may_call(calls, machine, term) || !fc_endpoint_parse(machine->record.endpoint, &endpoint)) return false;
-  const direct_call call = {.term = term,
-                            .fencing = machine->reconciled_term != term,
-                            .probing = machine->probe.wanted,
-                            .asked_at = fc_now()};
+  const direct_call call = {
+      .term = term, .fencing = machine->reconciled_term != term, .probing = machine->probe.wanted, .sent_at = fc_now()};
   machine->probe.wanted = false;
   fc_heartbeat heartbeat;
   fc_worker_call_result result = send_call(calls, machine, &endpoint, &call, &heartbeat);
   machine = fc_cluster_find_machine(calls->cluster, id); /* it may be gone by now */
-  if (machine) note_call_end(calls, machine, &call, result);
+  if (machine) record_call_outcome(calls, machine, &call, result);
   if (!fc_worker_call_answered(result)) return false;
   bool again = machine && accept_answer(calls, machine, &call, result, &heartbeat);
   fc_heartbeat_clear(&heartbeat);
   return again;
 }
 
-/* The routine of the calls to one machine. */
+/* Routine that makes the calls to one machine. */
 static void run_calls(void *arg) {
   const call_routine routine = *(call_routine *)arg;
   g_free(arg);
@@ -195,12 +192,12 @@
   fc_worker_calls_end(calls);
 }
 
-/* Calls to machines that do not answer keep their sockets for as long as a call may take: after a
- * failover in a fleet of thousands they would take all there are, those to the key-value store too.
- * Fences and probes get half of the calls, so that starts and stops always find some; a machine
- * that finds none is called in a later round. */
+/* A call to an unresponsive machine holds its socket until the call times out. After a failover in a fleet of thousands
+ * such calls would use up all file descriptors, including those for the key-value store. Calls that fence or probe may
+ * use half of the limit, so that starts and stops always find a socket; a machine without one is called in a later
+ * round. */
 bool fc_worker_calls_available(const fc_worker_calls *calls, const fc_machine *machine) {
-  unsigned max = MAX(calls->cluster->settings->fd_limit / SOCKETS_PER_CALL, CALLS_MIN);
+  unsigned max = MAX(calls->cluster->settings->fd_limit / FDS_PER_CALL, CALLS_MIN);
   bool commands_only = fc_machine_reconciled(calls->cluster, machine) && !machine->probe.wanted;
   return calls->in_flight < (commands_only ? max : max / FENCES_AND_PROBES_DIVISOR);
 }
--- a/src/controller/worker_calls.h
+++ b/src/controller/worker_calls.h
@@ -1,6 +1,6 @@
-/* Direct calls to workers of our machines: they fence a machine in a new term, ask it what it
- * holds, and carry commands that can't wait for a heartbeat. Each call takes a socket for as long
- * as it lasts, so their number is limited. */
+/* Direct calls to the workers of this shard's machines. They fence a machine in a new term, probe it for its task list,
+ * and carry commands that can't wait for a heartbeat. Each call holds a socket while it lasts, so their number is
+ * limited. */
 #ifndef FC_CONTROLLER_WORKER_CALLS_H
 #define FC_CONTROLLER_WORKER_CALLS_H
 
@@ -12,25 +12,24 @@
 
 typedef struct fc_worker_calls fc_worker_calls;
 
-/* The arguments have to outlive it. The caller frees it with fc_worker_calls_free(), when none of
- * its routines runs any more. */
+/* The arguments have to outlive it. The caller frees it with fc_worker_calls_free(), once none of its routines runs any
+ * more. */
 fc_worker_calls *fc_worker_calls_new(fc_cluster *cluster, const fc_leadership *leadership, fc_worker_commands *commands,
                                      fc_reconciler *reconciler, fc_metrics *metrics);
 void fc_worker_calls_free(fc_worker_calls *calls);
 
-/* Has a routine send the machine its commands or, when it is not reconciled yet, an empty call
- * that fences it. Returns at once, and does nothing when a call to the machine is under way, or
- * there is no socket for it. */
+/* Starts a routine that sends the machine its commands or, if it is not reconciled yet, an empty call that fences it.
+ * Returns at once. Does nothing if a call to the machine is in flight, or there is no socket for it. */
 void fc_worker_calls_send(fc_worker_calls *calls, fc_machine *machine);
-/* Applies what a machine of ours has answered to a direct call that was sent at that steady time. */
+/* Applies the answer of a machine of this shard to a direct call that was sent at `sent_at` (steady time). */
 void fc_worker_calls_apply_answer(fc_worker_calls *calls, fc_machine *machine, const fc_heartbeat *heartbeat,
-                                  double asked_at);
+                                  double sent_at);
 
-/* Is there a socket for a call to the machine? */
+/* Whether there is a socket for a call to the machine. */
 bool fc_worker_calls_available(const fc_worker_calls *calls, const fc_machine *machine);
-/* Calls that are under way, those of other modules included. */
+/* Number of calls in flight, including those of other modules. */
 unsigned fc_worker_calls_in_flight(const fc_worker_calls *calls);
-/* Another module begins, or has ended, a call to a worker. */
+/* Count a call that another module makes to a worker: to be called before and after it. */
 void fc_worker_calls_begin(fc_worker_calls *calls);
 void fc_worker_calls_end(fc_worker_calls *calls);
 
--- a/tests/test_worker_commands.c
+++ b/tests/test_worker_commands.c
@@ -1,8 +1,8 @@
-/* Which commands a worker is sent with the answer to a heartbeat; no network. */
+/* Commands that a worker is sent with the answer to a heartbeat or by a direct call; no network. */
 #include "worker_bench.h"
 
-/* A start is repeated until it is listed; a task missing from a heartbeat proves nothing while the
- * start may still arrive. */
+/* A start is repeated until a heartbeat lists the task. While a copy of the start may still arrive, a heartbeat without
+ * the task doesn't prove that it will not run, so its placement stays. */
 static void start_is_repeated_until_listed(void **state) {
   (void)state;
   worker_bench *bench = worker_bench_new();
@@ -13,10 +13,10 @@
   GString *out = g_string_new(NULL);
   send_heartbeat(bench, 1, 1, 5, "", out);
   assert_true(says(out, "start"));
-  send_heartbeat(bench, 1, 2, 5, "", out); /* not carried out: sent again */
+  send_heartbeat(bench, 1, 2, 5, "", out); /* not listed: sent again */
   assert_true(says(out, "start"));
   assert_int_equal(machine->placements->len, 1);
-  placement->stop.requested = true; /* not wanted any more: the next heartbeat decides */
+  placement->stop.requested = true; /* the next heartbeat decides whether the placement is removed */
   placement->start.direct = FC_DIRECT_START_UNACKNOWLEDGED;
   placement->start.direct_token = 5;
   placement->start.direct_epoch = 1;
@@ -29,27 +29,28 @@
   worker_bench_free(bench);
 }
 
-/* Whether a start is still wanted is decided when it is sent: its job may have been cancelled since
- * the scheduling round, by a record that was read or by what a peer has sent; a member that renews
- * the lease of a peer's machine stops its tasks for the same reasons. */
+/* A start is not sent if its job has been cancelled since the scheduling round, by a record that was read or a
+ * cancellation from a peer. A member that renews the lease of a peer's machine stops its tasks for the same reasons. */
 static void starts_of_cancelled_jobs(void **state) {
   (void)state;
-  enum { NOT, READ, BY_PEER, BY_PEER_UNKNOWN };
+  enum { NOT_CANCELLED, READ, BY_PEER, BY_PEER_UNKNOWN };
   static const struct {
     const char *name;
     int cancelled;
     bool owner, running;
     const char *says, *says_not;
-    double stopping; /* with so much time for a checkpoint */
+    double grace_s; /* time for a checkpoint of a requested stop; 0: none requested */
   } rows[] = {
-      {"not cancelled", NOT, true, false, "\"call\":\"start\"", "halt", 0},
-      {"cancelled, as it was read", READ, true, false, "\"calls\":[]", "start", 0},
-      {"cancelled, as a peer has sent", BY_PEER, true, false, "\"calls\":[]", "start", 0},
-      {"writing a checkpoint", NOT, true, true, "\"leewayS\":9", "\"leewayS\":0", 9},
+      {"not cancelled", NOT_CANCELLED, true, false, "\"call\":\"start\"", "halt", 0},
+      {"cancelled by a record that was read", READ, true, false, "\"calls\":[]", "start", 0},
+      {"cancelled by a peer's message", BY_PEER, true, false, "\"calls\":[]", "start", 0},
+      {"writing a checkpoint", NOT_CANCELLED, true, true, "\"leewayS\":9", "\"leewayS\":0", 9},
       {"writing a checkpoint, then cancelled", BY_PEER, true, true, "\"leewayS\":0", "\"leewayS\":9", 9},
-      {"running for another member", NOT, false, true, "\"calls\":[]", "halt", 0},
-      {"running for another, cancelled as a peer has sent", BY_PEER, false, true, "\"call\":\"halt\"", "start", 0},
-      {"running for another, a job never read", BY_PEER_UNKNOWN, false, true, "\"call\":\"halt\"", "start", 0},
+      {"running for another member", NOT_CANCELLED, false, true, "\"calls\":[]", "halt", 0},
+      {"running for another member, cancelled by a peer's message", BY_PEER, false, true, "\"call\":\"halt\"", "start",
+       0},
+      {"running for another member, job cancelled and never read", BY_PEER_UNKNOWN, false, true, "\"call\":\"halt\"",
+       "start", 0},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
@@ -61,9 +62,9 @@
     fc_placement *placement =
         rows[i].owner ? fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, fc_now()) : NULL;
     if (placement && rows[i].running) placement->start.sent = placement->status.reported = true;
-    if (placement && rows[i].stopping > 0) {
+    if (placement && rows[i].grace_s > 0) {
       placement->stop.requested = true;
-      placement->stop.grace_s = rows[i].stopping;
+      placement->stop.grace_s = rows[i].grace_s;
     }
     if (!rows[i].owner) {
       machine->owner = 1;
@@ -79,8 +80,8 @@
   }
 }
 
-/* A worker is to forget an exited task only when its end is recorded, and never while a copy of its
- * start may arrive: that would run it again. */
+/* A worker is told to forget an exited task only once its end is recorded, and never while a copy of its start may
+ * still arrive, which would run it again. */
 static void exited_tasks_are_forgotten(void **state) {
   (void)state;
   static const struct {
@@ -90,7 +91,7 @@
       {"failed", EXITED(0, "error"), false, false, true},
       {"done and recorded", EXITED(0, "done"), true, false, true},
       {"done, not recorded", EXITED(0, "done"), false, false, false},
-      {"a copy of its start under way", EXITED(0, "error"), false, true, false},
+      {"a copy of its start may still arrive", EXITED(0, "error"), false, true, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_bench *bench = worker_bench_new();
@@ -98,7 +99,7 @@
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
-    /* It is being recorded already: the answer to the heartbeat must not wait for that. */
+    /* The end is being recorded already; the answer to the heartbeat must not wait for that. */
     fc_task_completion_record(bench->completion, "job-000001");
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
@@ -115,8 +116,8 @@
   }
 }
 
-/* A direct call carries nothing while the worker's epoch is not known, and starts keep the epoch that
- * they name. */
+/* A direct call carries no commands while the worker's epoch is unknown, and a placement keeps the epoch under which
+ * its start was sent. */
 static void calls_name_a_shown_epoch(void **state) {
   (void)state;
   for (int shown = 0; shown <= 1; shown++) {
