--- a/src/controller/capacity_refusals.h
+++ b/src/controller/capacity_refusals.h
@@ -1,5 +1,5 @@
-/* Which kinds of machine (type, zone, spot or on-demand) the cloud has refused lately for lack of
- * capacity: they are not asked for again for a while. */
+/* Remembers which kinds of machine (type, zone, spot or on-demand) the cloud has recently refused for lack of capacity,
+ * so that they are not requested again for a while. */
 #ifndef FC_CONTROLLER_CAPACITY_REFUSALS_H
 #define FC_CONTROLLER_CAPACITY_REFUSALS_H
 
@@ -12,11 +12,11 @@
 /* The cluster state has to outlive it; it lives as long as the process. */
 fc_capacity_refusals *fc_capacity_refusals_new(const fc_cluster *cluster);
 
-/* The kind has been refused; it counts so until that steady time. `type`: by name. */
+/* Records that the kind was refused, valid until the given steady time. `type`: name of the machine type. */
 void fc_capacity_refusals_note(fc_capacity_refusals *refusals, const char *type, const char *zone, bool spot,
                                double until);
-/* Does the kind count as refused now? An fc_capacity_refused_fn: `type` is an index into the machine
- * types, `refusals` an fc_capacity_refusals. */
+/* Whether a refusal of the kind is still valid. An fc_capacity_refused_fn: `type` is an index into the machine types,
+ * `refusals` an fc_capacity_refusals. */
 bool fc_capacity_refusals_active(int type, const char *zone, bool spot, void *refusals);
 
 #endif
--- a/src/controller/cloud_access.c
+++ b/src/controller/cloud_access.c
@@ -3,8 +3,8 @@
 #include "bookkeeping/token_bucket.h"
 #include "transport/routine.h"
 
-/* The first member of the term sends the requests to rent, so it gets this share of the cloud's
- * rate; the other members divide the rest evenly. */
+/* Shares of the cloud's request rate: the first member of the term, which sends the requests to rent, gets one half;
+ * the other members divide the rest evenly. */
 #define RENTING_MEMBER_SHARE 0.5
 #define OTHER_MEMBERS_SHARE 0.5
 
--- a/src/controller/cloud_access.h
+++ b/src/controller/cloud_access.h
@@ -1,5 +1,5 @@
-/* Access to the cloud: the client, and this member's share of the cloud's request rate. Every
- * request has to be acquired first. */
+/* Access to the cloud: the client, and a limiter for this member's share of the cloud's request rate. Each request
+ * needs a successful acquire first. */
 #ifndef FC_CONTROLLER_CLOUD_ACCESS_H
 #define FC_CONTROLLER_CLOUD_ACCESS_H
 
@@ -14,13 +14,13 @@
 /* The arguments have to outlive it; it lives as long as the process. */
 fc_cloud_access *fc_cloud_access_new(const fc_cluster *cluster, const fc_leadership *leadership);
 
-/* Owned by `access`, valid as long as it is. */
+/* The client; owned by `access`. */
 fc_cloud *fc_cloud_access_client(const fc_cloud_access *access);
 
-/* Waits until one request may be sent. May suspend the calling routine. False: cancelled. */
+/* Waits until one request may be sent. May suspend the calling routine. Returns false if the routine was cancelled. */
 bool fc_cloud_access_acquire(fc_cloud_access *access);
-/* The same for a request that only the leader of our shard may send. False: cancelled, or the
- * leadership is not held at the end of the wait. */
+/* The same for a request that only the leader of this shard may send. Returns false if the routine was cancelled, or
+ * the leadership is not held after the wait. */
 bool fc_cloud_access_acquire_as_leader(fc_cloud_access *access);
 
 #endif
--- a/src/controller/handover_execution.c
+++ b/src/controller/handover_execution.c
@@ -16,11 +16,11 @@
   fc_handover_execution *execution;
   char id[32];
   uint64_t version;                       /* of the job's record, on which the write is conditional */
-  uint64_t term_version, term_number;     /* of the present term, likewise */
-  unsigned slices;                        /* a bit a slice */
-  unsigned partly_known;                  /* a bit a slice, as in fc_handover */
+  uint64_t term_version, term_number;     /* of the present term; the write is conditional on the version too */
+  unsigned slices;                        /* one bit per slice */
+  unsigned partly_known;                  /* one bit per slice, as in fc_handover */
   unsigned machine_owners[FC_SLICES_MAX]; /* as in fc_handover */
-  char to[FC_SLICES_MAX][64];             /* names of members */
+  char to[FC_SLICES_MAX][64];             /* name of the new owner by slice */
 } job_handover;
 
 fc_handover_execution *fc_handover_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
@@ -51,7 +51,7 @@
   return write;
 }
 
-/* The routine of one job's handover. */
+/* Routine that hands over the slices of one job. */
 static void run(void *arg) {
   job_handover *handover = arg;
   fc_handover_execution *execution = handover->execution;
@@ -71,7 +71,7 @@
   g_debug("hand over job=%s slice=%u to=%s", handover->id, slice, handover->to[slice]);
 }
 
-/* All slices of the job that the plan names from `first` on go together. */
+/* Collects all slices of the job in the plan from entry `first` on, to be handed over in one write. */
 static job_handover *collect_slices(fc_handover_execution *execution, const fc_job *job, const GArray *plan,
                                     guint first) {
   const fc_membership *membership = &execution->cluster->membership;
@@ -91,7 +91,7 @@
 void fc_handover_execution_begin(fc_handover_execution *execution, const GArray *plan) {
   for (guint i = 0; i < plan->len; i++) {
     fc_job *job = g_array_index(plan, fc_handover, i).job;
-    if (job->slices.handover_pending) continue; /* with its first slice */
+    if (job->slices.handover_pending) continue; /* begun with its first slice in the plan */
     job_handover *handover = collect_slices(execution, job, plan, i);
     execution->metrics->counters.handed_over++;
     job->slices.handover_pending = handover->slices;
--- a/src/controller/handover_execution.h
+++ b/src/controller/handover_execution.h
@@ -1,4 +1,4 @@
-/* Hands slices of our jobs over to other members, by conditional writes of the jobs' records. */
+/* Hands slices of jobs over from this shard to other members, by conditional writes of the jobs' records. */
 #ifndef FC_CONTROLLER_HANDOVER_EXECUTION_H
 #define FC_CONTROLLER_HANDOVER_EXECUTION_H
 
@@ -12,7 +12,7 @@
 fc_handover_execution *fc_handover_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                                  fc_wakeups *wakeups, fc_metrics *metrics);
 
-/* Starts the handovers (fc_handover) of a plan, a routine for each job. Returns at once. */
+/* Starts the handovers (fc_handover) of a plan, with one routine per job. Returns at once. */
 void fc_handover_execution_begin(fc_handover_execution *execution, const GArray *plan);
 
 #endif
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -11,12 +11,12 @@
 #define READ_TIMEOUT_S 2.0
 #define CLOUD_TIMEOUT_S 4.0
 
-/* All in leases. */
+/* All in worker leases. */
 #define INTENT_TIMEOUT_LEASES 0.5
-#define NO_CAPACITY_LEASES 1.0 /* so long a kind is not asked for again */
+#define NO_CAPACITY_LEASES 1.0 /* how long a refused kind of machine is not requested again */
 #define PARTIAL_CAPACITY_LEASES 0.5
 
-/* The owner of a rental whose machines go to whichever shards have the fewest: no member's name. */
+/* Recorded as owner of a rental whose machines are distributed evenly among the shards; not a valid member name. */
 #define BALANCED_OWNER "*"
 
 struct fc_rental_execution {
@@ -26,10 +26,10 @@
   fc_kv_watch *watch;
   fc_leadership *leadership;
   fc_capacity_refusals *refusals;
-  uint64_t name_counter; /* of the rentals named by this incarnation */
+  uint64_t name_counter; /* rentals named by this incarnation so far */
 };
 
-/* A copy of a recorded intent: the record may go while we wait. */
+/* A copy of a recorded intent, as the record may be removed while the routine is suspended. */
 typedef struct rental {
   char *name;
   fc_rental_record record;
@@ -87,7 +87,7 @@
 
 /* ---- recording intents ---- */
 
-/* The number of an incarnation never comes again, so neither does the name. */
+/* The name is unique, as the number of an incarnation is never reused. */
 static char *next_name(fc_rental_execution *execution) {
   return g_strdup_printf("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                          (guint64)fc_leadership_incarnation(execution->leadership), (guint64)++execution->name_counter);
@@ -103,7 +103,7 @@
   return intent;
 }
 
-/* The cloud is asked only after the intent is durable. */
+/* Records the intent, which has to be durable before the request to the cloud. */
 static bool record_intent(fc_rental_execution *execution, const fc_rental_request *request) {
   const fc_cluster *cluster = execution->cluster;
   fc_rental_record intent = intent_of(cluster, request);
@@ -139,7 +139,7 @@
                             fc_now() + execution->cluster->settings->lease_s * leases);
 }
 
-static void ask_cloud(const fc_rental_execution *execution, rental *rental) {
+static void request_machines(const fc_rental_execution *execution, rental *rental) {
   const fc_rental_record *record = &rental->record;
   if (!fc_cloud_access_acquire_as_leader(execution->cloud)) return;
   fc_cloud_result result =
@@ -155,12 +155,12 @@
 
 /* ---- the records of rented machines ---- */
 
-/* A batch of machine records that is being put together. */
+/* A batch of machine records to be written in one transaction. */
 typedef struct record_batch {
   const rental *rental;
-  unsigned assigned[FC_MEMBERS_MAX]; /* by member, as fc_cluster_balanced_owner() takes it; of all batches */
+  unsigned assigned[FC_MEMBERS_MAX]; /* by member, in all batches; for fc_cluster_balanced_owner() */
   fc_write *write;
-  unsigned count; /* records in it */
+  unsigned count; /* records in `write` */
 } record_batch;
 
 static void add_machine_record(const fc_cluster *cluster, record_batch *batch, const char *id) {
@@ -188,15 +188,15 @@
   guint next = first;
   for (; next < ids->len && batch->count < fc_group_commit_max_writes(execution->commit); next++) {
     const fc_machine *machine = fc_cluster_find_machine(execution->cluster, ids->pdata[next]);
-    bool worker_was_faster = machine && machine->record_version;
-    if (!worker_was_faster) add_machine_record(execution->cluster, batch, ids->pdata[next]);
+    bool already_recorded = machine && machine->record_version;
+    if (!already_recorded) add_machine_record(execution->cluster, batch, ids->pdata[next]);
   }
   return next;
 }
 
-/* Records the machines just rented, in as many transactions as it takes. Should this process end
- * in between, whoever repeats the rental gets the same names and writes the missing ones. False:
- * not all are known to be written; the intent is still there, and is repeated. */
+/* Records the machines just rented, in as many transactions as needed. If this process ends in between, the member that
+ * repeats the rental gets the same machine names and writes the missing records. Returns false if not all are known to
+ * be written; the intent is still recorded then, and will be repeated. */
 static bool record_machines(const fc_rental_execution *execution, const rental *rental) {
   const GPtrArray *ids = rental->machine_ids;
   char *key = intent_key(rental->name);
@@ -207,9 +207,9 @@
     batch.write = fc_write_new();
     batch.count = 0;
     fc_write_compare(batch.write, FC_KEY_TERM, term_version);
-    /* A late copy of this write finds no record of a machine also when it has been returned since;
-     * the intent is gone by then, for good (scene delayed_transactions_about_removed_records: a returned machine
-     * was on record again). */
+    /* For a delayed copy of this write, the machine's record is also missing if the machine has been returned since. So
+     * the write is conditional on the intent, which has been removed for good by then (scene
+     * delayed_transactions_about_removed_records: a returned machine was recorded again). */
     fc_write_compare(batch.write, key, rental->record.version);
     i = fill_batch(execution, &batch, i);
     ok = commit_write(execution, batch.write, WRITE_TIMEOUT_S, &revision) == FC_KV_OK;
@@ -231,7 +231,7 @@
   fc_kv_watch_wait_outcome(execution->watch, result, revision, fc_now() + READ_TIMEOUT_S);
 }
 
-/* ---- all of it ---- */
+/* ---- carrying out the recorded intents ---- */
 
 static GPtrArray *copy_intents(const fc_cluster *cluster) {
   GPtrArray *rentals = g_ptr_array_new_with_free_func(rental_free);
@@ -242,11 +242,10 @@
   return rentals;
 }
 
-/* All machines are asked for before the first is recorded: they start up meanwhile, and writing
- * their records takes its time. */
+/* Requests all machines before it records the first, so that they boot while the records are written. */
 void fc_rental_execution_carry_out(fc_rental_execution *execution) {
   GPtrArray *rentals = copy_intents(execution->cluster);
-  for (guint i = 0; i < rentals->len; i++) ask_cloud(execution, rentals->pdata[i]);
+  for (guint i = 0; i < rentals->len; i++) request_machines(execution, rentals->pdata[i]);
   for (guint i = 0; i < rentals->len; i++) {
     const rental *rental = rentals->pdata[i];
     if (!rental->outcome_known || !fc_leadership_held(execution->leadership)) continue;
--- a/src/controller/rental_execution.h
+++ b/src/controller/rental_execution.h
@@ -1,6 +1,6 @@
-/* Executes rentals: a rental is recorded in the key-value store as an intent before the cloud is
- * asked, so that any later renting member repeats it under the same name and gets the same
- * machines; it ends when the machines have records. Run by the first member of the term alone. */
+/* Executes rentals. A rental is recorded in the key-value store as an intent before the request to the cloud, so that a
+ * later renting member can repeat it under the same name and get the same machines. The intent is removed when the
+ * machines have records. Run by the first member of the term alone. */
 #ifndef FC_CONTROLLER_RENTAL_EXECUTION_H
 #define FC_CONTROLLER_RENTAL_EXECUTION_H
 
@@ -18,13 +18,12 @@
 fc_rental_execution *fc_rental_execution_new(fc_cluster *cluster, fc_cloud_access *cloud, fc_group_commit *commit,
                                              fc_kv_watch *watch, fc_leadership *leadership);
 
-/* Records the intents to rent what the queue and expected arrivals need. May suspend the calling
- * routine. */
+/* Plans what to rent for queued and expected jobs, and records the intents. May suspend the calling routine. */
 void fc_rental_execution_plan(fc_rental_execution *execution);
-/* Carries out all recorded intents, ours and those that other incarnations left. What fails stays
- * recorded. May suspend the calling routine. */
+/* Carries out all recorded intents, including those left by other incarnations. An intent that fails stays recorded.
+ * May suspend the calling routine. */
 void fc_rental_execution_carry_out(fc_rental_execution *execution);
-/* Is no intent recorded? */
+/* Whether no intent is recorded. */
 bool fc_rental_execution_idle(const fc_rental_execution *execution);
 
 #endif
--- a/src/controller/scaling.h
+++ b/src/controller/scaling.h
@@ -1,5 +1,5 @@
-/* The scaling duty. The first member of the term scales out for all shards, so that requests don't
- * race; every member scales in its own shard's machines. */
+/* The routine that scales the fleet. The first member of the term scales out for all shards, so that requests don't
+ * race; every member scales in the machines of its own shard. */
 #ifndef FC_CONTROLLER_SCALING_H
 #define FC_CONTROLLER_SCALING_H
 
@@ -16,7 +16,7 @@
 
 typedef struct fc_scaling fc_scaling;
 
-/* What it works with; everything has to outlive it. */
+/* The modules that it uses; all have to outlive it. */
 typedef struct fc_scaling_deps {
   fc_cluster *cluster;
   fc_cloud_access *cloud;
@@ -30,7 +30,7 @@
 
 /* Lives as long as its routine. */
 fc_scaling *fc_scaling_new(const fc_scaling_deps *deps);
-/* Starts its routine; false: out of memory. */
+/* Starts its routine. Returns false when out of memory. */
 bool fc_scaling_start(fc_scaling *scaling);
 
 #endif
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -9,22 +9,21 @@
 #include "scheduler/pending_tasks.h"
 #include "scheduler/preemption.h"
 
-/* Between rounds that wake-ups ask for, as a part of the regular interval: a burst is placed
- * together. */
-#define SPACING_ROUNDS 0.05
+/* Minimum pause between rounds, so that a burst of jobs is placed together; as a fraction of the regular interval. */
+#define MIN_PAUSE_ROUNDS 0.05
 
-/* With a long queue the costly part of a round is to look for places beyond free resources; it need
- * not follow every wake-up. As a part of the regular interval. */
-#define SEARCH_ROUNDS 0.25
+/* Minimum interval between searches for places beyond free resources, which are the costly part of a round with a long
+ * queue and needn't follow every wake-up; as a fraction of the regular interval. */
+#define SEARCH_INTERVAL_ROUNDS 0.25
 
-/* Rounds leave most of the processor to heartbeats, which come before decisions: a pause is this
- * many times as long as the round took. */
-#define PAUSE_PER_ROUND_TIME 4
+/* Each pause is at least this many times as long as the round before it, which leaves most of the processor to
+ * heartbeats: these have precedence over decisions. */
+#define PAUSE_ROUND_TIME_FACTOR 4
 
 struct fc_scheduling_loop {
   fc_scheduling_loop_deps deps;
-  uint64_t attempts;  /* begun by us since the start */
-  double searched_at; /* when places beyond free resources were last looked for */
+  uint64_t attempts;  /* begun by this process */
+  double searched_at; /* when places beyond free resources were last searched for */
   double logged_at;   /* when the status was last logged */
 };
 
@@ -34,12 +33,12 @@
   return loop;
 }
 
-/* Machines to be called at the end of the round, each once, in the order in which they were added. */
+/* Adds a machine to be called at the end of the round, unless it is in the list already. */
 static void add_call(GPtrArray *to_call, fc_machine *machine) {
   if (!g_ptr_array_find(to_call, machine, NULL)) g_ptr_array_add(to_call, machine);
 }
 
-/* Requests the stops, and frees their array. */
+/* Requests a stop for each of the placements, and frees the array. */
 static void preempt_placements(fc_scheduling_loop *loop, GPtrArray *stops, GPtrArray *to_call) {
   const fc_settings *settings = loop->deps.cluster->settings;
   fc_counters *counters = &loop->deps.metrics->counters;
@@ -47,7 +46,7 @@
     fc_placement *placement = stops->pdata[i];
     fc_worker_commands_request_stop(settings, placement);
     counters->preempted++;
-    /* Tasks that are placed and preempted over and over show here. */
+    /* Reveals tasks that are placed and preempted repeatedly. */
     counters->preempted_early += fc_now() < placement->created_at + settings->lease_s;
     g_debug("preempt task=%s/%u machine=%s", placement->job_id, placement->index, placement->machine->id);
     add_call(to_call, placement->machine);
@@ -101,7 +100,7 @@
   preempt_placements(loop, stops, to_call);
 }
 
-/* Has a task of ours, or a gang of any shard, found no place? */
+/* Whether a task of this shard, or a gang of any shard, has no place. */
 static bool any_tasks_pending(const fc_cluster *cluster) {
   int self = cluster->membership.self;
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
@@ -113,10 +112,10 @@
   return false;
 }
 
-/* Looks for places beyond free resources: by preemption, and in other shards. */
-static void search_further(fc_scheduling_loop *loop, double now, GPtrArray *to_call) {
+/* Searches for places beyond free resources: by preemption, and in other shards. */
+static void search_beyond_free_resources(fc_scheduling_loop *loop, double now, GPtrArray *to_call) {
   fc_cluster *cluster = loop->deps.cluster;
-  if (now < loop->searched_at + cluster->settings->operator_settings.round_s * SEARCH_ROUNDS) return;
+  if (now < loop->searched_at + cluster->settings->operator_settings.round_s * SEARCH_INTERVAL_ROUNDS) return;
   cluster->tasks_pending = any_tasks_pending(cluster);
   if (!cluster->tasks_pending) return;
   loop->searched_at = now;
@@ -128,8 +127,8 @@
 static bool check_own_machine(fc_scheduling_loop *loop, fc_machine *machine) {
   bool reconciled = fc_machine_reconciled(loop->deps.cluster, machine);
   bool call = !reconciled || fc_machine_probes_check(loop->deps.probes, machine);
-  /* Before it is reconciled a machine is sent nothing but the question what it holds. A task that
-   * was marked to be stopped by then never got the stop, where the machine sent no heartbeats. */
+  /* Not before it is reconciled, when a machine is only probed for its task list: a task marked to be stopped by then
+   * never got the stop if its machine sent no heartbeats. */
   if (reconciled) call |= fc_task_stops_unwanted(loop->deps.stops, machine);
   call |= fc_task_stops_drain(loop->deps.stops, machine);
   return call;
@@ -165,13 +164,13 @@
   check_machines(loop, to_call);
   place_tasks(loop, to_call);
   double now = fc_now();
-  search_further(loop, now, to_call);
+  search_beyond_free_resources(loop, now, to_call);
   add_due_calls(loop, now, to_call);
   for (guint i = 0; i < to_call->len; i++) fc_worker_calls_send(loop->deps.calls, to_call->pdata[i]);
   g_ptr_array_free(to_call, TRUE);
 }
 
-/* Once in a worker lease. */
+/* Logs the status once in a worker lease. */
 static void log_status(fc_scheduling_loop *loop) {
   if (fc_now() <= loop->logged_at + loop->deps.cluster->settings->lease_s) return;
   fc_status_log_write(&loop->deps.status);
@@ -191,7 +190,7 @@
     double took_s = fc_now() - began_at;
     fc_metrics_time(loop->deps.metrics, FC_TIME_ROUND, took_s);
     log_status(loop);
-    (void)fc_routine_sleep(MAX(round_s * SPACING_ROUNDS, took_s * PAUSE_PER_ROUND_TIME));
+    (void)fc_routine_sleep(MAX(round_s * MIN_PAUSE_ROUNDS, took_s * PAUSE_ROUND_TIME_FACTOR));
     if (count == fc_wakeups_count(wakeups, FC_WAKEUP_SCHEDULE))
       (void)fc_wakeups_wait(wakeups, FC_WAKEUP_SCHEDULE, began_at + round_s);
   }
--- a/src/controller/scheduling_loop.h
+++ b/src/controller/scheduling_loop.h
@@ -1,5 +1,5 @@
-/* The scheduling loop: in regular rounds, and at once when a job or free resources arrive, it
- * places, preempts and stops tasks of our shard, and has their machines called. */
+/* The scheduling loop. At regular intervals, and soon after a job or free resources arrive, it places, preempts and
+ * stops tasks of this shard, and starts the calls to their workers. */
 #ifndef FC_CONTROLLER_SCHEDULING_LOOP_H
 #define FC_CONTROLLER_SCHEDULING_LOOP_H
 
@@ -15,7 +15,7 @@
 
 typedef struct fc_scheduling_loop fc_scheduling_loop;
 
-/* What it works with; everything has to outlive it. */
+/* The modules that it uses; all have to outlive it. */
 typedef struct fc_scheduling_loop_deps {
   fc_cluster *cluster;
   const fc_leadership *leadership;
@@ -32,7 +32,7 @@
 
 /* Lives as long as its routine. */
 fc_scheduling_loop *fc_scheduling_loop_new(const fc_scheduling_loop_deps *deps);
-/* Starts its routine; false: out of memory. */
+/* Starts its routine. Returns false when out of memory. */
 bool fc_scheduling_loop_start(fc_scheduling_loop *loop);
 
 #endif
--- a/src/controller/shard_balancer.h
+++ b/src/controller/shard_balancer.h
@@ -1,5 +1,5 @@
-/* Balances the shards: hands slices over to where resources are free, and transfers machines to
- * gangs that no shard can hold. */
+/* Balances the shards: hands slices over to shards with free resources, and transfers machines for gangs that no shard
+ * can hold. */
 #ifndef FC_CONTROLLER_SHARD_BALANCER_H
 #define FC_CONTROLLER_SHARD_BALANCER_H
 
@@ -13,7 +13,7 @@
 fc_shard_balancer *fc_shard_balancer_new(const fc_cluster *cluster, fc_peers *peers, fc_handover_execution *handovers,
                                          fc_transfer_execution *transfers);
 
-/* Begins what this scheduling round has shown to be better elsewhere. Returns at once. */
+/* Plans and starts the handovers and machine transfers of this scheduling round. Returns at once. */
 void fc_shard_balancer_run(fc_shard_balancer *balancer);
 
 #endif
--- a/src/controller/task_completion.c
+++ b/src/controller/task_completion.c
@@ -7,10 +7,10 @@
 #include "scheduler/pending_tasks.h"
 #include "transport/routine.h"
 
-#define WRITE_RATE_SHARE 0.25  /* of our write rate, for ends that nobody waits for */
-#define GATHER_LEASES_MAX 2.0  /* they are gathered for no longer than so many worker leases */
-#define GATHER_JITTER_MIN 0.75 /* of the time that ends are gathered for */
-#define GATHER_JITTER_MAX 1.25
+#define WRITE_RATE_SHARE 0.25       /* of this member's write rate, for completions that no user or job waits for */
+#define BATCH_WINDOW_LEASES_MAX 2.0 /* in worker leases */
+#define BATCH_JITTER_MIN 0.75       /* factors on the batch window */
+#define BATCH_JITTER_MAX 1.25
 #define WRITE_TIMEOUT_S 10.0
 #define OUTCOME_TIMEOUT_S 2.0
 #define RETRY_MIN_S 0.05
@@ -22,7 +22,7 @@
   fc_group_commit *commit;
   fc_kv_watch *watch;
   fc_metrics *metrics;
-  GHashTable *recording; /* id of a job whose ends are being written -> fc_cond: another of its tasks has ended */
+  GHashTable *recording; /* id of a job whose completions are being written -> fc_cond: another task of it has ended */
 };
 
 typedef struct recording_routine {
@@ -56,7 +56,7 @@
   return count;
 }
 
-/* Fills in the bitmap of the tasks that are done, recorded or not. False: the record shows all. */
+/* Fills in the bitmap of the tasks that are done, recorded or not. Returns false if the record has them all. */
 static bool collect_done(const fc_job *job, uint8_t *bitmap) {
   bool unrecorded = false;
   memcpy(bitmap, job->completion.bitmap, fc_task_bitmap_bytes(job->spec.tasks));
@@ -67,15 +67,14 @@
     fc_task_bitmap_set(bitmap, placement->index);
     unrecorded = true;
   }
-  /* A gang completes together: if one task is done, all are. Waiting for the end of each left a
-   * gang incomplete for ever when a machine was lost in between (fault test, seed 23): the rest
-   * could not start as a gang again. */
+  /* A gang completes as a whole: if one task is done, all are. Waiting for each left a gang incomplete forever when a
+   * machine was lost in between (fault test, seed 23), as the remaining tasks could not start as a gang again. */
   if (unrecorded && job->spec.kind == FC_JOB_GANG)
     for (uint32_t i = 0; i < job->spec.tasks; i++) fc_task_bitmap_set(bitmap, i);
   return unrecorded;
 }
 
-/* Does a task of our slices still run, or wait to be started? */
+/* Whether a task in this shard still runs or is pending, so that more completions will follow. */
 static bool more_expected(const fc_cluster *cluster, const fc_job *job) {
   if (job->spec.kind == FC_JOB_GANG) return false; /* its tasks complete together */
   for (guint i = 0; i < job->placements->len; i++) {
@@ -85,21 +84,21 @@
   return fc_job_has_pending_tasks(job, cluster->membership.self);
 }
 
-/* How long ends are gathered before they are written: for a scheduling round, or as long as it
- * takes to keep to their share of the write rate. With fifty arrays that ran they took all of it,
- * and users' submissions were refused for minutes. */
-static double gather_time_s(const fc_task_completion *completion) {
+/* How long completions are gathered before they are written together: a scheduling round, or longer if needed to stay
+ * within their share of the write rate. Without that share, fifty running arrays used up the write rate, and
+ * submissions were refused for minutes. */
+static double batch_window_s(const fc_task_completion *completion) {
   const fc_settings *settings = completion->cluster->settings;
   double jobs = g_hash_table_size(completion->recording);
   double spacing_s = jobs / (fc_group_commit_rate(completion->commit) * WRITE_RATE_SHARE);
-  return CLAMP(spacing_s, settings->operator_settings.round_s, settings->lease_s * GATHER_LEASES_MAX);
+  return CLAMP(spacing_s, settings->operator_settings.round_s, settings->lease_s * BATCH_WINDOW_LEASES_MAX);
 }
 
-/* Waits for more ends of the job: an array of 150 would be written 150 times. The last ones are
- * written at once: users and dependent jobs wait for them. */
-static void gather_ends(fc_task_completion *completion, const char *job_id) {
+/* Waits for more completions of the job: an array of 150 tasks would be written 150 times otherwise. The last ones are
+ * written at once, as users and dependent jobs wait for them. */
+static void wait_for_batch(fc_task_completion *completion, const char *job_id) {
   const fc_cluster *cluster = completion->cluster;
-  double until = fc_now() + gather_time_s(completion) * g_random_double_range(GATHER_JITTER_MIN, GATHER_JITTER_MAX);
+  double until = fc_now() + batch_window_s(completion) * g_random_double_range(BATCH_JITTER_MIN, BATCH_JITTER_MAX);
   for (;;) {
     const fc_job *job = fc_cluster_find_job(cluster, job_id);
     if (!job || job->phase != FC_PHASE_ACCEPTED || !more_expected(cluster, job)) return;
@@ -112,9 +111,9 @@
   return fc_job_record_write(cluster, job, phase, done, job->record.handed_to, &job->record.origin);
 }
 
-/* The write of what has ended, and *count of the tasks that are done. NULL: nothing has ended, or
- * nothing of it has room in the record before more has. Tasks that are not recorded stay on their
- * machines. */
+/* Builds the write of the completions, and sets *count to the number of tasks that are done. Returns NULL if there are
+ * no new ones, or none of them fits into the record until more tasks have ended. Tasks that are not recorded stay in
+ * the lists of their workers. */
 static fc_write *prepare_write(const fc_cluster *cluster, const fc_job *job, uint32_t *count) {
   uint8_t *ended = g_malloc0(fc_task_bitmap_bytes(job->spec.tasks)),
           *fitting = g_malloc0(fc_task_bitmap_bytes(job->spec.tasks));
@@ -131,8 +130,8 @@
   return write;
 }
 
-/* Writes what has ended so far. False: there is nothing to write. */
-static bool write_ends(fc_task_completion *completion, const char *job_id) {
+/* Writes the completions so far. Returns false if there is nothing to write. */
+static bool write_completions(fc_task_completion *completion, const char *job_id) {
   const fc_job *job = fc_cluster_find_job(completion->cluster, job_id);
   if (!job || job->phase != FC_PHASE_ACCEPTED || fc_routine_cancelled()) return false;
   uint32_t count = 0;
@@ -142,7 +141,7 @@
   fc_kv_result result = fc_group_commit_write(completion->commit, write, FC_WRITE_PRIORITY_HEARTBEAT,
                                               fc_now() + WRITE_TIMEOUT_S, &revision);
   if (result == FC_KV_OK) {
-    g_debug("recorded job=%s done=%u", job_id, count);
+    g_debug("recorded completions job=%s done=%u", job_id, count);
   } else {
     (void)fc_routine_sleep(g_random_double_range(RETRY_MIN_S, RETRY_MAX_S));
   }
@@ -150,7 +149,7 @@
   return true;
 }
 
-/* What is recorded may now be forgotten by its worker. */
+/* Marks the tasks whose ends are recorded, which their workers may now forget. */
 static void mark_recorded(const fc_job *job) {
   for (guint i = 0; i < job->placements->len; i++) {
     fc_placement *placement = job->placements->pdata[i];
@@ -160,15 +159,15 @@
   }
 }
 
-/* The routine that records the ends of one job, until there are none left to be written. */
+/* Routine that records the completions of one job until none is left to be written. */
 static void run_recording(void *arg) {
   const recording_routine routine = *(recording_routine *)arg;
   g_free(arg);
   fc_task_completion *completion = routine.completion;
   fc_metrics_enter_duty(completion->metrics, FC_DUTY_COMMITS);
   do {
-    gather_ends(completion, routine.job_id);
-  } while (write_ends(completion, routine.job_id));
+    wait_for_batch(completion, routine.job_id);
+  } while (write_completions(completion, routine.job_id));
   g_hash_table_remove(completion->recording, routine.job_id);
   const fc_job *job = fc_cluster_find_job(completion->cluster, routine.job_id);
   if (job) mark_recorded(job);
@@ -199,7 +198,7 @@
     fc_task_completion_record(completion, placement->job_id);
     return;
   }
-  /* A job that is not in memory ended long ago, if everything has been read since. */
+  /* A job that is missing in the cluster state has ended, if the store has been read since the placement was made. */
   if (done && !job && placement->created_at + cluster->settings->heartbeat_s >= cluster->sync.read_at) return;
   placement->end_recorded = true;
 }
--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -4,7 +4,7 @@
 #include "controller/decided_write.h"
 #include "controller/worker_commands.h"
 
-/* A machine stays reserved for its gang so long, in scheduling rounds. */
+/* How long a machine stays reserved for its gang, in scheduling rounds. */
 #define RESERVATION_ROUNDS 2
 
 struct fc_transfer_execution {
@@ -19,9 +19,9 @@
 typedef struct record_transfer {
   fc_transfer_execution *execution;
   char id[64];
-  char to[64];           /* name of a member */
+  char to[64];           /* name of the new owner */
   uint64_t version;      /* of the machine's record, on which the write is conditional */
-  uint64_t term_version; /* of the present term, likewise */
+  uint64_t term_version; /* of the present term; the write is conditional on it too */
 } record_transfer;
 
 fc_transfer_execution *fc_transfer_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
@@ -41,8 +41,8 @@
   return fc_machine_record_write(transfer->id, transfer->version, transfer->term_version, &record);
 }
 
-/* The routine of one transfer. From the moment at which the record may have changed we neither
- * answer the machine's worker nor command it. */
+/* Routine that transfers one machine. Once the record may have changed, this member neither answers the machine's
+ * worker nor sends it commands. */
 static void run(void *arg) {
   record_transfer *transfer = arg;
   fc_transfer_execution *execution = transfer->execution;
@@ -52,7 +52,7 @@
   g_free(transfer);
 }
 
-/* Preempts what has a lower priority than the gang; the machine is transferred once it is empty. */
+/* Preempts the tasks on the machine that the gang may preempt; the machine is transferred once it is empty. */
 static void preempt_for(fc_transfer_execution *execution, fc_machine *machine, const fc_job *gang) {
   bool any = false;
   for (guint i = 0; i < machine->placements->len; i++) {
