--- a/src/controller/job_lookup.h
+++ b/src/controller/job_lookup.h
@@ -24,14 +24,14 @@
  * unreachable. May suspend the calling routine. */
 bool fc_job_lookup_wait_current(fc_job_lookup *lookup, const char *id, double deadline);
 
-/* Answers with the job's state. `counts`: include the numbers of tasks. */
-void fc_job_lookup_answer(fc_http_response *response, int status, const fc_job *job, bool counts);
+/* Answers with the job's state. `with_counts`: include the numbers of tasks. */
+void fc_job_lookup_answer(fc_http_response *response, int status, const fc_job *job, bool with_counts);
 /* Answers if the job is in the cluster state, which the caller has just made sure is current, or in the archive, or if
  * the archive can't be read now. Returns whether it has answered. May suspend the calling routine. */
-bool fc_job_lookup_answer_if_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts);
+bool fc_job_lookup_answer_if_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool with_counts);
 /* Waits until the cluster state is current, then answers with the job's state, or with the error if no such job is
  * known: a job that was accepted once is never refused. May suspend the calling routine. */
-void fc_job_lookup_refuse_unless_known(fc_job_lookup *lookup, fc_http_response *response, const char *id, bool counts,
-                                       int status, const char *error, double deadline);
+void fc_job_lookup_refuse_unless_known(fc_job_lookup *lookup, fc_http_response *response, const char *id,
+                                       bool with_counts, int status, const char *error, double deadline);
 
 #endif
--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -109,7 +109,8 @@
   g_ptr_array_free(jobs, TRUE);
 }
 
-void fc_quota_room_find(const fc_cluster *cluster, const fc_quota_record *quota, fc_quota_tally *tally, double now) {
+void fc_quota_room_find_unplaceable(const fc_cluster *cluster, const fc_quota_record *quota, fc_quota_tally *tally,
+                                    double now) {
   fc_gang_order order;
   bool order_taken = false;
   for (size_t team = 0; team < cluster->settings->team_count; team++) {
--- a/src/controller/quota_room.h
+++ b/src/controller/quota_room.h
@@ -5,8 +5,9 @@
 #include "bookkeeping/cluster.h"
 #include "controller/quota_tally.h"
 
-/* Adds up the tally's unplaceable amounts, for teams of which one member leaves a part of its share unused while
+/* Sets the tally's unplaceable amounts, for teams of which one member leaves a part of its share unused while
  * another lacks some. Only there they make a difference worth a pass over all machines. `now`: steady time. */
-void fc_quota_room_find(const fc_cluster *cluster, const fc_quota_record *quota, fc_quota_tally *tally, double now);
+void fc_quota_room_find_unplaceable(const fc_cluster *cluster, const fc_quota_record *quota, fc_quota_tally *tally,
+                                    double now);
 
 #endif
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -149,7 +149,7 @@
 static bool plan_change(fc_quota_shares *shares) {
   *shares->next = shares->cluster->quota.record;
   fc_quota_tally_take(shares->cluster, false, shares->tally);
-  fc_quota_room_find(shares->cluster, shares->next, shares->tally, fc_now());
+  fc_quota_room_find_unplaceable(shares->cluster, shares->next, shares->tally, fc_now());
   log_demand(shares);
   /* While there are caps the record is written even if unchanged: otherwise a write of unknown outcome would leave them
    * in force for good (fault test, seed 510: a gang stayed pending forever although its share sufficed). */
--- a/src/controller/quota_tally.h
+++ b/src/controller/quota_tally.h
@@ -10,7 +10,8 @@
 /* Use and demand by member of the present term, then by team. */
 typedef struct fc_quota_tally {
   fc_quota_demand cpus[FC_MEMBERS_MAX][FC_TEAMS_MAX], gpus[FC_MEMBERS_MAX][FC_TEAMS_MAX];
-  /* Part of the wanted amount that has no room on the member's machines now; 0 unless fc_quota_room_find() set it. */
+  /* Part of the wanted amount that has no room on the member's machines now; 0 unless fc_quota_room_find_unplaceable()
+   * set it. */
   double unplaceable_cpus[FC_MEMBERS_MAX][FC_TEAMS_MAX], unplaceable_gpus[FC_MEMBERS_MAX][FC_TEAMS_MAX];
 } fc_quota_tally;
 
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -103,7 +103,8 @@
   return intent;
 }
 
-/* Records the intent, which has to be durable before the request to the cloud. */
+/* Records the intent, which has to be durable before the request to the cloud. Returns whether it is recorded, and has
+ * been read. */
 static bool record_intent(fc_rental_execution *execution, const fc_rental_request *request) {
   const fc_cluster *cluster = execution->cluster;
   fc_rental_record intent = intent_of(cluster, request);
--- a/src/controller/scaling.c
+++ b/src/controller/scaling.c
@@ -32,7 +32,7 @@
   return scaling;
 }
 
-/* Rents machines for all shards; run by one member alone. */
+/* Rents machines, and returns orphaned ones, for all shards; run by one member alone. */
 static void scale_out(const fc_scaling *scaling) {
   fc_rental_execution_carry_out(scaling->rentals);
   if (fc_rental_execution_idle(scaling->rentals) && fc_leadership_held(scaling->leadership))
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -129,7 +129,7 @@
   bool call = !reconciled || fc_machine_probes_check(loop->deps.probes, machine);
   /* Not before it is reconciled, when a machine is only probed for its task list: a task marked to be stopped by then
    * never got the stop if its machine sent no heartbeats. */
-  if (reconciled) call |= fc_task_stops_unwanted(loop->deps.stops, machine);
+  if (reconciled) call |= fc_task_stops_request_unwanted(loop->deps.stops, machine);
   call |= fc_task_stops_drain(loop->deps.stops, machine);
   return call;
 }
--- a/src/controller/task_stops.c
+++ b/src/controller/task_stops.c
@@ -24,13 +24,13 @@
          job->placements->len < job->spec.tasks - job->completion.count;
 }
 
-bool fc_task_stops_unwanted(fc_task_stops *stops, fc_machine *machine) {
+bool fc_task_stops_request_unwanted(fc_task_stops *stops, fc_machine *machine) {
   bool any = false;
   for (guint i = 0; i < machine->placements->len; i++) {
     fc_placement *placement = machine->placements->pdata[i];
     bool stopping_at_once = placement->stop.requested && placement->stop.grace_s <= 0;
     if (placement->status.state == FC_TASK_EXITED || stopping_at_once) continue;
-    if (!is_orphaned(placement) && !fc_worker_commands_unwanted(stops->cluster, placement)) continue;
+    if (!is_orphaned(placement) && !fc_worker_commands_task_unwanted(stops->cluster, placement)) continue;
     placement->stop.requested = true;
     placement->stop.grace_s = 0;
     any = true;
--- a/src/controller/task_stops.h
+++ b/src/controller/task_stops.h
@@ -13,7 +13,7 @@
 
 /* Requests a stop, without time for a checkpoint, for tasks on the machine that must not run any more. Returns whether
  * there were any. */
-bool fc_task_stops_unwanted(fc_task_stops *stops, fc_machine *machine);
+bool fc_task_stops_request_unwanted(fc_task_stops *stops, fc_machine *machine);
 /* Drains a machine that the cloud is about to reclaim, or that will be returned as faulty: tasks that can save a
  * checkpoint are stopped, to resume elsewhere. Returns whether a stop was requested that the caller has to send. */
 bool fc_task_stops_drain(fc_task_stops *stops, fc_machine *machine);
--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -16,13 +16,13 @@
 };
 
 /* The transfer of one machine. */
-typedef struct record_transfer {
+typedef struct pending_transfer {
   fc_transfer_execution *execution;
   char id[64];
   char to[64];           /* name of the new owner */
   uint64_t version;      /* of the machine's record, on which the write is conditional */
   uint64_t term_version; /* of the present term; the write is conditional on it too */
-} record_transfer;
+} pending_transfer;
 
 fc_transfer_execution *fc_transfer_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                                  fc_worker_calls *calls, fc_metrics *metrics) {
@@ -33,7 +33,7 @@
 }
 
 static fc_write *make_write(const fc_cluster *cluster, const void *arg) {
-  const record_transfer *transfer = arg;
+  const pending_transfer *transfer = arg;
   const fc_machine *machine = fc_cluster_find_machine(cluster, transfer->id);
   if (!machine || machine->record_version != transfer->version) return NULL;
   fc_machine_record record = machine->record;
@@ -44,7 +44,7 @@
 /* Routine that transfers one machine. Once the record may have changed, this member neither answers the machine's
  * worker nor sends it commands. */
 static void run(void *arg) {
-  record_transfer *transfer = arg;
+  pending_transfer *transfer = arg;
   fc_transfer_execution *execution = transfer->execution;
   fc_decided_write(execution->cluster, execution->commit, execution->watch, make_write, transfer);
   fc_machine *machine = fc_cluster_find_machine(execution->cluster, transfer->id);
@@ -70,7 +70,7 @@
 
 static void begin_transfer(fc_transfer_execution *execution, fc_machine *machine, int to) {
   const fc_membership *membership = &execution->cluster->membership;
-  record_transfer *transfer = g_new0(record_transfer, 1);
+  pending_transfer *transfer = g_new0(pending_transfer, 1);
   transfer->execution = execution;
   transfer->version = machine->record_version;
   transfer->term_version = membership->term_version;
--- a/src/controller/worker_calls.c
+++ b/src/controller/worker_calls.c
@@ -7,9 +7,9 @@
 #include "protocol/worker_api.h"
 #include "transport/routine.h"
 
-#define FDS_PER_CALL 8u /* one of so many file descriptors may be used for direct calls */
+#define FDS_PER_CALL 8u /* direct calls may use one in this many file descriptors */
 #define CALLS_MIN 2u
-#define FENCES_AND_PROBES_DIVISOR 2u /* of these, the part open to calls that fence or probe */
+#define FENCES_AND_PROBES_DIVISOR 2u /* calls that fence or probe may use one in this many of those */
 #define CALL_TIMEOUT_HEARTBEATS 0.75
 #define CALLS_PER_ROUTINE_MAX 2 /* the second fences with the epoch that the answer to the first has shown */
 #define MACHINE_ID_BYTES 64
--- a/src/controller/worker_commands.c
+++ b/src/controller/worker_commands.c
@@ -27,7 +27,7 @@
   g_free(commands);
 }
 
-bool fc_worker_commands_unwanted(const fc_cluster *cluster, const fc_placement *placement) {
+bool fc_worker_commands_task_unwanted(const fc_cluster *cluster, const fc_placement *placement) {
   const fc_job *job = placement->job;
   if (job) return !fc_job_runnable(job) || fc_job_task_done(job, placement->index);
   /* A job that is missing in the cluster state, although the store has been read since, has ended. */
@@ -60,7 +60,7 @@
   /* This includes a start that no heartbeat has listed: the worker ignores a stop of a task that it doesn't have. */
   command->op = FC_COMMAND_STOP;
   /* If the job is cancelled while the task writes a checkpoint, a second stop ends it at once. */
-  command->grace_s = fc_worker_commands_unwanted(commands->cluster, placement) ? 0 : placement->stop.grace_s;
+  command->grace_s = fc_worker_commands_task_unwanted(commands->cluster, placement) ? 0 : placement->stop.grace_s;
   return true;
 }
 
@@ -102,7 +102,7 @@
   bool exited = placement->status.state == FC_TASK_EXITED;
   /* Checked right before a start is sent: the job may have been cancelled since the scheduling round. */
   if (!exited && !placement->status.reported && !placement->stop.requested &&
-      fc_worker_commands_unwanted(commands->cluster, placement)) {
+      fc_worker_commands_task_unwanted(commands->cluster, placement)) {
     placement->stop.requested = true;
     placement->stop.grace_s = 0;
   }
--- a/src/controller/worker_commands.h
+++ b/src/controller/worker_commands.h
@@ -22,7 +22,7 @@
 GArray *fc_worker_commands_for_answer(fc_worker_commands *commands, fc_machine *machine, uint64_t sequence);
 
 /* Whether the task must not run any more: it is done, or its job has ended. */
-bool fc_worker_commands_unwanted(const fc_cluster *cluster, const fc_placement *placement);
+bool fc_worker_commands_task_unwanted(const fc_cluster *cluster, const fc_placement *placement);
 /* Marks the task, whose job has to be in the cluster state, to be stopped with enough time for a checkpoint. The stop
  * is sent with the next call or answer. */
 void fc_worker_commands_request_stop(const fc_settings *settings, fc_placement *placement);
