--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -4,9 +4,12 @@
 #include "controller/decided_write.h"
 #include "controller/worker_commands.h"
 
-/* A machine stays reserved for its gang so long, in scheduling rounds. */
+/* How long a machine stays reserved for its gang, in scheduling rounds. */
 #define RESERVATION_ROUNDS 2
 
+#define MACHINE_ID_BYTES 64
+#define MEMBER_NAME_BYTES 64
+
 struct fc_transfer_execution {
   fc_cluster *cluster;
   fc_group_commit *commit;
@@ -16,13 +19,13 @@
 };
 
 /* The transfer of one machine. */
-typedef struct record_transfer {
+typedef struct pending_transfer {
   fc_transfer_execution *execution;
-  char id[64];
-  char to[64];           /* name of a member */
-  uint64_t version;      /* of the machine's record, on which the write is conditional */
-  uint64_t term_version; /* of the present term, likewise */
-} record_transfer;
+  char id[MACHINE_ID_BYTES];
+  char to[MEMBER_NAME_BYTES]; /* name of the new owner */
+  uint64_t version;           /* of the machine's record, on which the write is conditional */
+  uint64_t term_version;      /* of the present term; the write is conditional on it too */
+} pending_transfer;
 
 fc_transfer_execution *fc_transfer_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                                  fc_worker_calls *calls, fc_metrics *metrics) {
@@ -33,7 +36,7 @@
 }
 
 static fc_write *make_write(const fc_cluster *cluster, const void *arg) {
-  const record_transfer *transfer = arg;
+  const pending_transfer *transfer = arg;
   const fc_machine *machine = fc_cluster_find_machine(cluster, transfer->id);
   if (!machine || machine->record_version != transfer->version) return NULL;
   fc_machine_record record = machine->record;
@@ -41,10 +44,10 @@
   return fc_machine_record_write(transfer->id, transfer->version, transfer->term_version, &record);
 }
 
-/* The routine of one transfer. From the moment at which the record may have changed we neither
- * answer the machine's worker nor command it. */
+/* Routine that transfers one machine. Once the record may have changed, this member neither answers the machine's
+ * worker nor sends it commands. */
 static void run(void *arg) {
-  record_transfer *transfer = arg;
+  pending_transfer *transfer = arg;
   fc_transfer_execution *execution = transfer->execution;
   fc_decided_write(execution->cluster, execution->commit, execution->watch, make_write, transfer);
   fc_machine *machine = fc_cluster_find_machine(execution->cluster, transfer->id);
@@ -52,7 +55,7 @@
   g_free(transfer);
 }
 
-/* Preempts what has a lower priority than the gang; the machine is transferred once it is empty. */
+/* Preempts the tasks on the machine that the gang may preempt; the machine is transferred once it is empty. */
 static void preempt_for(fc_transfer_execution *execution, fc_machine *machine, const fc_job *gang) {
   bool any = false;
   for (guint i = 0; i < machine->placements->len; i++) {
@@ -71,7 +74,7 @@
 
 static void begin_transfer(fc_transfer_execution *execution, fc_machine *machine, int to) {
   const fc_membership *membership = &execution->cluster->membership;
-  record_transfer *transfer = g_new0(record_transfer, 1);
+  pending_transfer *transfer = g_new0(pending_transfer, 1);
   transfer->execution = execution;
   transfer->version = machine->record_version;
   transfer->term_version = membership->term_version;
