--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -143,7 +143,7 @@
                           .slices = fc_job_slices(submitted->spec, cluster->settings->operator_settings.split_limit)};
   bool fit[FC_MEMBERS_MAX];
   for (size_t member = 0; member < term->count; member++)
-    fit[member] = fc_peers_member_fit(admission->peers, (int)member);
+    fit[member] = fc_peers_member_healthy(admission->peers, (int)member);
   fc_assign_new_job_slices(cluster, fit, submitted->spec, record.slices, record.handed_to);
   return record;
 }
--- a/src/controller/client_server.c
+++ b/src/controller/client_server.c
@@ -28,7 +28,7 @@
   double began_at = fc_now();
   fc_metrics_enter_duty(metrics, FC_DUTY_SUBMISSIONS);
   fc_admission_submit(server->deps.admission, request, response);
-  fc_metrics_time(metrics, FC_TIME_SUBMIT, fc_now() - began_at);
+  fc_metrics_observe_duration(metrics, FC_DURATION_SUBMIT, fc_now() - began_at);
 }
 
 static void serve_poll(const fc_client_server *server, const char *id, fc_http_response *response) {
@@ -36,7 +36,7 @@
   double began_at = fc_now();
   fc_metrics_enter_duty(metrics, FC_DUTY_QUERIES);
   fc_job_queries_poll(server->deps.queries, id, response);
-  fc_metrics_time(metrics, FC_TIME_POLL, fc_now() - began_at);
+  fc_metrics_observe_duration(metrics, FC_DURATION_POLL, fc_now() - began_at);
 }
 
 static void serve_readiness(const fc_client_server *server, fc_http_response *response) {
--- a/src/controller/machine_disposal.c
+++ b/src/controller/machine_disposal.c
@@ -72,7 +72,7 @@
       !fc_reachability_probed_in_vain(disposal->cluster, disposal->leadership, machine))
     return false;
   double coverage_s = disposal->cluster->settings->heartbeat_s * PEER_COVERAGE_HEARTBEATS;
-  return fc_peers_all_covered(disposal->peers, fc_now() - coverage_s);
+  return fc_peers_all_renewals_known(disposal->peers, fc_now() - coverage_s);
 }
 
 static bool lost(const fc_machine_disposal *disposal, const fc_machine *machine, const assessment *now) {
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -7,7 +7,7 @@
 /* Within the last bin, which counts what lies beyond it. */
 #define LAST_BIN 0.999
 
-static const char *const k_time_names[FC_TIMES] = {"submit", "poll", "start", "round"};
+static const char *const k_time_names[FC_DURATIONS] = {"submit", "poll", "start", "round"};
 
 static const char *const k_duty_names[FC_DUTIES] = {
     "other", "reports", "commands", "rounds",       "rental",      "views_sent", "views_taken",
@@ -20,7 +20,7 @@
   edges[0] = 0;
   edges[1] = FIRST_EDGE_S;
   for (unsigned i = 2; i <= BINS; i++) edges[i] = edges[i - 1] * EDGE_GROWTH;
-  for (int i = 0; i < FC_TIMES; i++) {
+  for (int i = 0; i < FC_DURATIONS; i++) {
     metrics->times[i] = gsl_histogram_alloc(BINS);
     if (!metrics->times[i]) g_error("out of memory");
     (void)gsl_histogram_set_ranges(metrics->times[i], edges, BINS + 1);
@@ -30,11 +30,11 @@
 
 void fc_metrics_free(fc_metrics *metrics) {
   if (!metrics) return;
-  for (int i = 0; i < FC_TIMES; i++) gsl_histogram_free(metrics->times[i]);
+  for (int i = 0; i < FC_DURATIONS; i++) gsl_histogram_free(metrics->times[i]);
   g_free(metrics);
 }
 
-void fc_metrics_time(fc_metrics *metrics, fc_time which, double seconds) {
+void fc_metrics_observe_duration(fc_metrics *metrics, fc_duration_metric which, double seconds) {
   gsl_histogram *histogram = metrics->times[which];
   double max = gsl_histogram_max(histogram) * LAST_BIN;
   (void)gsl_histogram_increment(histogram, CLAMP(seconds, 0, max));
@@ -82,5 +82,5 @@
 
 void fc_metrics_append(const fc_metrics *metrics, GString *out) {
   for (int i = 0; i < FC_DUTIES; i++) append_usage(&metrics->usage[i], k_duty_names[i], out);
-  for (int i = 0; i < FC_TIMES; i++) append_times(metrics->times[i], k_time_names[i], out);
+  for (int i = 0; i < FC_DURATIONS; i++) append_times(metrics->times[i], k_time_names[i], out);
 }
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -10,26 +10,26 @@
 
 /* Durations in seconds. */
 typedef enum {
-  FC_TIME_SUBMIT, /* from a submission until its answer */
-  FC_TIME_POLL,   /* from a question about a job until its answer */
-  FC_TIME_START,  /* from placing a task until it runs */
-  FC_TIME_ROUND,  /* a scheduling round */
-  FC_TIMES
-} fc_time;
+  FC_DURATION_SUBMIT, /* from a submission until its answer */
+  FC_DURATION_POLL,   /* from a question about a job until its answer */
+  FC_DURATION_START,  /* from placing a task until it runs */
+  FC_DURATION_ROUND,  /* a scheduling round */
+  FC_DURATIONS
+} fc_duration_metric;
 
 /* What the processor is used for. */
 typedef enum {
-  FC_DUTY_OTHER,       /* connections that have not asked for anything yet */
-  FC_DUTY_HEARTBEATS,  /* workers' heartbeats and the answers to them */
-  FC_DUTY_COMMANDS,    /* direct calls to workers */
-  FC_DUTY_ROUNDS,      /* placing, preempting, handing over */
-  FC_DUTY_RENTAL,      /* renting and returning machines */
-  FC_DUTY_VIEWS_SENT,  /* views to peers and their acknowledgements */
-  FC_DUTY_VIEWS_TAKEN, /* peers' views */
-  FC_DUTY_WATCH,       /* reads of changes */
-  FC_DUTY_LOAD,        /* reading everything: at start, or after too long a silence */
-  FC_DUTY_COMMITS,     /* transactions */
-  FC_DUTY_MEMBERSHIP,  /* the lease, terms, quota shares */
+  FC_DUTY_OTHER,          /* connections that have not asked for anything yet */
+  FC_DUTY_HEARTBEATS,     /* workers' heartbeats and the answers to them */
+  FC_DUTY_COMMANDS,       /* direct calls to workers */
+  FC_DUTY_ROUNDS,         /* placing, preempting, handing over */
+  FC_DUTY_RENTAL,         /* renting and returning machines */
+  FC_DUTY_VIEWS_SENT,     /* views to peers and their acknowledgements */
+  FC_DUTY_VIEWS_RECEIVED, /* peers' views */
+  FC_DUTY_WATCH,          /* reads of changes */
+  FC_DUTY_LOAD,           /* reading everything: at start, or after too long a silence */
+  FC_DUTY_COMMITS,        /* transactions */
+  FC_DUTY_MEMBERSHIP,     /* the lease, terms, quota shares */
   FC_DUTY_SUBMISSIONS,
   FC_DUTY_QUERIES, /* questions about jobs, and cancellations */
   FC_DUTIES
@@ -56,14 +56,14 @@
 
 typedef struct fc_metrics {
   fc_counters counters;
-  gsl_histogram *times[FC_TIMES];
+  gsl_histogram *times[FC_DURATIONS];
   fc_usage usage[FC_DUTIES];
 } fc_metrics;
 
 /* The caller frees it with fc_metrics_free(). */
 fc_metrics *fc_metrics_new(void);
 void fc_metrics_free(fc_metrics *metrics);
-void fc_metrics_time(fc_metrics *metrics, fc_time which, double seconds);
+void fc_metrics_observe_duration(fc_metrics *metrics, fc_duration_metric which, double seconds);
 /* Counts what the calling routine uses from now on as the duty's. */
 void fc_metrics_enter_duty(fc_metrics *metrics, fc_duty duty);
 /* Logs, one line a duty, what has been used since the start. */
--- a/src/controller/outage_suspicion.c
+++ b/src/controller/outage_suspicion.c
@@ -21,7 +21,7 @@
  * day "zone"). */
 static bool state_known(const fc_cluster *cluster, fc_peers *peers, const fc_machine *machine, bool silent) {
   if (fc_machine_owned_by_self(cluster, machine)) return machine->agent.reported || silent;
-  return fc_machine_reconciled(cluster, machine) && fc_peers_member_fit(peers, machine->owner);
+  return fc_machine_reconciled(cluster, machine) && fc_peers_member_healthy(peers, machine->owner);
 }
 
 fc_outage_suspicion fc_outage_suspicion_assess(const fc_cluster *cluster, fc_peers *peers, double now) {
--- a/src/controller/peer_view.c
+++ b/src/controller/peer_view.c
@@ -41,7 +41,7 @@
   g_free(views);
 }
 
-double fc_peer_view_spacing_s(const fc_settings *settings, double lag_s) {
+double fc_peer_view_min_interval_s(const fc_settings *settings, double lag_s) {
   double min_s = settings->heartbeat_s * SPACING_MIN_HEARTBEATS;
   double max_s = settings->heartbeat_s * SPACING_MAX_HEARTBEATS;
   double affordable_s = EXCHANGE_COST_S * (double)settings->peer_count / (EXCHANGES_CPU_SHARE * settings->cpu);
@@ -116,7 +116,7 @@
  * that the machine is ours, and then it has ignored what we said. */
 static bool is_news(const fc_peer *peer, const fc_machine *machine) {
   const fc_peer_acknowledged *acknowledged = &peer->acknowledged;
-  return !acknowledged->sequence || machine->view.changed_in > acknowledged->view ||
+  return !acknowledged->sequence || machine->view.changed_in > acknowledged->view_number ||
          machine->record_version > acknowledged->revision;
 }
 
@@ -223,10 +223,10 @@
   /* A new incarnation of the sender, or a new term: what we hold of it is no base any more. */
   if (received->incarnation != view->incarnation || received->term != view->term)
     *received = (fc_received_view){.incarnation = view->incarnation, .term = view->term};
-  if (view->piece == 0 && !begin_view(received, view)) return FC_VIEW_BROKEN;
-  if (view->sequence != received->partial_sequence) return FC_VIEW_BROKEN;
+  if (view->piece == 0 && !begin_view(received, view)) return FC_VIEW_OUT_OF_ORDER;
+  if (view->sequence != received->partial_sequence) return FC_VIEW_OUT_OF_ORDER;
   if (received->next_part == SKIP_VIEW) return FC_VIEW_IGNORED;
-  if (view->piece != received->next_part) return FC_VIEW_BROKEN;
+  if (view->piece != received->next_part) return FC_VIEW_OUT_OF_ORDER;
   received->next_part++;
   if (view->last) received->sequence = view->sequence;
   return FC_VIEW_APPLIED;
--- a/src/controller/peer_view.h
+++ b/src/controller/peer_view.h
@@ -27,16 +27,16 @@
 /* Seconds from the beginning of one exchange with a peer to that of the next, at least. Exchanges
  * cost at most a small part of the processor, and a controller that lags behind by `lag_s` makes
  * fewer; a peer hears of changes within a heartbeat interval all the same. */
-double fc_peer_view_spacing_s(const fc_settings *settings, double lag_s);
+double fc_peer_view_min_interval_s(const fc_settings *settings, double lag_s);
 
 /* Appends a view of our machines for the peer, in as many frames as it takes: all of them, or what
  * has changed since the newest view that it has acknowledged. */
 void fc_peer_views_encode(fc_peer_views *views, const fc_peer *peer, uint64_t sequence, GByteArray *out);
 
 typedef enum {
-  FC_VIEW_BROKEN,  /* pieces are missing, or it is late: the link has to be closed */
-  FC_VIEW_IGNORED, /* not of this term or incarnation, or its base is not the view that we hold */
-  FC_VIEW_APPLIED, /* this piece; with its last one all of it */
+  FC_VIEW_OUT_OF_ORDER, /* pieces are missing, or it is late: the link has to be closed */
+  FC_VIEW_IGNORED,      /* not of this term or incarnation, or its base is not the view that we hold */
+  FC_VIEW_APPLIED,      /* this piece; with its last one all of it */
 } fc_view_result;
 
 /* Applies one piece of a peer's view to the cluster state. */
--- a/src/controller/peers.c
+++ b/src/controller/peers.c
@@ -52,7 +52,7 @@
   return NULL;
 }
 
-bool fc_peers_member_fit(fc_peers *peers, int member) {
+bool fc_peers_member_healthy(fc_peers *peers, int member) {
   if (member == peers->cluster->membership.self) return true;
   const fc_peer *peer = fc_peers_of_member(peers, member);
   if (!peer) return false;
@@ -60,7 +60,7 @@
   return now - peer->heard_at < max_age_s && now - peer->kv_read_at < max_age_s;
 }
 
-bool fc_peers_all_covered(fc_peers *peers, double until) {
+bool fc_peers_all_renewals_known(fc_peers *peers, double until) {
   const fc_membership *membership = &peers->cluster->membership;
   for (int member = 0; member < (int)membership->term.count; member++) {
     if (member == membership->self) continue;
@@ -76,6 +76,6 @@
   return common;
 }
 
-void fc_peers_forget_acknowledged(fc_peers *peers) {
+void fc_peers_reset_acknowledged(fc_peers *peers) {
   for (size_t i = 0; i < peers->count; i++) peers->items[i].acknowledged = (fc_peer_acknowledged){0};
 }
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -20,7 +20,7 @@
 /* What a peer, by its incarnation in the present term, has acknowledged; 0: nothing yet. */
 typedef struct fc_peer_acknowledged {
   double renewals_known_until; /* we know of every worker lease that it renewed before this steady time */
-  uint64_t view;               /* the newest view of ours that it has applied */
+  uint64_t view_number;        /* the newest view of ours that it has applied */
   uint64_t revision;           /* what its cluster state held then */
   uint64_t sequence;           /* that view's number on the link; 0: the next has to be complete */
 } fc_peer_acknowledged;
@@ -53,12 +53,12 @@
 fc_peer *fc_peers_find(fc_peers *peers, const char *name);
 
 /* Does the member act, and know what is new? True for ourselves. */
-bool fc_peers_member_fit(fc_peers *peers, int member);
+bool fc_peers_member_healthy(fc_peers *peers, int member);
 /* Has every other member reported all worker leases that it renewed before then? */
-bool fc_peers_all_covered(fc_peers *peers, double until);
+bool fc_peers_all_renewals_known(fc_peers *peers, double until);
 /* The revision that every controller is known to have read, ourselves included. */
 uint64_t fc_peers_common_revision(const fc_peers *peers);
 /* A new term: what was acknowledged in the one before counts no more. */
-void fc_peers_forget_acknowledged(fc_peers *peers);
+void fc_peers_reset_acknowledged(fc_peers *peers);
 
 #endif
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -118,7 +118,7 @@
   bool reconciled = fc_cluster_update_reconciled(cluster);
   if (fc_quota_plan_carry_over(cluster, shares->next)) return true;
   if (!reconciled && (now < term_since + settings->heartbeat_s * RECONCILIATION_HEARTBEATS ||
-                      !fc_peers_all_covered(shares->peers, term_since)))
+                      !fc_peers_all_renewals_known(shares->peers, term_since)))
     return false;
   fc_quota_tally_take(cluster, !reconciled, shares->tally);
   return fc_quota_plan_divide(cluster, shares->tally, shares->next) || reconciled;
--- a/src/controller/reconciler.c
+++ b/src/controller/reconciler.c
@@ -79,7 +79,7 @@
 static void note_running(fc_reconciler *reconciler, fc_placement *placement, double now) {
   if (!placement->status.running_since) {
     placement->status.running_since = now;
-    fc_metrics_time(reconciler->metrics, FC_TIME_START, now - placement->created_at);
+    fc_metrics_observe_duration(reconciler->metrics, FC_DURATION_START, now - placement->created_at);
     g_debug("running task=%s/%u machine=%s", placement->job_id, placement->index, placement->machine->id);
   }
   if (placement->job) fc_machine_touch_image(placement->machine, placement->job->spec.image);
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -54,7 +54,7 @@
   bool ours = names_us(applier, &term);
   bool continuous = ours && fc_leadership_in_term(applier->leadership);
   bool left = membership->term_version && peer_left(membership, &term);
-  fc_peers_forget_acknowledged(applier->peers);
+  fc_peers_reset_acknowledged(applier->peers);
   double now = fc_now();
   fc_cluster_apply_term(cluster, &term, change->version, continuous, now);
   /* Another incarnation under our name owns the shard that is named so. */
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -189,7 +189,7 @@
     uint64_t count = fc_wakeups_count(wakeups, FC_WAKEUP_SCHEDULE);
     if (fc_leadership_held(loop->deps.leadership)) run_round(loop);
     double took_s = fc_now() - began_at;
-    fc_metrics_time(loop->deps.metrics, FC_TIME_ROUND, took_s);
+    fc_metrics_observe_duration(loop->deps.metrics, FC_DURATION_ROUND, took_s);
     log_status(loop);
     (void)fc_routine_sleep(MAX(round_s * SPACING_ROUNDS, took_s * PAUSE_PER_ROUND_TIME));
     if (count == fc_wakeups_count(wakeups, FC_WAKEUP_SCHEDULE))
--- a/src/controller/shard_balancer.c
+++ b/src/controller/shard_balancer.c
@@ -21,9 +21,9 @@
   for (int member = 0; member < (int)balancer->cluster->membership.term.count; member++) {
     const fc_peer *peer = fc_peers_of_member(balancer->peers, member);
     if (!peer) continue;
-    progress.acked_view[member] = peer->acknowledged.view;
+    progress.acked_view[member] = peer->acknowledged.view_number;
     progress.acked_revision[member] = peer->acknowledged.revision;
-    progress.available[member] = fc_peers_member_fit(balancer->peers, member);
+    progress.available[member] = fc_peers_member_healthy(balancer->peers, member);
   }
   return progress;
 }
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -153,7 +153,7 @@
 static bool serve_view(fc_view_receiver *receiver, fc_conn *conn, fc_view *view) {
   fc_view_result result = fc_peer_views_apply(receiver->deps.views, view);
   fc_cancellations_learned_from_peer(receiver->deps.cancellations, view->cancellations, view->cancellation_count);
-  if (result == FC_VIEW_BROKEN) {
+  if (result == FC_VIEW_OUT_OF_ORDER) {
     g_warning("view out of order from=%s seq=%" G_GUINT64_FORMAT " piece=%u", view->sender, (guint64)view->sequence,
               view->piece);
     return false;
@@ -192,7 +192,7 @@
  * is to be closed: it is lost, or a frame has a wrong length, version or type. */
 static void serve_connection(fc_conn *conn, void *arg) {
   fc_view_receiver *receiver = arg;
-  fc_metrics_enter_duty(receiver->deps.metrics, FC_DUTY_VIEWS_TAKEN);
+  fc_metrics_enter_duty(receiver->deps.metrics, FC_DUTY_VIEWS_RECEIVED);
   fc_frame_reader reader = {.conn = conn};
   for (bool open = true; open;) {
     fc_frame frame = fc_frame_reader_next(&reader, fc_now() + receiver->deps.cluster->settings->lease_s);
--- a/src/controller/view_sender.c
+++ b/src/controller/view_sender.c
@@ -92,7 +92,7 @@
   acknowledged->renewals_known_until = sent->sent_at;
   acknowledged->sequence = ack->applied ? ack->sequence : 0;
   if (ack->applied) {
-    acknowledged->view = sent->view_number;
+    acknowledged->view_number = sent->view_number;
     acknowledged->revision = ack->revision;
   }
   for (size_t i = 0; i < ack->renewal_count; i++) fc_reachability_note_renewal(sender->cluster, &ack->renewals[i], now);
@@ -170,7 +170,7 @@
       to->reader.conn = NULL;
     }
     bool connected = to->reader.conn != NULL;
-    double earliest = began_at + fc_peer_view_spacing_s(settings, fc_loop_lag());
+    double earliest = began_at + fc_peer_view_min_interval_s(settings, fc_loop_lag());
     double latest = began_at + heartbeats(sender, connected ? IDLE_SPACING_HEARTBEATS : RECONNECT_HEARTBEATS);
     if (!connected || wakeups == fc_wakeups_count(sender->wakeups, FC_WAKEUP_REPLICATE))
       (void)fc_wakeups_wait(sender->wakeups, FC_WAKEUP_REPLICATE, latest);
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -62,7 +62,7 @@
 /* Has everybody who might have answered the worker informed us of all answers until then? */
 static bool renewals_known_until(const fc_worker_leases *leases, double until) {
   const fc_cluster *cluster = leases->cluster;
-  if (!fc_peers_all_covered(leases->peers, until)) return false;
+  if (!fc_peers_all_renewals_known(leases->peers, until)) return false;
   /* A controller that was no member may have entered since we last read of it, and renewed the
    * lease: alone in a term, and cut off from the key-value store, we started its tasks again
    * (fault test, seed 353). */
--- a/tests/test_peer_view.c
+++ b/tests/test_peer_view.c
@@ -119,7 +119,7 @@
 /* The receiver acknowledged the view, having read the key-value store up to the revision. */
 static void acknowledge(view_controller *from, uint64_t sequence, uint64_t revision) {
   only_peer(from)->acknowledged.sequence = sequence;
-  only_peer(from)->acknowledged.view = from->cluster->view_number;
+  only_peer(from)->acknowledged.view_number = from->cluster->view_number;
   only_peer(from)->acknowledged.revision = revision;
 }
 
@@ -178,14 +178,14 @@
     bool applied; /* view 2 as a whole */
   } rows[] = {
       {"in order", "012", FC_VIEW_APPLIED, true},
-      {"one is lost", "02", FC_VIEW_BROKEN, false},
-      {"the first is lost", "12", FC_VIEW_BROKEN, false},
-      {"one is repeated", "0112", FC_VIEW_BROKEN, false},
-      {"the first is repeated", "00", FC_VIEW_BROKEN, false},
-      {"two are reordered", "021", FC_VIEW_BROKEN, false},
+      {"one is lost", "02", FC_VIEW_OUT_OF_ORDER, false},
+      {"the first is lost", "12", FC_VIEW_OUT_OF_ORDER, false},
+      {"one is repeated", "0112", FC_VIEW_OUT_OF_ORDER, false},
+      {"the first is repeated", "00", FC_VIEW_OUT_OF_ORDER, false},
+      {"two are reordered", "021", FC_VIEW_OUT_OF_ORDER, false},
       {"the last is lost", "01", FC_VIEW_APPLIED, false},
-      {"all, then the first again", "0120", FC_VIEW_BROKEN, true},
-      {"a part of the view before", "x", FC_VIEW_BROKEN, false},
+      {"all, then the first again", "0120", FC_VIEW_OUT_OF_ORDER, true},
+      {"a part of the view before", "x", FC_VIEW_OUT_OF_ORDER, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
@@ -198,7 +198,7 @@
     bool closed = false;
     for (const char *part = rows[i].order; *part && !closed; part++) {
       result = *part == 'x' ? deliver(receiver, first, 0) : deliver(receiver, second, (guint)(*part - '0'));
-      closed = result == FC_VIEW_BROKEN;
+      closed = result == FC_VIEW_OUT_OF_ORDER;
     }
     check_row(rows[i].name, result == rows[i].last);
     check_row(rows[i].name, (only_peer(receiver)->received.sequence == 2) == rows[i].applied);
@@ -342,7 +342,7 @@
     fc_settings settings = fixture_settings();
     settings.cpu = rows[i].cpu;
     settings.peer_count = rows[i].peers;
-    double spacing = fc_peer_view_spacing_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
+    double spacing = fc_peer_view_min_interval_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
     check_row(rows[i].name, spacing >= rows[i].least - 1e-9 && spacing <= rows[i].most + 1e-9);
   }
 }
