--- a/src/controller/cancellations.c
+++ b/src/controller/cancellations.c
@@ -7,7 +7,7 @@
   fc_cluster *cluster;
   fc_wakeups *wakeups;
   fc_cancellation_log *log;
-  double learned_at;
+  double learned_at; /* when the last one was learned of, or the time of creation */
 };
 
 fc_cancellations *fc_cancellations_new(fc_cluster *cluster, fc_wakeups *wakeups) {
@@ -27,8 +27,7 @@
 
 void fc_cancellations_learned(fc_cancellations *cancellations, const char *job, uint64_t revision, double since) {
   double now = fc_now();
-  /* Also when it is too old for the log: tasks of a job that is passed over here are never
-   * stopped. */
+  /* Also applied when it is too old for the log; otherwise the job's tasks would never be stopped. */
   if (revision > cancellations->cluster->sync.revision)
     fc_cluster_apply_cancellation(cancellations->cluster, job, revision, since, now);
   if (!fc_cancellation_log_add(cancellations->log, job, revision, since)) return;
--- a/src/controller/frame_reader.c
+++ b/src/controller/frame_reader.c
@@ -10,10 +10,11 @@
   return size;
 }
 
+/* Reads exactly `size` bytes. False at the end of the stream, on an error or at the deadline. */
 static bool read_exact(fc_frame_reader *reader, uint8_t *out, size_t size, double deadline) {
   size_t done = fc_frame_reader_take_buffered(reader, out, size);
   while (done < size) {
-    /* What is left of a large frame goes where it belongs; the rest through the buffer. */
+    /* The bulk of a large frame is read into `out` directly, the rest through the buffer. */
     bool direct = size - done >= sizeof reader->bytes;
     ssize_t received = direct ? fc_conn_read(reader->conn, out + done, size - done, deadline)
                               : fc_conn_read(reader->conn, reader->bytes, sizeof reader->bytes, deadline);
--- a/src/controller/peer_view.c
+++ b/src/controller/peer_view.c
@@ -4,15 +4,19 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "transport/routine.h"
 
-#define EXCHANGE_COST_S 0.0002     /* of a core, with both ends of it: measured on loopback */
-#define EXCHANGES_CPU_SHARE 0.05   /* of the processor */
-#define LAGS_BETWEEN_EXCHANGES 4.0 /* of the event loop */
-#define SPACING_MIN_HEARTBEATS 0.1
-#define SPACING_MAX_HEARTBEATS 0.4
+#define EXCHANGE_CPU_S 0.0002      /* CPU time of one exchange, both ends together, over loopback */
+#define EXCHANGES_CPU_SHARE 0.05   /* share of the CPU limit that exchanges may use */
+#define EXCHANGE_INTERVAL_LAGS 4.0 /* at least this many times the lag of the event loop */
+#define INTERVAL_MIN_HEARTBEATS 0.1
+#define INTERVAL_MAX_HEARTBEATS 0.4
 
-/* The rest of this view can't be applied, as its base is not the one that we hold. */
+/* Value of next_piece while the pieces of a view are ignored because its base is missing. */
 #define SKIP_VIEW UINT32_MAX
 
+/* Offset basis and multiplier of the digest of a machine's state. */
+#define DIGEST_BASIS 1469598103934665603ull
+#define DIGEST_MULTIPLIER 0xbf58476d1ce4e5b9ull
+
 struct fc_peer_views {
   fc_cluster *cluster;
   const fc_leadership *leadership;
@@ -42,24 +46,24 @@
 }
 
 double fc_peer_view_min_interval_s(const fc_settings *settings, double lag_s) {
-  double min_s = settings->heartbeat_s * SPACING_MIN_HEARTBEATS;
-  double max_s = settings->heartbeat_s * SPACING_MAX_HEARTBEATS;
-  double affordable_s = EXCHANGE_COST_S * (double)settings->peer_count / (EXCHANGES_CPU_SHARE * settings->cpu);
-  return CLAMP(MAX(affordable_s, lag_s * LAGS_BETWEEN_EXCHANGES), min_s, max_s);
+  double min_s = settings->heartbeat_s * INTERVAL_MIN_HEARTBEATS;
+  double max_s = settings->heartbeat_s * INTERVAL_MAX_HEARTBEATS;
+  double affordable_s = EXCHANGE_CPU_S * (double)settings->peer_count / (EXCHANGES_CPU_SHARE * settings->cpu);
+  return CLAMP(MAX(affordable_s, lag_s * EXCHANGE_INTERVAL_LAGS), min_s, max_s);
 }
 
 /* ---- encoding ---- */
 
-/* More tasks than a heartbeat may name don't fit into a view; such a machine is shown as not
- * reconciled, which holds back only what may be on it. */
-static bool fits_a_view(const fc_machine *machine) {
+/* A view lists at most as many tasks of a machine as a heartbeat. A machine with more is sent as not
+ * reconciled, which delays only decisions on tasks that may be running there. */
+static bool fits_in_view(const fc_machine *machine) {
   return machine->placements->len <= FC_FRAME_TASKS_MAX;
 }
 
-/* The machine without its tasks. */
+/* Describes the machine without its tasks. */
 static fc_frame_machine describe_machine(const fc_cluster *cluster, const fc_machine *machine, double now) {
   fc_frame_machine described = {
-      .reconciled = fits_a_view(machine) && fc_machine_reconciled(cluster, machine),
+      .reconciled = fits_in_view(machine) && fc_machine_reconciled(cluster, machine),
       .cordoned = fc_machine_cordoned(machine),
       .unreachable = fc_machine_suspect(cluster, machine, now),
   };
@@ -69,16 +73,16 @@
 
 static uint64_t mix(uint64_t hash, uint64_t value) {
   hash ^= value;
-  hash *= 0xbf58476d1ce4e5b9ull;
+  hash *= DIGEST_MULTIPLIER;
   return hash ^ hash >> 29;
 }
 
-/* Everything that a view says of the machine, in one number: what has to be sent again is found by
- * comparing, so that no place that changes a task can forget to mark it. Never 0. */
+/* Digest of everything that a view states of the machine; never 0. Changes are found by comparing
+ * digests, so that code that changes a task need not mark the machine as changed. */
 static uint64_t digest_of(const fc_frame_machine *described, const fc_machine *machine) {
   uint64_t flags = (uint64_t)(described->reconciled | described->cordoned << 1 | described->unreachable << 2);
-  uint64_t hash = 1469598103934665603ull ^ flags;
-  for (guint i = 0; fits_a_view(machine) && i < machine->placements->len; i++) {
+  uint64_t hash = DIGEST_BASIS ^ flags;
+  for (guint i = 0; fits_in_view(machine) && i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
     hash = mix(hash, g_str_hash(placement->job_id));
     hash = mix(hash, placement->index);
@@ -89,7 +93,7 @@
 }
 
 static void describe_tasks(const fc_machine *machine, fc_frame_machine *described) {
-  if (!fits_a_view(machine)) return;
+  if (!fits_in_view(machine)) return;
   described->tasks = g_new0(fc_frame_task, machine->placements->len);
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
@@ -102,25 +106,26 @@
   }
 }
 
-/* Notes what this view says of the machine, if that has changed. */
+/* Updates the machine's digest and, if it has changed, the number of the view that it changed in. */
 static void update_digest(const fc_cluster *cluster, fc_machine *machine, const fc_frame_machine *described) {
   uint64_t digest = digest_of(described, machine);
   if (digest == machine->view.digest) return;
   machine->view.digest = digest;
   machine->view.changed_in = cluster->view_number;
-  if (!fits_a_view(machine))
+  if (!fits_in_view(machine))
     g_warning("too many tasks for a view machine=%s tasks=%u", machine->id, machine->placements->len);
 }
 
-/* Has the machine to be sent to the peer (again)? What it holds of it may be from before it knew
- * that the machine is ours, and then it has ignored what we said. */
-static bool is_news(const fc_peer *peer, const fc_machine *machine) {
+/* Whether the view for the peer must include the machine: the view is complete, the machine has changed
+ * since the acknowledged view, or the peer had not read the machine's current record by then. A peer
+ * ignores what we send of a machine while it does not know that we own it. */
+static bool needs_sending(const fc_peer *peer, const fc_machine *machine) {
   const fc_peer_acknowledged *acknowledged = &peer->acknowledged;
   return !acknowledged->sequence || machine->view.changed_in > acknowledged->view_number ||
          machine->record_version > acknowledged->revision;
 }
 
-/* The machines that this view has to tell the peer of. */
+/* The machines to include in the peer's next view. The caller frees the array and the task lists. */
 static GArray *collect_machines(fc_peer_views *views, const fc_peer *peer) {
   fc_cluster *cluster = views->cluster;
   double now = fc_now();
@@ -130,14 +135,14 @@
     if (cluster->membership.self < 0 || !fc_machine_owned_by_self(cluster, machine)) continue;
     fc_frame_machine described = describe_machine(cluster, machine, now);
     update_digest(cluster, machine, &described);
-    if (!is_news(peer, machine)) continue;
+    if (!needs_sending(peer, machine)) continue;
     describe_tasks(machine, &described);
     g_array_append_val(machines, described);
   }
   return machines;
 }
 
-/* Appends the view in pieces of whole machines; the cancellations go with the first. */
+/* Appends the view in pieces of whole machines, the first of which carries the cancellations. */
 static void encode_pieces(fc_view *view, const GArray *machines, GByteArray *out) {
   guint first = 0;
   do {
@@ -188,7 +193,7 @@
     placement->status.running_since = now;
 }
 
-/* The owner's task list replaces what we knew of the machine. */
+/* Replaces our placements on the machine by the task list of its owner. */
 static void apply_machine(fc_cluster *cluster, fc_machine *machine, const fc_frame_machine *described) {
   double now = fc_now();
   for (guint i = 0; i < machine->placements->len; i++)
@@ -205,29 +210,29 @@
   reach->owner_suspects = described->unreachable;
 }
 
-/* A new view begins. False: it is older than one that has begun before. A view held back on a
- * connection that was given up may come after newer ones: applied, it hid a task that the sender
- * then handed over (fault test, seed 50). */
+/* Starts a new view. False if a newer one has been started before: a view that was delayed on an
+ * abandoned connection may arrive after newer ones. When it was applied, it hid a task that the
+ * sender then handed over (fault test, seed 50). */
 static bool begin_view(fc_received_view *received, const fc_view *view) {
   if (view->sequence <= received->partial_sequence) return false;
   received->partial_sequence = view->sequence;
   bool base_missing = view->base && view->base != received->sequence;
-  received->next_part = base_missing ? SKIP_VIEW : 0;
-  /* From the first piece on we hold neither the one view nor the other. */
+  received->next_piece = base_missing ? SKIP_VIEW : 0;
+  /* Until its last piece has arrived, we hold neither the old view nor the new one completely. */
   received->sequence = 0;
   return true;
 }
 
-/* Is the piece the next of a view that can be applied? */
+/* Checks whether the piece is the next one of a view that can be applied. */
 static fc_view_result accept_piece(fc_received_view *received, const fc_view *view) {
-  /* A new incarnation of the sender, or a new term: what we hold of it is no base any more. */
+  /* Views of another incarnation or term can't serve as a base. */
   if (received->incarnation != view->incarnation || received->term != view->term)
     *received = (fc_received_view){.incarnation = view->incarnation, .term = view->term};
   if (view->piece == 0 && !begin_view(received, view)) return FC_VIEW_OUT_OF_ORDER;
   if (view->sequence != received->partial_sequence) return FC_VIEW_OUT_OF_ORDER;
-  if (received->next_part == SKIP_VIEW) return FC_VIEW_IGNORED;
-  if (view->piece != received->next_part) return FC_VIEW_OUT_OF_ORDER;
-  received->next_part++;
+  if (received->next_piece == SKIP_VIEW) return FC_VIEW_IGNORED;
+  if (view->piece != received->next_piece) return FC_VIEW_OUT_OF_ORDER;
+  received->next_piece++;
   if (view->last) received->sequence = view->sequence;
   return FC_VIEW_APPLIED;
 }
@@ -236,7 +241,7 @@
   fc_cluster *cluster = views->cluster;
   const fc_term *term = &cluster->membership.term;
   int sender = fc_term_find(term, view->sender);
-  /* Only the present term's view by a present member's present incarnation counts. */
+  /* Only views sent in the current term, by the current incarnation of a member, are applied. */
   if (sender < 0 || sender == cluster->membership.self || view->term != term->number ||
       view->incarnation != term->members[sender].incarnation)
     return FC_VIEW_IGNORED;
@@ -249,8 +254,8 @@
     fc_machine *machine = fc_cluster_find_machine(cluster, described->id);
     if (machine && machine->owner == sender && described->reconciled) apply_machine(cluster, machine, described);
   }
-  /* A peer's free resources matter to what is pending here; when each view asked for a scheduling
-   * round with nothing pending, there were four times as many as the regular ones. */
+  /* A view may show free resources, which matter only to pending tasks: when every view requested a
+   * scheduling round, there were four times as many rounds as regular ones. */
   bool was_reconciled = fc_cluster_fully_reconciled(cluster);
   if (fc_cluster_update_reconciled(cluster) && (!was_reconciled || cluster->tasks_pending))
     fc_wakeups_raise(views->wakeups, FC_WAKEUP_SCHEDULE);
--- a/src/controller/peer_view.h
+++ b/src/controller/peer_view.h
@@ -1,7 +1,8 @@
-/* Views: what each controller tells its peers of its own machines. The first of a term, and any
- * after one that was lost, is complete; the others hold only what has changed since the one that
- * was acknowledged. With thousands of machines a complete view ten times in a heartbeat interval
- * was most of what a peer link cost, and one frame of it came close to its bound. */
+/* Encodes and applies views, in which each controller replicates the state of its machines to its
+ * peers. The first view of a term, and the next one after a lost view, is complete; the others
+ * contain only changes since the last acknowledged view. With thousands of machines, complete views
+ * ten times per heartbeat interval made up most of the cost of a peer link, and a single frame came
+ * close to the size limit. */
 #ifndef FC_CONTROLLER_PEER_VIEW_H
 #define FC_CONTROLLER_PEER_VIEW_H
 
@@ -18,28 +19,29 @@
 
 typedef struct fc_peer_views fc_peer_views;
 
-/* The arguments have to outlive it. The caller frees it with fc_peer_views_free(). */
+/* The arguments must outlive the result, which the caller frees with fc_peer_views_free(). */
 fc_peer_views *fc_peer_views_new(fc_cluster *cluster, const fc_leadership *leadership, fc_peers *peers,
                                  const fc_cancellations *cancellations, const fc_group_commit *commit,
                                  fc_wakeups *wakeups, fc_metrics *metrics);
 void fc_peer_views_free(fc_peer_views *views);
 
-/* Seconds from the beginning of one exchange with a peer to that of the next, at least. Exchanges
- * cost at most a small part of the processor, and a controller that lags behind by `lag_s` makes
- * fewer; a peer hears of changes within a heartbeat interval all the same. */
+/* The shortest time from the start of one exchange with a peer to the start of the next, in seconds.
+ * It bounds the CPU share that exchanges use, and grows with the lag of the event loop `lag_s`
+ * (seconds), but is short enough that peers learn of changes within a heartbeat interval. */
 double fc_peer_view_min_interval_s(const fc_settings *settings, double lag_s);
 
-/* Appends a view of our machines for the peer, in as many frames as it takes: all of them, or what
- * has changed since the newest view that it has acknowledged. */
+/* Appends the frames of a view for the peer to `out`: all our machines, or those that have changed
+ * since the newest view that it has acknowledged. `sequence` numbers the view on the link. */
 void fc_peer_views_encode(fc_peer_views *views, const fc_peer *peer, uint64_t sequence, GByteArray *out);
 
 typedef enum {
-  FC_VIEW_OUT_OF_ORDER, /* pieces are missing, or it is late: the link has to be closed */
-  FC_VIEW_IGNORED,      /* not of this term or incarnation, or its base is not the view that we hold */
-  FC_VIEW_APPLIED,      /* this piece; with its last one all of it */
+  FC_VIEW_OUT_OF_ORDER, /* pieces are missing, or the view is outdated: the link must be closed */
+  FC_VIEW_IGNORED,      /* of another term or incarnation, or based on a view that we don't hold */
+  FC_VIEW_APPLIED,      /* the piece; with the last one, the whole view */
 } fc_view_result;
 
-/* Applies one piece of a peer's view to the cluster state. */
+/* Applies one piece of a peer's view to the cluster state. Requests a scheduling round if the view may
+ * have made placement possible. */
 fc_view_result fc_peer_views_apply(fc_peer_views *views, const fc_view *view);
 
 #endif
--- a/src/controller/peers.c
+++ b/src/controller/peers.c
@@ -4,12 +4,12 @@
 
 #include "transport/routine.h"
 
-/* Before any time that the steady clock shows. */
+/* Earlier than any time of the monotonic clock, in seconds. */
 #define NEVER (-1e9)
 
-/* A peer is fit as long as it was heard, and has read the store, within so many heartbeat
- * intervals. */
-#define FIT_HEARTBEATS 2
+/* A peer is healthy while its last acknowledgement and its last read of the key-value store are more
+ * recent than this many heartbeat intervals. */
+#define HEALTHY_HEARTBEATS 2
 
 struct fc_peers {
   const fc_cluster *cluster;
@@ -56,7 +56,7 @@
   if (member == peers->cluster->membership.self) return true;
   const fc_peer *peer = fc_peers_of_member(peers, member);
   if (!peer) return false;
-  double now = fc_now(), max_age_s = peers->cluster->settings->heartbeat_s * FIT_HEARTBEATS;
+  double now = fc_now(), max_age_s = peers->cluster->settings->heartbeat_s * HEALTHY_HEARTBEATS;
   return now - peer->heard_at < max_age_s && now - peer->kv_read_at < max_age_s;
 }
 
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -1,5 +1,5 @@
-/* What is known of the other controllers of the settings: what each has reported, and how far it
- * has acknowledged our views. Updated by the peer links; holds no connection itself. */
+/* State of the other controllers named in the settings: what each has reported, and how far it has
+ * acknowledged our views. The view sender and receiver update it; it holds no connections. */
 #ifndef FC_CONTROLLER_PEERS_H
 #define FC_CONTROLLER_PEERS_H
 
@@ -9,56 +9,58 @@
 
 #include "bookkeeping/cluster.h"
 
-/* The view of its machines that we have received from a peer. */
+/* Progress of the views received from one peer. */
 typedef struct fc_received_view {
-  uint64_t incarnation, term; /* of the sender when it sent it */
-  uint64_t sequence;          /* the newest view that we hold whole; 0: none */
-  uint64_t partial_sequence;  /* the view of which parts are arriving */
-  uint32_t next_part;
+  uint64_t incarnation, term; /* of the sender, as stated in the view */
+  uint64_t sequence;          /* the newest view received completely; 0: none */
+  uint64_t partial_sequence;  /* the view whose pieces are arriving, or arrived last */
+  uint32_t next_piece;        /* the piece of that view expected next */
 } fc_received_view;
 
-/* What a peer, by its incarnation in the present term, has acknowledged; 0: nothing yet. */
+/* What a peer's incarnation in the current term has acknowledged; 0: nothing yet. */
 typedef struct fc_peer_acknowledged {
-  double renewals_known_until; /* we know of every worker lease that it renewed before this steady time */
-  uint64_t view_number;        /* the newest view of ours that it has applied */
-  uint64_t revision;           /* what its cluster state held then */
-  uint64_t sequence;           /* that view's number on the link; 0: the next has to be complete */
+  double renewals_known_until; /* we know of every worker lease that it renewed before this time */
+  uint64_t view_number;        /* fc_cluster.view_number of the newest of our views that it has applied */
+  uint64_t revision;           /* of its cluster state when it applied that view */
+  uint64_t sequence;           /* of that view on the link; 0: the next view has to be complete */
 } fc_peer_acknowledged;
 
-/* Times are steady. */
+/* Times are those of the monotonic clock (fc_now()), in seconds. */
 typedef struct fc_peer {
   const fc_peer_settings *settings;
-  double grant_given_until; /* we commit no term without it before this */
-  double kv_read_at;        /* when it last read the key-value store, as far as we know */
-  double heard_at;          /* when its last acknowledgement came */
-  uint64_t revision;        /* what it has read, as far as we know */
-  unsigned backlog;         /* writes that were pending there when it last reported */
-  double backlog_at;
+  double grant_given_until; /* until then we commit no term that excludes it */
+  double kv_read_at;        /* its last read of the key-value store that it has reported */
+  double heard_at;          /* when its last acknowledgement arrived */
+  uint64_t revision;        /* up to which it has read the key-value store, as last reported */
+  unsigned backlog;         /* its pending writes, as last reported */
+  double backlog_at;        /* when they were reported */
   fc_received_view received;
   fc_peer_acknowledged acknowledged;
 } fc_peer;
 
 typedef struct fc_peers fc_peers;
 
-/* The cluster state has to outlive it. The caller frees it with fc_peers_free(). */
+/* `cluster` must outlive the result, which the caller frees with fc_peers_free(). */
 fc_peers *fc_peers_new(const fc_cluster *cluster);
 void fc_peers_free(fc_peers *peers);
 
 size_t fc_peers_count(const fc_peers *peers);
-/* By the order of the settings; owned by `peers`, valid as long as they are. */
+/* `index` is the position in the settings. The result is owned by `peers`. */
 fc_peer *fc_peers_at(fc_peers *peers, size_t index);
-/* The peer behind a member of the present term; NULL: ourselves, or one unknown to us. */
+/* The peer that is this member of the current term. NULL for this controller and for a member that
+ * the settings do not name. */
 fc_peer *fc_peers_of_member(fc_peers *peers, int member);
-/* NULL: the settings name no such controller. */
+/* NULL if the settings name no such controller. */
 fc_peer *fc_peers_find(fc_peers *peers, const char *name);
 
-/* Does the member act, and know what is new? True for ourselves. */
+/* Whether the member has been heard from, and has read the key-value store, recently. Always true
+ * for this controller. */
 bool fc_peers_member_healthy(fc_peers *peers, int member);
-/* Has every other member reported all worker leases that it renewed before then? */
+/* Whether every other member has reported all worker leases that it renewed before the time `until`. */
 bool fc_peers_all_renewals_known(fc_peers *peers, double until);
-/* The revision that every controller is known to have read, ourselves included. */
+/* The newest revision that all controllers, including this one, are known to have read. */
 uint64_t fc_peers_common_revision(const fc_peers *peers);
-/* A new term: what was acknowledged in the one before counts no more. */
+/* Resets what peers have acknowledged: acknowledgements of an earlier term don't count in a new one. */
 void fc_peers_reset_acknowledged(fc_peers *peers);
 
 #endif
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -11,13 +11,13 @@
 #include "protocol/routes.h"
 #include "transport/http.h"
 
-/* Ages on the wire are not above this. */
+/* Greater ages are sent as this. */
 #define AGE_MAX_S 1e6
 
-/* Acknowledgements name for so long the leases that we renewed and the machines that we probed. */
-#define KNOWN_LEASES 2
+/* Acknowledgements list renewed leases and probed machines for this many worker leases. */
+#define FOREIGN_MACHINE_LEASES 2
 
-/* A few old connections of each peer may be left beside its present one. */
+/* A peer's former connections may still be open beside its current one. */
 #define CONNECTIONS_PER_PEER 8
 #define CONNECTIONS_FOR_OPERATORS 8
 
@@ -39,14 +39,14 @@
   return (uint32_t)(MIN(fc_now() - since, AGE_MAX_S) * FC_MS_PER_S);
 }
 
-/* ---- what a view tells besides machines ---- */
+/* ---- write rate ---- */
 
-/* The rates of the key-value store are one for all members: each takes its share by how many writes
- * are pending where, as far as they have reported to each other. Should the shares add up to too much for
- * a moment, the store refuses and the write is sent again. */
+/* All members share the rate limits of the key-value store in proportion to their pending writes, as
+ * far as they have reported them to each other. If the shares add up to too much for a moment, the
+ * store refuses a write, and it is sent again. */
 static void share_write_rate(fc_view_receiver *receiver, const fc_view *view) {
   fc_peers *peers = receiver->deps.peers;
-  double now = fc_now(), ours = 1 + fc_group_commit_backlog(receiver->deps.commit), all = ours;
+  double now = fc_now(), own = 1 + fc_group_commit_backlog(receiver->deps.commit), all = own;
   double heartbeat_s = receiver->deps.cluster->settings->heartbeat_s;
   for (size_t i = 0; i < fc_peers_count(peers); i++) {
     fc_peer *peer = fc_peers_at(peers, i);
@@ -54,23 +54,23 @@
       peer->backlog = view->backlog;
       peer->backlog_at = now;
     }
-    /* One that has not reported lately may be cut off from us alone. */
+    /* A peer that has not reported lately may be writing, and only be disconnected from us. */
     all += 1 + (now < peer->backlog_at + heartbeat_s ? peer->backlog : 0);
   }
-  fc_group_commit_set_share(receiver->deps.commit, ours / all, 1.0 / (double)(fc_peers_count(peers) + 1));
+  fc_group_commit_set_share(receiver->deps.commit, own / all, 1.0 / (double)(fc_peers_count(peers) + 1));
 }
 
-/* ---- acknowledging ---- */
+/* ---- acknowledgements ---- */
 
-/* For how many seconds, from now on, we commit no term without the sender; 0: we can't say. */
-static double grant_s(fc_view_receiver *receiver, const fc_view *view) {
+/* For how many seconds from now we commit no term that excludes the sender; 0: no grant. */
+static double make_grant_s(fc_view_receiver *receiver, const fc_view *view) {
   const fc_leadership *leadership = receiver->deps.leadership;
   const fc_term *term = &receiver->deps.cluster->membership.term;
-  /* A term transaction of unknown outcome may exclude the sender at any time. */
+  /* A term transaction whose outcome is unknown may exclude the sender at any time. */
   if (fc_leadership_term_write_pending(leadership)) return 0;
   double duration_s = fc_leadership_lease_s(leadership);
-  /* Before we have entered we can exclude nobody; our entry keeps everybody, and then we wait longer
-   * than this grant (fc_leader_lease_entry_wait). */
+  /* A controller outside the term can't exclude anybody: its entry keeps all members, and afterwards
+   * it waits longer than this grant (fc_leader_lease_entry_wait). */
   if (!fc_leadership_in_term(leadership)) return duration_s;
   int sender = fc_term_find(term, view->sender);
   if (sender < 0 || view->incarnation != term->members[sender].incarnation) return 0;
@@ -96,9 +96,9 @@
   g_array_append_val(probes, probe);
 }
 
-/* Fills in which of other members' machines we have renewed the lease of, and which we have probed. */
+/* Lists the machines of other members whose lease we have renewed, and those that we have probed. */
 static void describe_foreign_machines(const fc_cluster *cluster, fc_ack *ack) {
-  double now = fc_now(), since = now - cluster->settings->lease_s * KNOWN_LEASES;
+  double now = fc_now(), since = now - cluster->settings->lease_s * FOREIGN_MACHINE_LEASES;
   GArray *renewals = g_array_new(FALSE, TRUE, sizeof(fc_frame_lease_renewal));
   GArray *probes = g_array_new(FALSE, TRUE, sizeof(fc_frame_probe));
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
@@ -113,21 +113,21 @@
   ack->probes = (fc_frame_probe *)g_array_free(probes, FALSE);
 }
 
-/* Encodes the acknowledgement of a view whose last piece has come. */
+/* Encodes the acknowledgement of a view whose last piece has arrived. The caller frees the result. */
 static GByteArray *encode_ack(fc_view_receiver *receiver, const fc_view *view, fc_view_result result) {
   const fc_cluster *cluster = receiver->deps.cluster;
   fc_ack ack = {.incarnation = fc_leadership_incarnation(receiver->deps.leadership),
                 .term = cluster->membership.term.number,
                 .sequence = view->sequence,
                 .applied = result == FC_VIEW_APPLIED,
-                .grant_ms = (uint32_t)(grant_s(receiver, view) * FC_MS_PER_S),
+                .grant_ms = (uint32_t)(make_grant_s(receiver, view) * FC_MS_PER_S),
                 .no_cancellation_ms = age_ms(fc_cancellations_learned_at(receiver->deps.cancellations)),
                 .kv_read_age_ms = age_ms(cluster->sync.read_at),
                 .revision = cluster->sync.revision};
   bool complete =
       fc_cancellations_since(receiver->deps.cancellations, view->revision, &ack.cancellations, &ack.cancellation_count);
-  /* Before we have read everything, an incarnation of ours before this may have confirmed
-   * cancellations that we don't know of. */
+  /* Until the store has been read completely, a former incarnation of this controller may have
+   * confirmed cancellations that we don't know of. */
   ack.cancellations_complete = complete && cluster->sync.loaded;
   describe_foreign_machines(cluster, &ack);
   g_strlcpy(ack.sender, cluster->settings->name, sizeof ack.sender);
@@ -137,7 +137,7 @@
   return out;
 }
 
-/* Clears the view, whose memory is not needed while the acknowledgement is sent. */
+/* Clears the view, to free its memory while the acknowledgement is being sent. */
 static bool send_ack(fc_view_receiver *receiver, fc_conn *conn, fc_view *view, fc_view_result result) {
   GByteArray *out = encode_ack(receiver, view, result);
   fc_view_clear(view);
@@ -148,8 +148,8 @@
 
 /* ---- connections ---- */
 
-/* Applies one piece of a view, and acknowledges the view with its last. False: the connection is
- * to be closed. */
+/* Applies one piece of a view, and acknowledges the view after its last piece. False if the
+ * connection must be closed. */
 static bool serve_view(fc_view_receiver *receiver, fc_conn *conn, fc_view *view) {
   fc_view_result result = fc_peer_views_apply(receiver->deps.views, view);
   fc_cancellations_learned_from_peer(receiver->deps.cancellations, view->cancellations, view->cancellation_count);
@@ -164,7 +164,7 @@
   return send_ack(receiver, conn, view, result);
 }
 
-/* Operators read the metrics at the peer address, which users can't reach. */
+/* Serves the metrics at the peer address, which operators can reach and users can't. */
 static void serve_operator(const fc_http_request *req, fc_http_response *res, void *arg) {
   const fc_view_receiver *receiver = arg;
   char id[FC_ROUTE_ID_MAX];
@@ -178,7 +178,7 @@
   }
 }
 
-/* Serves HTTP on a connection whose first bytes were read as a frame's head. */
+/* Serves HTTP on a connection whose first bytes have been read as the head of a frame. */
 static void serve_http(fc_view_receiver *receiver, fc_frame_reader *reader, const uint8_t *head) {
   const fc_settings *settings = receiver->deps.cluster->settings;
   fc_http_server_options options = {.idle_s = settings->lease_s, .request_s = settings->heartbeat_s};
@@ -188,8 +188,8 @@
   fc_http_serve_conn(reader->conn, (const char *)first, FC_FRAME_HEAD + more, &options, serve_operator, receiver);
 }
 
-/* The routine of one connection: a peer's views, or an operator's HTTP. Ends when the connection
- * is to be closed: it is lost, or a frame has a wrong length, version or type. */
+/* Routine of one connection, which carries a peer's views or an operator's HTTP requests. Returns when
+ * the connection is lost, or on a frame of invalid length, version or type. */
 static void serve_connection(fc_conn *conn, void *arg) {
   fc_view_receiver *receiver = arg;
   fc_metrics_enter_duty(receiver->deps.metrics, FC_DUTY_VIEWS_RECEIVED);
--- a/src/controller/view_receiver.h
+++ b/src/controller/view_receiver.h
@@ -1,5 +1,5 @@
-/* Serves the peer address: applies peers' views and acknowledges them, with what we know and
- * grant; and answers an operator's HTTP requests for the metrics. */
+/* Serves the peer address: applies the views of peers and acknowledges them, with what we have read
+ * and what we grant, and answers operators' HTTP requests for the metrics. */
 #ifndef FC_CONTROLLER_VIEW_RECEIVER_H
 #define FC_CONTROLLER_VIEW_RECEIVER_H
 
@@ -10,7 +10,7 @@
 
 typedef struct fc_view_receiver fc_view_receiver;
 
-/* What it works with; everything has to outlive it. */
+/* Modules that it uses; all must outlive it. */
 typedef struct fc_view_receiver_deps {
   fc_cluster *cluster;
   fc_leadership *leadership;
@@ -21,9 +21,9 @@
   fc_metrics *metrics;
 } fc_view_receiver_deps;
 
-/* Lives as long as its routines. */
+/* `deps` is copied. The result lives as long as its routines. */
 fc_view_receiver *fc_view_receiver_new(const fc_view_receiver_deps *deps);
-/* Listens at the settings' peer address; false: it can't. */
+/* Listens on the peer address of the settings. False if that fails. */
 bool fc_view_receiver_start(fc_view_receiver *receiver);
 
 #endif
--- a/src/controller/view_sender.h
+++ b/src/controller/view_sender.h
@@ -1,5 +1,6 @@
-/* Sends our views to every peer, one link and one routine each, and takes in the acknowledgements:
- * what the peer knows and grants, and which of our machines it has reached. */
+/* Sends our views to every peer, over one link and in one routine each, and applies the
+ * acknowledgements: what the peer has read, what it grants us, and which of our machines it has
+ * reached. */
 #ifndef FC_CONTROLLER_VIEW_SENDER_H
 #define FC_CONTROLLER_VIEW_SENDER_H
 
@@ -9,11 +10,11 @@
 
 typedef struct fc_view_sender fc_view_sender;
 
-/* The arguments have to outlive it, and it lives as long as its routines. */
+/* The arguments must outlive the result, which lives as long as its routines. */
 fc_view_sender *fc_view_sender_new(fc_cluster *cluster, fc_leadership *leadership, fc_peers *peers,
                                    fc_peer_views *views, fc_cancellations *cancellations, fc_wakeups *wakeups,
                                    fc_metrics *metrics);
-/* Starts its routines; false: out of memory. */
+/* Starts its routines. False if out of memory. */
 bool fc_view_sender_start(fc_view_sender *sender);
 
 #endif
