--- a/src/controller/archive_lookup.c
+++ b/src/controller/archive_lookup.c
@@ -3,18 +3,18 @@
 #include "bookkeeping/token_bucket.h"
 #include "transport/routine.h"
 
-/* Of our share of the store's request rate, for look-ups. */
+/* Part of this member's share of the store's request rate that is reserved for look-ups. */
 #define LOOKUP_RATE_SHARE 0.1
 
-/* Remembered dependencies; all are forgotten when there are more. */
-#define REMEMBERED_MAX 1024u
+/* Dependencies cached at most; a full cache is emptied. */
+#define CACHED_JOBS_MAX 1024u
 
 struct fc_archive_lookup {
   const fc_cluster *cluster;
   fc_kv *kv;
   fc_group_commit *commit;
   fc_token_bucket bucket;
-  GHashTable *remembered; /* id -> fc_archived_job */
+  GHashTable *cache; /* id -> fc_archived_job, of dependencies */
 };
 
 fc_archive_lookup *fc_archive_lookup_new(const fc_cluster *cluster, fc_kv *kv, fc_group_commit *commit) {
@@ -24,20 +24,20 @@
   lookup->cluster = cluster;
   lookup->kv = kv;
   lookup->commit = commit;
-  lookup->remembered = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  lookup->cache = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   fc_token_bucket_init(&lookup->bucket, rate, MAX(1.0, rate), fc_now());
   return lookup;
 }
 
-/* Users of jobs that have ended ask as often as others: with the fixed part of the rate alone,
- * ninety such jobs were answered too rarely (fault test with pipelines, seed 15). */
+/* Ended jobs are polled as often as others: the reserved rate alone was too low for the polls of
+ * ninety of them (fault test with pipelines, seed 15). */
 static bool take_request(fc_archive_lookup *lookup) {
   return fc_token_bucket_take(&lookup->bucket, 1, 0, fc_now()) || fc_group_commit_take_spare_request(lookup->commit);
 }
 
 fc_archive_result fc_archive_lookup_find(fc_archive_lookup *lookup, const char *id, double deadline,
                                          fc_archived_job *out) {
-  /* The mark was there before the first job was archived. */
+  /* The mark is written before the first job is archived. */
   if (!lookup->cluster->archive_in_use) return FC_ARCHIVE_MISSING;
   if (!take_request(lookup)) return FC_ARCHIVE_UNAVAILABLE;
   char *key = g_strconcat(FC_PREFIX_ARCHIVED, id, NULL);
@@ -50,21 +50,21 @@
   return result == FC_KV_GONE ? FC_ARCHIVE_MISSING : FC_ARCHIVE_UNAVAILABLE;
 }
 
-static void remember(fc_archive_lookup *lookup, const char *id, const fc_archived_job *job) {
-  if (g_hash_table_size(lookup->remembered) >= REMEMBERED_MAX) g_hash_table_remove_all(lookup->remembered);
+static void add_to_cache(fc_archive_lookup *lookup, const char *id, const fc_archived_job *job) {
+  if (g_hash_table_size(lookup->cache) >= CACHED_JOBS_MAX) g_hash_table_remove_all(lookup->cache);
   fc_archived_job *copy = g_new(fc_archived_job, 1);
   *copy = *job;
-  g_hash_table_replace(lookup->remembered, g_strdup(id), copy);
+  g_hash_table_replace(lookup->cache, g_strdup(id), copy);
 }
 
 fc_archive_result fc_archive_lookup_find_dependency(fc_archive_lookup *lookup, const char *id, double deadline,
                                                     fc_archived_job *out) {
-  const fc_archived_job *known = g_hash_table_lookup(lookup->remembered, id);
-  if (known) {
-    *out = *known;
+  const fc_archived_job *cached = g_hash_table_lookup(lookup->cache, id);
+  if (cached) {
+    *out = *cached;
     return FC_ARCHIVE_FOUND;
   }
   fc_archive_result result = fc_archive_lookup_find(lookup, id, deadline, out);
-  if (result == FC_ARCHIVE_FOUND) remember(lookup, id, out);
+  if (result == FC_ARCHIVE_FOUND) add_to_cache(lookup, id, out);
   return result;
 }
--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -2,9 +2,9 @@
 
 #include "bookkeeping/dependencies.h"
 
-#define PAUSE_ROUNDS 2.5     /* between two passes, in scheduling rounds */
-#define WRITE_RATE_SHARE 0.5 /* at most, of our write rate */
-#define WRITES_PER_JOB 2     /* a job leaves one key and moves to another */
+#define PAUSE_ROUNDS 2.5     /* between two passes, in intervals of scheduling rounds */
+#define WRITE_RATE_SHARE 0.5 /* the most that it uses of this member's write rate */
+#define WRITES_PER_JOB 2     /* deletes one key and puts another */
 
 struct fc_archiver {
   fc_cluster *cluster;
@@ -22,7 +22,7 @@
   return archiver;
 }
 
-/* Writes the mark that says that jobs may have been archived. Returns whether it is there. */
+/* Writes the mark that there may be archived jobs. Returns whether the mark is known to exist. */
 static bool write_mark(fc_archiver *archiver) {
   const fc_settings *settings = archiver->cluster->settings;
   fc_write *write = fc_write_new();
@@ -37,7 +37,7 @@
   return archiver->cluster->archive_in_use;
 }
 
-/* In one transaction the job leaves the one key and is at the other. */
+/* Moves the job to its archive key in one transaction. */
 static void archive_job(fc_archiver *archiver, const char *id) {
   const fc_job *job = fc_cluster_find_job(archiver->cluster, id);
   if (!job || job->phase == FC_PHASE_ACCEPTED || !fc_leadership_held(archiver->leadership)) return;
@@ -54,28 +54,28 @@
                               fc_now() + archiver->cluster->settings->lease_s, NULL);
 }
 
-/* Has it ended before then, with nothing left that needs it? */
-static bool may_be_archived(const fc_cluster *cluster, const fc_job *job, double before) {
+/* Whether we have to archive the job: it ended before `before`, nothing needs its record any more, and
+ * we own its first slice. */
+static bool is_archivable(const fc_cluster *cluster, const fc_job *job, double before) {
   if (!job->lifecycle.ended_at || job->lifecycle.ended_at > before || job->placements->len > 0) return false;
-  /* Its dependents read from its record that it has ended. */
+  /* Dependent jobs read the end of the job from its record. */
   if (fc_dependencies_has_dependents(cluster, job->spec.id)) return false;
   return fc_job_slice_owner(job, 0) == cluster->membership.self;
 }
 
-/* Ids of jobs to archive, `max` at the most; the array owns them. The owner of the first slice
- * archives a job. */
+/* Ids of at most `max` jobs to archive. The caller frees the array, which owns them. */
 static GPtrArray *collect_jobs(const fc_archiver *archiver, guint max) {
   const fc_cluster *cluster = archiver->cluster;
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   double before = fc_now() - cluster->settings->operator_settings.over_keep_s;
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (const fc_job *job; ids->len < max && (job = fc_job_iter_next(&job_iter));)
-    if (may_be_archived(cluster, job, before)) g_ptr_array_add(ids, g_strdup(job->spec.id));
+    if (is_archivable(cluster, job, before)) g_ptr_array_add(ids, g_strdup(job->spec.id));
   return ids;
 }
 
-/* As many as the write rate allows, and not as a transaction holds: with few changes in each, jobs
- * came faster than they were archived. */
+/* Limited by the write rate and not by the size of a transaction: where transactions hold few changes,
+ * jobs were added faster than they were archived. */
 static guint jobs_per_pass(const fc_archiver *archiver, double pause_s) {
   double writes = fc_group_commit_rate(archiver->commit) * pause_s * WRITE_RATE_SHARE;
   return (guint)MAX(1, writes / WRITES_PER_JOB);
@@ -84,7 +84,7 @@
 static void run_pass(fc_archiver *archiver, double pause_s) {
   GPtrArray *ids = collect_jobs(archiver, jobs_per_pass(archiver, pause_s));
   bool marked = ids->len > 0 && (archiver->cluster->archive_in_use || write_mark(archiver));
-  /* None while other writes are pending. */
+  /* Other writes take precedence. */
   for (guint i = 0; marked && i < ids->len && fc_group_commit_backlog(archiver->commit) == 0; i++)
     archive_job(archiver, ids->pdata[i]);
   g_ptr_array_free(ids, TRUE);
--- a/src/controller/decided_write.c
+++ b/src/controller/decided_write.c
@@ -31,6 +31,6 @@
     if (!maybe_executed) return;
     (void)fc_routine_sleep(heartbeat_s * RETRY_HEARTBEATS);
   }
-  /* The conflict may have been with a copy of ours: it is read before anything else happens. */
+  /* The conflict may be with an earlier copy of this write, whose effect has to be read first. */
   wait_for_fresh_read(watch, heartbeat_s);
 }
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -26,7 +26,7 @@
 
 /* ---- the term ---- */
 
-/* Is an incarnation of another member of the present term no longer in the next? */
+/* Whether the next term lacks an incarnation of another member of the current term. */
 static bool peer_left(const fc_membership *membership, const fc_term *next) {
   for (int i = 0; i < (int)membership->term.count; i++) {
     const fc_member *member = &membership->term.members[i];
@@ -36,7 +36,7 @@
   return false;
 }
 
-/* Does the term name us, as this incarnation? */
+/* Whether this incarnation of this controller is a member of the term. */
 static bool names_us(const fc_record_applier *applier, const fc_term *term) {
   int index = fc_term_find(term, applier->cluster->settings->name);
   return index >= 0 && term->members[index].incarnation == fc_leadership_incarnation(applier->leadership);
@@ -57,7 +57,7 @@
   fc_peers_reset_acknowledged(applier->peers);
   double now = fc_now();
   fc_cluster_apply_term(cluster, &term, change->version, continuous, now);
-  /* Another incarnation under our name owns the shard that is named so. */
+  /* The member of our name is another incarnation, which owns that shard. */
   if (membership->self >= 0 && !ours) membership->self = -1;
   fc_leadership_term_applied(applier->leadership, now, left);
   g_info("term number=%" G_GUINT64_FORMAT " members=%zu self=%d continuous=%d", (guint64)term.number, term.count,
@@ -67,10 +67,10 @@
 
 /* ---- jobs ---- */
 
-/* Fills in the description of a record that is stored apart. False: not all of its parts have been
- * read. */
+/* Completes the record with its description, which is stored in separate keys. False if not all of
+ * its parts have been read. */
 static bool read_description(const fc_cluster *cluster, const char *id, fc_job_record *record) {
-  /* What is known of the job stays: descriptions never change. */
+  /* A known job has its description already, and descriptions never change. */
   if (fc_cluster_find_job(cluster, id)) return true;
   char *text = fc_description_parts_join(cluster->descriptions, id, &record->parts);
   bool ok = text && fc_job_description_read(text, &record->spec);
@@ -80,7 +80,7 @@
   return ok;
 }
 
-/* Keeps the record until the rest of its description has been read. */
+/* Stores the record until its description has been read completely. */
 static void defer_job(fc_cluster *cluster, const char *id, const fc_kv_change *change, bool ordered) {
   fc_incomplete_job *incomplete = g_new(fc_incomplete_job, 1);
   *incomplete =
@@ -89,7 +89,7 @@
 }
 
 static void remove_job(fc_cluster *cluster, const char *id, uint64_t version) {
-  /* A job's record is removed only when it has ended and is archived. */
+  /* A record is deleted only when its job has ended and is archived. */
   fc_job *job = fc_cluster_find_job(cluster, id);
   if (job && job->record.version < version) fc_cluster_remove_job(cluster, job);
   g_hash_table_remove(cluster->incomplete_jobs, id);
@@ -112,7 +112,7 @@
     return;
   }
   g_hash_table_remove(cluster->incomplete_jobs, id);
-  /* Whoever confirmed it did so after the last read that did not show it. */
+  /* The cancellation was confirmed to its user after the last read that did not show it. */
   if (record.phase == FC_PHASE_CANCELLED)
     fc_cancellations_learned(applier->cancellations, id, change->version, ordered ? cluster->sync.read_at : fc_now());
   const fc_membership *membership = &cluster->membership;
@@ -158,13 +158,13 @@
   machine = fc_cluster_ensure_machine(cluster, id, fc_now());
   if (machine->record_version >= change->version) return;
   bool announced = record.endpoint[0] != '\0';
-  /* An address learned from the worker itself stays. */
+  /* A record without an endpoint does not replace one learned from the worker. */
   if (!announced) g_strlcpy(record.endpoint, machine->record.endpoint, sizeof record.endpoint);
   machine->record = record;
   machine->record_version = change->version;
   fc_cluster_locate_machine(cluster, machine);
   fc_cluster_assign_machine(cluster, machine, fc_now());
-  /* Announced within this term: it has never held anything, for anybody. */
+  /* A machine announced within this term has never run a task of any owner. */
   const fc_membership *membership = &cluster->membership;
   bool this_term = ordered && membership->term_version && change->version > membership->term_version;
   if (announced && !machine->announced && this_term) machine->reconciled_term = membership->term.number;
@@ -200,7 +200,7 @@
   if (!change->value || change->version <= cluster->quota.version) return;
   fc_quota_record quota;
   if (!fc_quota_record_decode(change->value, cluster->settings, &quota)) {
-    memset(&quota, 0, sizeof quota); /* nobody has a share */
+    memset(&quota, 0, sizeof quota); /* no member has a share */
     g_critical("quota record unreadable");
   }
   fc_cluster_apply_quota(cluster, &quota, change->version);
@@ -230,7 +230,7 @@
   }
 }
 
-/* ---- what is no longer in the store ---- */
+/* ---- removing what is no longer in the store ---- */
 
 static bool is_present(GHashTable *present, const char *prefix, const char *name) {
   char *key = g_strconcat(prefix, name, NULL);
@@ -270,7 +270,7 @@
   }
 }
 
-/* Removes the entries of a table by name whose keys are not there. */
+/* Removes the entries of the table whose keys (prefix and name) are not present. */
 static void retain_named(GHashTable *table, const char *prefix, GHashTable *present) {
   GHashTableIter iter;
   gpointer name;
