--- a/src/controller/archive_lookup.c
+++ b/src/controller/archive_lookup.c
@@ -6,7 +6,7 @@
 /* Part of this member's share of the store's request rate that is reserved for look-ups. */
 #define LOOKUP_RATE_SHARE 0.1
 
-/* Dependencies cached at most; a full cache is emptied. */
+/* The most dependencies in the cache, which is emptied when it is full. */
 #define CACHED_JOBS_MAX 1024u
 
 struct fc_archive_lookup {
--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -54,7 +54,7 @@
                               fc_now() + archiver->cluster->settings->lease_s, NULL);
 }
 
-/* Whether we have to archive the job: it ended before `before`, nothing needs its record any more, and
+/* Whether this controller may archive the job: it ended before `before`, nothing needs its record any more, and
  * we own its first slice. */
 static bool is_archivable(const fc_cluster *cluster, const fc_job *job, double before) {
   if (!job->lifecycle.ended_at || job->lifecycle.ended_at > before || job->placements->len > 0) return false;
--- a/src/controller/client_server.c
+++ b/src/controller/client_server.c
@@ -3,12 +3,13 @@
 #include "controller/http_answers.h"
 #include "protocol/routes.h"
 
-/* Of the sockets; the rest is for peers, the key-value store, the cloud and calls to workers. */
-#define CLIENT_SOCKETS_SHARE(sockets) ((sockets)*3 / 4)
+/* The part of the file descriptors for client connections; the rest is for peers, the key-value store,
+ * the cloud and calls to workers. */
+#define CLIENT_CONNECTIONS_MAX(fd_limit) ((fd_limit)*3 / 4)
 
-/* Connections are closed after so long without a request. */
-#define IDLE_LEASES 4
-#define IDLE_MIN_S 30.0
+/* An idle connection is closed after this many worker leases, but not before the minimum. */
+#define IDLE_TIMEOUT_LEASES 4
+#define IDLE_TIMEOUT_MIN_S 30.0
 
 #define REQUEST_TIMEOUT_HEARTBEATS 2
 
@@ -55,7 +56,7 @@
   const char *allow;
   metrics->counters.requests++;
   fc_route route = fc_route_of(request->method, request->path, id, &allow);
-  /* The last connections are for workers: users can come back for the next. */
+  /* Near the limit only workers may reuse their connections; users can reconnect. */
   response->close = request->crowded && route != FC_ROUTE_HEARTBEAT;
   switch (route) {
     case FC_ROUTE_HEARTBEAT:
@@ -80,7 +81,7 @@
       fc_http_answer_error(response, 405, "wrong method");
       response->allow = allow;
       break;
-    case FC_ROUTE_METRICS: /* at the peer address only */
+    case FC_ROUTE_METRICS: /* served at the peer address only */
     case FC_ROUTE_NONE:
       fc_http_answer_error(response, 404, "no such path");
       break;
@@ -90,8 +91,8 @@
 bool fc_client_server_start(fc_client_server *server) {
   const fc_settings *settings = server->deps.settings;
   fc_http_server_options options = {
-      .most_connections = CLIENT_SOCKETS_SHARE(settings->fd_limit),
-      .idle_s = MAX(settings->lease_s * IDLE_LEASES, IDLE_MIN_S),
+      .most_connections = CLIENT_CONNECTIONS_MAX(settings->fd_limit),
+      .idle_s = MAX(settings->lease_s * IDLE_TIMEOUT_LEASES, IDLE_TIMEOUT_MIN_S),
       .request_s = settings->heartbeat_s * REQUEST_TIMEOUT_HEARTBEATS,
   };
   return fc_http_serve(&settings->client_at, &options, serve, server);
--- a/src/controller/client_server.h
+++ b/src/controller/client_server.h
@@ -1,5 +1,5 @@
-/* The server at the address for users, workers and health checks: hands each request to the module
- * that serves it. */
+/* HTTP server at the client address, for users, workers and health checks: routes each request to the
+ * module that handles it. */
 #ifndef FC_CONTROLLER_CLIENT_SERVER_H
 #define FC_CONTROLLER_CLIENT_SERVER_H
 
@@ -10,7 +10,7 @@
 
 typedef struct fc_client_server fc_client_server;
 
-/* What it works with; everything has to outlive it. */
+/* Modules that it uses; all must outlive it. */
 typedef struct fc_client_server_deps {
   const fc_settings *settings;
   fc_admission *admission;
@@ -20,9 +20,9 @@
   fc_metrics *metrics;
 } fc_client_server_deps;
 
-/* Lives as long as its routines. */
+/* `deps` is copied. The result lives as long as its routines. */
 fc_client_server *fc_client_server_new(const fc_client_server_deps *deps);
-/* Listens at the settings' client address; false: it can't. */
+/* Listens on the client address of the settings. False if that fails. */
 bool fc_client_server_start(fc_client_server *server);
 
 #endif
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -11,14 +11,13 @@
 #include "controller/view_receiver.h"
 #include "controller/view_sender.h"
 
-/* Of our share of the store's request rate, for transactions. */
+/* Part of this member's share of the store's request rate that is for transactions. */
 #define TRANSACTION_RATE_SHARE 0.35
 
-/* A transaction is given up, its outcome unknown, after so many heartbeat intervals. */
+/* After this many heartbeat intervals without a response the outcome of a transaction is unknown. */
 #define TRANSACTION_TIMEOUT_HEARTBEATS 0.75
 
-/* What most modules share, and the modules that others are handed; all live as long as the
- * process. */
+/* Shared state, and the modules that several others use; all live as long as the process. */
 struct fc_controller {
   const fc_settings *settings;
   fc_cluster *cluster;
@@ -44,9 +43,9 @@
 const char *fc_controller_strerror(fc_controller_error error) {
   switch (error) {
     case FC_CONTROLLER_CLIENT_LISTEN:
-      return "client_listen: can't listen there";
+      return "client_listen: can't listen on this address";
     case FC_CONTROLLER_PEER_LISTEN:
-      return "peer_listen: can't listen there";
+      return "peer_listen: can't listen on this address";
     case FC_CONTROLLER_NO_MEMORY:
       return "out of memory";
     case FC_CONTROLLER_OK:
@@ -55,7 +54,7 @@
   return "no error";
 }
 
-/* ---- what the modules share ---- */
+/* ---- shared state and services ---- */
 
 static void build_state(fc_controller *controller) {
   controller->cluster = fc_cluster_new(controller->settings);
@@ -80,7 +79,7 @@
   return fc_group_commit_new(kv, &limits);
 }
 
-/* The key-value store and the cloud. */
+/* Builds the modules for the key-value store and the cloud. */
 static void build_services(fc_controller *controller) {
   controller->kv = fc_kv_new(&controller->settings->kv_at);
   fc_record_applier *applier = fc_record_applier_new(controller->cluster, controller->leadership, controller->peers,
@@ -91,7 +90,7 @@
   controller->commit = build_commit(controller->settings, controller->kv);
 }
 
-/* ---- modules that face workers, users and peers ---- */
+/* ---- modules that serve workers, users and peers ---- */
 
 static void build_worker_modules(fc_controller *controller) {
   fc_cluster *cluster = controller->cluster;
@@ -154,7 +153,7 @@
   fc_group_commit_run(controller->commit);
 }
 
-/* What keeps the cluster state, and us in it. */
+/* Starts what keeps the cluster state current and this controller a member. */
 static bool start_coordination(fc_controller *controller) {
   fc_view_sender *sender =
       fc_view_sender_new(controller->cluster, controller->leadership, controller->peers, controller->views,
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -1,13 +1,15 @@
 #include "controller/metrics.h"
 
-#define BINS 28u
-#define FIRST_EDGE_S 0.001
-#define EDGE_GROWTH 1.5
+/* Bins of the duration histograms. */
+#define BIN_COUNT 28u
+#define FIRST_EDGE_S 0.001 /* upper bound of the first bin */
+#define EDGE_GROWTH 1.5    /* ratio of successive bounds */
 
-/* Within the last bin, which counts what lies beyond it. */
-#define LAST_BIN 0.999
+/* Longer durations are counted at this fraction of the histogram's upper bound, which is in the last
+ * bin. */
+#define OVERFLOW_FRACTION 0.999
 
-static const char *const k_time_names[FC_DURATIONS] = {"submit", "poll", "start", "round"};
+static const char *const k_duration_names[FC_DURATIONS] = {"submit", "poll", "start", "round"};
 
 static const char *const k_duty_names[FC_DUTIES] = {
     "other", "reports", "commands", "rounds",       "rental",      "views_sent", "views_taken",
@@ -16,31 +18,31 @@
 
 fc_metrics *fc_metrics_new(void) {
   fc_metrics *metrics = g_new0(fc_metrics, 1);
-  double edges[BINS + 1];
+  double edges[BIN_COUNT + 1];
   edges[0] = 0;
   edges[1] = FIRST_EDGE_S;
-  for (unsigned i = 2; i <= BINS; i++) edges[i] = edges[i - 1] * EDGE_GROWTH;
+  for (unsigned i = 2; i <= BIN_COUNT; i++) edges[i] = edges[i - 1] * EDGE_GROWTH;
   for (int i = 0; i < FC_DURATIONS; i++) {
-    metrics->times[i] = gsl_histogram_alloc(BINS);
-    if (!metrics->times[i]) g_error("out of memory");
-    (void)gsl_histogram_set_ranges(metrics->times[i], edges, BINS + 1);
+    metrics->durations[i] = gsl_histogram_alloc(BIN_COUNT);
+    if (!metrics->durations[i]) g_error("out of memory");
+    (void)gsl_histogram_set_ranges(metrics->durations[i], edges, BIN_COUNT + 1);
   }
   return metrics;
 }
 
 void fc_metrics_free(fc_metrics *metrics) {
   if (!metrics) return;
-  for (int i = 0; i < FC_DURATIONS; i++) gsl_histogram_free(metrics->times[i]);
+  for (int i = 0; i < FC_DURATIONS; i++) gsl_histogram_free(metrics->durations[i]);
   g_free(metrics);
 }
 
 void fc_metrics_observe_duration(fc_metrics *metrics, fc_duration_metric which, double seconds) {
-  gsl_histogram *histogram = metrics->times[which];
-  double max = gsl_histogram_max(histogram) * LAST_BIN;
+  gsl_histogram *histogram = metrics->durations[which];
+  double max = gsl_histogram_max(histogram) * OVERFLOW_FRACTION;
   (void)gsl_histogram_increment(histogram, CLAMP(seconds, 0, max));
 }
 
-static void append_times(const gsl_histogram *histogram, const char *name, GString *out) {
+static void append_histogram(const gsl_histogram *histogram, const char *name, GString *out) {
   double total = 0;
   for (size_t i = 0; i < gsl_histogram_bins(histogram); i++) {
     double low, high;
@@ -82,5 +84,5 @@
 
 void fc_metrics_append(const fc_metrics *metrics, GString *out) {
   for (int i = 0; i < FC_DUTIES; i++) append_usage(&metrics->usage[i], k_duty_names[i], out);
-  for (int i = 0; i < FC_DURATIONS; i++) append_times(metrics->times[i], k_time_names[i], out);
+  for (int i = 0; i < FC_DURATIONS; i++) append_histogram(metrics->durations[i], k_duration_names[i], out);
 }
--- a/src/controller/metrics_page.h
+++ b/src/controller/metrics_page.h
@@ -1,4 +1,4 @@
-/* The metrics page that an operator reads at the peer address. */
+/* The metrics page, which operators read at the peer address. */
 #ifndef FC_CONTROLLER_METRICS_PAGE_H
 #define FC_CONTROLLER_METRICS_PAGE_H
 
@@ -6,7 +6,7 @@
 
 #include "controller/report_sources.h"
 
-/* Appends all figures, one a line: "name value". */
+/* Appends all metrics, one per line: "name value". */
 void fc_metrics_page_append(const fc_report_sources *sources, GString *out);
 
 #endif
--- a/src/controller/readiness.c
+++ b/src/controller/readiness.c
@@ -2,7 +2,8 @@
 
 #include "transport/routine.h"
 
-/* What was heard or read longer ago than so many heartbeat intervals is old. */
+/* Acknowledgements of peers and reads of the key-value store are recent for this many heartbeat
+ * intervals. */
 #define RECENT_HEARTBEATS 2
 
 struct fc_readiness {
@@ -25,13 +26,14 @@
   bool types_known = cluster->machine_types->len > 0;
   if (fc_cluster_store_reachable(cluster, now) && types_known) return true;
   if (cluster->sync.loaded && now - cluster->sync.read_at < recent_s) return types_known;
-  bool alone = fc_peers_count(readiness->peers) > 0;
+  bool isolated = fc_peers_count(readiness->peers) > 0;
   for (size_t i = 0; i < fc_peers_count(readiness->peers); i++) {
     const fc_peer *peer = fc_peers_at(readiness->peers, i);
     if (now - peer->kv_read_at < recent_s) return false;
-    if (now - peer->heard_at < recent_s) alone = false;
+    if (now - peer->heard_at < recent_s) isolated = false;
   }
-  /* Without the key-value store and without any other controller it is more likely us than them. */
-  if (alone && !fc_leadership_held(readiness->leadership)) return false;
+  /* If neither the key-value store nor any peer can be reached, this controller is probably the one
+   * that is disconnected. */
+  if (isolated && !fc_leadership_held(readiness->leadership)) return false;
   return now > readiness->started_at + heartbeat_s;
 }
--- a/src/controller/readiness.h
+++ b/src/controller/readiness.h
@@ -1,4 +1,4 @@
-/* Readiness: should the load balancer send users to this controller? */
+/* Readiness probe: whether the load balancer should route users to this controller. */
 #ifndef FC_CONTROLLER_READINESS_H
 #define FC_CONTROLLER_READINESS_H
 
@@ -10,12 +10,13 @@
 
 typedef struct fc_readiness fc_readiness;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which lives as long as the process. */
 fc_readiness *fc_readiness_new(const fc_cluster *cluster, const fc_leadership *leadership, fc_peers *peers);
 
-/* While no controller reaches the key-value store, being taken out of the load balancer would only
- * add its pauses to the outage: we stay, and refuse at once what we can't do. When a peer still
- * reaches it, users are better off there. */
+/* Ready while this controller reaches the key-value store and knows the machine types. While no
+ * controller reaches the store we stay ready, and refuse at once what we can't serve: leaving the load
+ * balancer would only prolong the outage by its delays. Not ready if a peer still reaches the store
+ * and can serve users instead, or if we reach no peer either and have lost the leadership. */
 bool fc_readiness_is_ready(const fc_readiness *readiness);
 
 #endif
--- a/src/controller/report_sources.h
+++ b/src/controller/report_sources.h
@@ -1,4 +1,4 @@
-/* Where the figures for operators come from: the metrics page and the status lines of the log. */
+/* The modules that the metrics page and the status lines of the log read. */
 #ifndef FC_CONTROLLER_REPORT_SOURCES_H
 #define FC_CONTROLLER_REPORT_SOURCES_H
 
@@ -6,7 +6,7 @@
 #include "controller/leadership.h"
 #include "controller/metrics.h"
 
-/* Nothing is owned. */
+/* Not owned. */
 typedef struct fc_report_sources {
   const fc_cluster *cluster;
   const fc_leadership *leadership;
--- a/src/controller/status_log.c
+++ b/src/controller/status_log.c
@@ -4,17 +4,18 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "scheduler/pending_tasks.h"
 
-/* A machine counts as silent after so many heartbeat intervals. */
+/* A machine is silent if its last message is older than this many heartbeat intervals. */
 #define SILENT_HEARTBEATS 2
 
 typedef struct job_summary {
-  unsigned pending, unresolved; /* jobs of ours with tasks to place, and without a resolved slice */
+  unsigned pending;    /* our runnable jobs with tasks to place */
+  unsigned unresolved; /* our runnable jobs whose slices are not resolved */
 } job_summary;
 
 typedef struct machine_summary {
-  unsigned ours, silent;       /* of our shard */
-  unsigned unreconciled;       /* of all shards */
-  const char *unreconciled_id; /* one of them; "-": there are none */
+  unsigned ours, silent;       /* in our shard */
+  unsigned unreconciled;       /* in all shards */
+  const char *unreconciled_id; /* of one of them; "-" if there are none */
 } machine_summary;
 
 static job_summary summarize_jobs(const fc_cluster *cluster) {
--- a/src/controller/status_log.h
+++ b/src/controller/status_log.h
@@ -1,4 +1,4 @@
-/* The status lines of the log: what the controller knows and has done, once in a while. */
+/* Periodic status lines in the log: the controller's state and counters. */
 #ifndef FC_CONTROLLER_STATUS_LOG_H
 #define FC_CONTROLLER_STATUS_LOG_H
 
--- a/tests/test_kv_watch.c
+++ b/tests/test_kv_watch.c
@@ -1,10 +1,10 @@
-/* How the controller reads the key-value store. */
+/* Tests of how the controller reads the key-value store. */
 #include "fixture.h"
 
 #include "controller/kv_watch.h"
 
-/* A full read goes in pages that the processor parses in a short time. */
-static void page_size_follows_the_processor(void **state) {
+/* The page size of the snapshot depends on the CPU limit, so that parsing a page takes a short time. */
+static void page_size_depends_on_cpu_limit(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -21,7 +21,7 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(page_size_follows_the_processor),
+      cmocka_unit_test(page_size_depends_on_cpu_limit),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_peer_view.c
+++ b/tests/test_peer_view.c
@@ -1,4 +1,4 @@
-/* Views between controllers: whole, as changes, in parts, and how often. */
+/* Tests of views between controllers: complete ones, changes, pieces, and the interval between them. */
 #include "fixture.h"
 
 #include "bookkeeping/cluster_machines.h"
@@ -26,7 +26,7 @@
                                                 .requests_per_s = 10,
                                                 .response_timeout_s = 1};
 
-/* One of two controllers in term 5; its only peer is the other. */
+/* One of two controllers in term 5; its only peer is the other. The caller frees it. */
 static view_controller *controller_new(const char *name, const char *other, uint64_t incarnation) {
   view_controller *controller = g_new0(view_controller, 1);
   controller->settings = fixture_settings();
@@ -64,8 +64,9 @@
   return fc_peers_at(controller->peers, 0);
 }
 
-/* The same machines at both controllers, all owned by the sender, which alone knows the `tasks` on each. */
-static void fill(view_controller *sender, view_controller *receiver, unsigned machines, unsigned tasks) {
+/* Adds the same machines to both controllers, all owned by the sender. Only the sender has the `tasks`
+ * tasks on each. */
+static void add_machines(view_controller *sender, view_controller *receiver, unsigned machines, unsigned tasks) {
   for (unsigned i = 0; i < machines; i++) {
     char id[32], job[32];
     g_snprintf(id, sizeof id, "vm-%06u", i);
@@ -79,8 +80,8 @@
   }
 }
 
-/* The controller learns of a cancellation that is new to it. */
-static void learn(view_controller *controller, const char *job, uint64_t revision) {
+/* Adds a cancellation, and checks that it was new to the controller. */
+static void learn_cancellation(view_controller *controller, const char *job, uint64_t revision) {
   size_t before, after;
   fc_frame_cancellation *list;
   assert_true(fc_cancellations_since(controller->cancellations, 0, &list, &before));
@@ -91,7 +92,8 @@
   assert_int_equal(after, before + 1);
 }
 
-static GPtrArray *frames_of(view_controller *from, uint64_t sequence) {
+/* The bodies of the frames of the next view, which the caller frees. */
+static GPtrArray *encode_view(view_controller *from, uint64_t sequence) {
   GByteArray *out = g_byte_array_new();
   fc_peer_views_encode(from->views, only_peer(from), sequence, out);
   GPtrArray *frames = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
@@ -106,9 +108,9 @@
   return frames;
 }
 
-static fc_view_result deliver(view_controller *to, const GPtrArray *frames, guint part) {
+static fc_view_result deliver(view_controller *to, const GPtrArray *frames, guint piece) {
   gsize len;
-  const uint8_t *bytes = g_bytes_get_data(frames->pdata[part], &len);
+  const uint8_t *bytes = g_bytes_get_data(frames->pdata[piece], &len);
   fc_view view;
   assert_true(fc_view_decode(bytes, len, &view));
   fc_view_result result = fc_peer_views_apply(to->views, &view);
@@ -116,30 +118,30 @@
   return result;
 }
 
-/* The receiver acknowledged the view, having read the key-value store up to the revision. */
+/* Records at the sender that the peer acknowledged the view, having read the store up to the revision. */
 static void acknowledge(view_controller *from, uint64_t sequence, uint64_t revision) {
   only_peer(from)->acknowledged.sequence = sequence;
   only_peer(from)->acknowledged.view_number = from->cluster->view_number;
   only_peer(from)->acknowledged.revision = revision;
 }
 
-static unsigned placements_of(const view_controller *controller) {
+static unsigned count_placements(const view_controller *controller) {
   unsigned count = 0;
   fc_machine_iter machine_iter = fc_cluster_machines(controller->cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) count += machine->placements->len;
   return count;
 }
 
-/* The fleet of one controller, up to three times a deployment's: every machine arrives, in
- * parts of bounded size, and the next view holds only what changed. */
+/* Every machine of a controller arrives, in pieces of bounded size, and the next view contains only
+ * changes. The sizes go up to three times the machines of a deployment. */
 static void whole_fleet_is_replicated(void **state) {
   (void)state;
   static const unsigned sizes[] = {0, 1, 2150, 4300};
   for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
     view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
     view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
-    fill(sender, receiver, sizes[i], 4);
-    GPtrArray *whole = frames_of(sender, 1);
+    add_machines(sender, receiver, sizes[i], 4);
+    GPtrArray *whole = encode_view(sender, 1);
     size_t bytes = 0;
     for (guint k = 0; k < whole->len; k++) {
       bytes += g_bytes_get_size(whole->pdata[k]);
@@ -147,7 +149,7 @@
       assert_int_equal(deliver(receiver, whole, k), FC_VIEW_APPLIED);
     }
     assert_true(whole->len >= bytes / (2 * FC_PIECE_BYTES));
-    assert_int_equal(placements_of(receiver), sizes[i] * 4);
+    assert_int_equal(count_placements(receiver), sizes[i] * 4);
     assert_int_equal(only_peer(receiver)->received.sequence, 1);
     g_ptr_array_free(whole, TRUE);
     acknowledge(sender, 1, 100);
@@ -155,7 +157,7 @@
     assert_int_equal(sent, sizes[i]);
     fc_machine *machine = fc_cluster_find_machine(sender->cluster, "vm-000000");
     if (machine) ((fc_placement *)machine->placements->pdata[0])->status.state = FC_TASK_SAVING;
-    GPtrArray *changes = frames_of(sender, 2);
+    GPtrArray *changes = encode_view(sender, 2);
     assert_int_equal(changes->len, 1);
     assert_int_equal(sender->metrics->counters.machines_sent - sent, machine ? 1 : 0);
     assert_int_equal(deliver(receiver, changes, 0), FC_VIEW_APPLIED);
@@ -169,8 +171,8 @@
   }
 }
 
-/* The three parts of view 2 after view 1 has been applied. */
-static void parts_lost_repeated_or_reordered(void **state) {
+/* The three pieces of view 2 arrive in various orders after view 1 has been applied. */
+static void pieces_lost_repeated_or_reordered(void **state) {
   (void)state;
   static const struct {
     const char *name, *order;
@@ -185,19 +187,19 @@
       {"two are reordered", "021", FC_VIEW_OUT_OF_ORDER, false},
       {"the last is lost", "01", FC_VIEW_APPLIED, false},
       {"all, then the first again", "0120", FC_VIEW_OUT_OF_ORDER, true},
-      {"a part of the view before", "x", FC_VIEW_OUT_OF_ORDER, false},
+      {"a piece of the previous view", "x", FC_VIEW_OUT_OF_ORDER, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
     view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
-    fill(sender, receiver, 1500, 4);
-    GPtrArray *first = frames_of(sender, 1), *second = frames_of(sender, 2);
+    add_machines(sender, receiver, 1500, 4);
+    GPtrArray *first = encode_view(sender, 1), *second = encode_view(sender, 2);
     assert_int_equal(second->len, 3);
     for (guint k = 0; k < 3; k++) assert_int_equal(deliver(receiver, first, k), FC_VIEW_APPLIED);
     fc_view_result result = FC_VIEW_IGNORED;
     bool closed = false;
-    for (const char *part = rows[i].order; *part && !closed; part++) {
-      result = *part == 'x' ? deliver(receiver, first, 0) : deliver(receiver, second, (guint)(*part - '0'));
+    for (const char *piece = rows[i].order; *piece && !closed; piece++) {
+      result = *piece == 'x' ? deliver(receiver, first, 0) : deliver(receiver, second, (guint)(*piece - '0'));
       closed = result == FC_VIEW_OUT_OF_ORDER;
     }
     check_row(rows[i].name, result == rows[i].last);
@@ -226,8 +228,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
     view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
-    fill(sender, receiver, 10, 1);
-    GPtrArray *first = frames_of(sender, 1);
+    add_machines(sender, receiver, 10, 1);
+    GPtrArray *first = encode_view(sender, 1);
     fc_machine *known = fc_cluster_find_machine(receiver->cluster, "vm-000003");
     if (rows[i].owner_unknown) known->owner = 1;
     if (!rows[i].base_lost) assert_int_equal(deliver(receiver, first, 0), FC_VIEW_APPLIED);
@@ -236,7 +238,7 @@
     acknowledge(sender, 1, rows[i].owner_unknown ? 49 : 50);
     if (!rows[i].owner_unknown) fc_placement_remove(machine->placements->pdata[0]);
     known->owner = 0;
-    GPtrArray *second = frames_of(sender, 2);
+    GPtrArray *second = encode_view(sender, 2);
     fc_term next = k_term;
     if (rows[i].other_incarnation) next.members[0].incarnation = 7;
     if (rows[i].other_term) next.number++;
@@ -244,7 +246,7 @@
     check_row(rows[i].name, deliver(receiver, second, 0) == rows[i].result);
     if (rows[i].result == FC_VIEW_APPLIED) {
       check_row(rows[i].name, known->placements->len == (rows[i].owner_unknown ? 1 : 0));
-      check_row(rows[i].name, placements_of(receiver) == (rows[i].owner_unknown ? 10 : 9));
+      check_row(rows[i].name, count_placements(receiver) == (rows[i].owner_unknown ? 10 : 9));
     }
     g_ptr_array_free(first, TRUE);
     g_ptr_array_free(second, TRUE);
@@ -253,9 +255,9 @@
   }
 }
 
-/* A machine with more tasks than a heartbeat may list is sent as not reconciled and without tasks;
- * the rest of the view is sent all the same. */
-static void tasks_of_a_machine_at_the_bound(void **state) {
+/* A machine with more tasks than a heartbeat may list is sent as not reconciled and without tasks,
+ * which does not affect the rest of the view. */
+static void tasks_of_a_machine_at_the_limit(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -263,20 +265,20 @@
     bool sent;
   } rows[] = {
       {"one under", FC_FRAME_TASKS_MAX - 1, true},
-      {"at the bound", FC_FRAME_TASKS_MAX, true},
+      {"at the limit", FC_FRAME_TASKS_MAX, true},
       {"one over", FC_FRAME_TASKS_MAX + 1, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
     view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
-    fill(sender, receiver, 2, 1);
+    add_machines(sender, receiver, 2, 1);
     fc_machine *machine = fc_cluster_find_machine(sender->cluster, "vm-000000");
     for (unsigned k = 1; k < rows[i].tasks; k++)
       fc_cluster_add_placement(sender->cluster, machine, "job-000000", k, fc_attempt(5, 100 + k), 1)->status.state =
           FC_TASK_RUNNING;
-    GPtrArray *frames = frames_of(sender, 1);
+    GPtrArray *frames = encode_view(sender, 1);
     for (guint k = 0; k < frames->len; k++) check_row(rows[i].name, deliver(receiver, frames, k) == FC_VIEW_APPLIED);
-    check_row(rows[i].name, placements_of(receiver) == (rows[i].sent ? rows[i].tasks + 1 : 1));
+    check_row(rows[i].name, count_placements(receiver) == (rows[i].sent ? rows[i].tasks + 1 : 1));
     check_row(rows[i].name,
               (fc_cluster_find_machine(receiver->cluster, "vm-000000")->reconciled_term == 5) == rows[i].sent);
     g_ptr_array_free(frames, TRUE);
@@ -285,7 +287,7 @@
   }
 }
 
-/* The first part of a view carries the cancellations that the peer has not read. */
+/* The first piece of a view carries the cancellations that the peer has not read. */
 static void cancellations_not_read_by_the_peer(void **state) {
   (void)state;
   static const struct {
@@ -296,11 +298,11 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     view_controller *sender = controller_new("paddock-0", "paddock-1", 1);
     view_controller *receiver = controller_new("paddock-1", "paddock-0", 2);
-    fill(sender, receiver, 2000, 3);
-    learn(sender, "job-000020", 20);
-    learn(sender, "job-000021", 21);
+    add_machines(sender, receiver, 2000, 3);
+    learn_cancellation(sender, "job-000020", 20);
+    learn_cancellation(sender, "job-000021", 21);
     only_peer(sender)->revision = rows[i].read;
-    GPtrArray *frames = frames_of(sender, 1);
+    GPtrArray *frames = encode_view(sender, 1);
     assert_true(frames->len > 1);
     for (guint k = 0; k < frames->len; k++) {
       gsize len;
@@ -318,9 +320,9 @@
   }
 }
 
-/* Views are sent between ten times and two and a half times in a heartbeat interval: less often with
- * less processor, with more peers and with a longer lag. */
-static void spacing_follows_the_processor(void **state) {
+/* Views are sent between two and a half and ten times per heartbeat interval: less often with a lower
+ * CPU limit, more peers or a longer lag of the event loop. */
+static void min_interval_depends_on_cpu_limit(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -342,16 +344,16 @@
     fc_settings settings = fixture_settings();
     settings.cpu = rows[i].cpu;
     settings.peer_count = rows[i].peers;
-    double spacing = fc_peer_view_min_interval_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
-    check_row(rows[i].name, spacing >= rows[i].least - 1e-9 && spacing <= rows[i].most + 1e-9);
+    double interval = fc_peer_view_min_interval_s(&settings, rows[i].lag_s) / settings.heartbeat_s;
+    check_row(rows[i].name, interval >= rows[i].least - 1e-9 && interval <= rows[i].most + 1e-9);
   }
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(whole_fleet_is_replicated),          cmocka_unit_test(parts_lost_repeated_or_reordered),
-      cmocka_unit_test(changes_apply_to_their_base_only),   cmocka_unit_test(tasks_of_a_machine_at_the_bound),
-      cmocka_unit_test(cancellations_not_read_by_the_peer), cmocka_unit_test(spacing_follows_the_processor),
+      cmocka_unit_test(whole_fleet_is_replicated),          cmocka_unit_test(pieces_lost_repeated_or_reordered),
+      cmocka_unit_test(changes_apply_to_their_base_only),   cmocka_unit_test(tasks_of_a_machine_at_the_limit),
+      cmocka_unit_test(cancellations_not_read_by_the_peer), cmocka_unit_test(min_interval_depends_on_cpu_limit),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
