--- a/src/controller/metrics_page.c
+++ b/src/controller/metrics_page.c
@@ -3,7 +3,7 @@
 #include "bookkeeping/dependencies.h"
 #include "protocol/job_record.h"
 
-void fc_metrics_page_append(const fc_report_sources *sources, GString *out) {
+void fc_metrics_page_append(const fc_metrics_sources *sources, GString *out) {
   const fc_cluster *cluster = sources->cluster;
   const fc_counters *counters = &sources->metrics->counters;
   fc_group_commit_counts writes = fc_group_commit_stats(sources->commit);
--- a/src/controller/metrics_page.h
+++ b/src/controller/metrics_page.h
@@ -7,6 +7,6 @@
 #include "controller/report_sources.h"
 
 /* Appends all metrics, one per line: "name value". */
-void fc_metrics_page_append(const fc_report_sources *sources, GString *out);
+void fc_metrics_page_append(const fc_metrics_sources *sources, GString *out);
 
 #endif
--- a/src/controller/report_sources.h
+++ b/src/controller/report_sources.h
@@ -7,11 +7,11 @@
 #include "controller/metrics.h"
 
 /* Not owned. */
-typedef struct fc_report_sources {
+typedef struct fc_metrics_sources {
   const fc_cluster *cluster;
   const fc_leadership *leadership;
   const fc_group_commit *commit;
   const fc_metrics *metrics;
-} fc_report_sources;
+} fc_metrics_sources;
 
 #endif
--- a/src/controller/scheduling_loop.h
+++ b/src/controller/scheduling_loop.h
@@ -27,7 +27,7 @@
   fc_shard_balancer *balancer;
   fc_wakeups *wakeups;
   fc_metrics *metrics;
-  fc_report_sources status;
+  fc_metrics_sources status;
 } fc_scheduling_loop_deps;
 
 /* Lives as long as its routine. */
--- a/src/controller/status_log.c
+++ b/src/controller/status_log.c
@@ -45,7 +45,7 @@
   return summary;
 }
 
-static void log_state(const fc_report_sources *sources) {
+static void log_state(const fc_metrics_sources *sources) {
   const fc_cluster *cluster = sources->cluster;
   job_summary jobs = summarize_jobs(cluster);
   machine_summary machines = summarize_machines(cluster);
@@ -78,7 +78,7 @@
          (guint64)writes[FC_WRITE_KIND_OTHER], counts.waited_s);
 }
 
-void fc_status_log_write(const fc_report_sources *sources) {
+void fc_status_log_write(const fc_metrics_sources *sources) {
   log_state(sources);
   log_counters(&sources->metrics->counters);
   log_writes(sources->commit);
--- a/src/controller/status_log.h
+++ b/src/controller/status_log.h
@@ -4,6 +4,6 @@
 
 #include "controller/report_sources.h"
 
-void fc_status_log_write(const fc_report_sources *sources);
+void fc_status_log_write(const fc_metrics_sources *sources);
 
 #endif
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -23,7 +23,7 @@
 
 struct fc_view_receiver {
   fc_view_receiver_deps deps;
-  fc_report_sources metrics_sources;
+  fc_metrics_sources metrics_sources;
 };
 
 fc_view_receiver *fc_view_receiver_new(const fc_view_receiver_deps *deps) {
