--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -72,14 +72,14 @@
   const struct {
     const char *name;
     double value;
-  } figures[] = {
+  } samples[] = {
       {"switches", (double)usage->switches}, {"system_calls", (double)usage->system_calls},
       {"bytes_in", (double)usage->bytes_in}, {"bytes_out", (double)usage->bytes_out},
       {"busy_seconds", usage->busy_s},
   };
-  for (size_t i = 0; i < G_N_ELEMENTS(figures); i++)
-    g_string_append_printf(out, "fieldcleat_duty_%s_total{duty=\"%s\"} %.10g\n", figures[i].name, duty,
-                           figures[i].value);
+  for (size_t i = 0; i < G_N_ELEMENTS(samples); i++)
+    g_string_append_printf(out, "fieldcleat_duty_%s_total{duty=\"%s\"} %.10g\n", samples[i].name, duty,
+                           samples[i].value);
 }
 
 void fc_metrics_append(const fc_metrics *metrics, GString *out) {
--- a/src/controller/metrics_page.c
+++ b/src/controller/metrics_page.c
@@ -11,7 +11,7 @@
   const struct {
     const char *name;
     double value;
-  } figures[] = {
+  } samples[] = {
       {"term", (double)cluster->membership.term.number},
       {"may_act", fc_leadership_held(sources->leadership)},
       {"state_age_seconds", fc_now() - cluster->sync.read_at},
@@ -40,8 +40,8 @@
       {"handed_over_total", (double)counters->handed_over},
       {"lent_total", (double)counters->machines_transferred},
   };
-  for (size_t i = 0; i < G_N_ELEMENTS(figures); i++)
-    g_string_append_printf(out, "fieldcleat_%s %.10g\n", figures[i].name, figures[i].value);
+  for (size_t i = 0; i < G_N_ELEMENTS(samples); i++)
+    g_string_append_printf(out, "fieldcleat_%s %.10g\n", samples[i].name, samples[i].value);
   for (int kind = 0; kind < FC_WRITE_KINDS; kind++)
     g_string_append_printf(out, "fieldcleat_state_writes_total{kind=\"%s\"} %.10g\n", fc_write_kind_names[kind],
                            (double)writes.writes[kind]);
--- a/src/controller/peer_view.c
+++ b/src/controller/peer_view.c
@@ -13,9 +13,10 @@
 /* Value of next_piece while the pieces of a view are ignored because its base is missing. */
 #define SKIP_VIEW UINT32_MAX
 
-/* Offset basis and multiplier of the digest of a machine's state. */
+/* Parameters of the digest of a machine's state. */
 #define DIGEST_BASIS 1469598103934665603ull
 #define DIGEST_MULTIPLIER 0xbf58476d1ce4e5b9ull
+#define DIGEST_SHIFT_BITS 29
 
 struct fc_peer_views {
   fc_cluster *cluster;
@@ -74,7 +75,7 @@
 static uint64_t mix(uint64_t hash, uint64_t value) {
   hash ^= value;
   hash *= DIGEST_MULTIPLIER;
-  return hash ^ hash >> 29;
+  return hash ^ hash >> DIGEST_SHIFT_BITS;
 }
 
 /* Digest of everything that a view states of the machine; never 0. Changes are found by comparing
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -164,7 +164,7 @@
   machine->record_version = change->version;
   fc_cluster_locate_machine(cluster, machine);
   fc_cluster_assign_machine(cluster, machine, fc_now());
-  /* A machine announced within this term has never run a task of any owner. */
+  /* A machine whose endpoint was first recorded within this term has never run a task of any owner. */
   const fc_membership *membership = &cluster->membership;
   bool this_term = ordered && membership->term_version && change->version > membership->term_version;
   if (announced && !machine->announced && this_term) machine->reconciled_term = membership->term.number;
--- a/src/controller/status_log.h
+++ b/src/controller/status_log.h
@@ -4,6 +4,7 @@
 
 #include "controller/report_sources.h"
 
+/* Logs the current state, then the counters, writes and resource usage since the start. */
 void fc_status_log_write(const fc_metrics_sources *sources);
 
 #endif
--- a/src/controller/wakeups.h
+++ b/src/controller/wakeups.h
@@ -21,6 +21,7 @@
 fc_wakeups *fc_wakeups_new(void);
 void fc_wakeups_free(fc_wakeups *wakeups);
 
+/* Wakes all routines that wait for the kind. */
 void fc_wakeups_raise(fc_wakeups *wakeups, fc_wakeup kind);
 /* How many times the kind has been raised. */
 uint64_t fc_wakeups_count(const fc_wakeups *wakeups, fc_wakeup kind);
