--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -142,7 +142,7 @@
                           .slices = fc_job_slices(submitted->spec, cluster->settings->operator_settings.split_limit)};
   bool healthy[FC_MEMBERS_MAX];
   for (size_t member = 0; member < term->count; member++)
-    healthy[member] = fc_peers_member_fit(admission->peers, (int)member);
+    healthy[member] = fc_peers_member_healthy(admission->peers, (int)member);
   fc_assign_new_job_slices(cluster, healthy, submitted->spec, record.slices, record.handed_to);
   return record;
 }
--- a/src/controller/status_log.c
+++ b/src/controller/status_log.c
@@ -4,17 +4,18 @@
 #include "bookkeeping/reconciliation_progress.h"
 #include "scheduler/pending_tasks.h"
 
-/* A machine counts as silent after so many heartbeat intervals. */
+/* A machine is silent if its last message is older than this many heartbeat intervals. */
 #define SILENT_HEARTBEATS 2
 
 typedef struct job_summary {
-  unsigned pending, unresolved; /* jobs of ours with tasks to place, and without a resolved slice */
+  unsigned pending;    /* our runnable jobs with tasks to place */
+  unsigned unresolved; /* our runnable jobs whose slices are not resolved */
 } job_summary;
 
 typedef struct machine_summary {
-  unsigned ours, silent;       /* of our shard */
-  unsigned unreconciled;       /* of all shards */
-  const char *unreconciled_id; /* one of them; "-": there are none */
+  unsigned ours, silent;       /* in our shard */
+  unsigned unreconciled;       /* in all shards */
+  const char *unreconciled_id; /* of one of them; "-" if there are none */
 } machine_summary;
 
 static job_summary summarize_jobs(const fc_cluster *cluster) {
@@ -44,7 +45,7 @@
   return summary;
 }
 
-static void log_state(const fc_report_sources *sources) {
+static void log_state(const fc_metrics_sources *sources) {
   const fc_cluster *cluster = sources->cluster;
   job_summary jobs = summarize_jobs(cluster);
   machine_summary machines = summarize_machines(cluster);
@@ -77,7 +78,7 @@
          (guint64)writes[FC_WRITE_KIND_OTHER], counts.waited_s);
 }
 
-void fc_status_log_write(const fc_report_sources *sources) {
+void fc_status_log_write(const fc_metrics_sources *sources) {
   log_state(sources);
   log_counters(&sources->metrics->counters);
   log_writes(sources->commit);
--- a/src/controller/status_log.h
+++ b/src/controller/status_log.h
@@ -1,9 +1,10 @@
-/* The status lines of the log: what the controller knows and has done, once in a while. */
+/* Periodic status lines in the log: the controller's state and counters. */
 #ifndef FC_CONTROLLER_STATUS_LOG_H
 #define FC_CONTROLLER_STATUS_LOG_H
 
 #include "controller/report_sources.h"
 
-void fc_status_log_write(const fc_report_sources *sources);
+/* Logs the current state, then the counters, writes and resource usage since the start. */
+void fc_status_log_write(const fc_metrics_sources *sources);
 
 #endif
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -63,7 +63,7 @@
  * steady time `until`. */
 static bool renewals_known_until(const fc_worker_leases *leases, double until) {
   const fc_cluster *cluster = leases->cluster;
-  if (!fc_peers_all_covered(leases->peers, until)) return false;
+  if (!fc_peers_all_renewals_known(leases->peers, until)) return false;
   /* A controller outside the term may have joined since the last read of the store, and renewed the
    * lease. A sole member that was cut off from the key-value store started such a worker's tasks a
    * second time (fault test, seed 353). */
