--- a/src/protocol/cloud_api.c
+++ b/src/protocol/cloud_api.c
@@ -6,12 +6,12 @@
 #include "protocol/json.h"
 #include "protocol/json_call.h"
 
-#define REPLY_MAX ((size_t)1024 * 1024)
+#define REPLY_MAX_BYTES ((size_t)1024 * 1024)
 #define NAME_LENGTH_MAX 63u
 #define ENDPOINT_LENGTH_MAX (FC_ENDPOINT_SIZE - 1u)
 #define AMOUNT_MAX 1e9
 
-/* The words of the cloud's protocol. */
+/* Paths, parameters, fields and values of the cloud's API. */
 #define TYPES_PATH "/flavors"
 #define MACHINES_PATH "/hosts"
 #define RELEASE_PATH MACHINES_PATH "/release"
@@ -51,7 +51,7 @@
 
 fc_cloud *fc_cloud_new(const fc_endpoint *at) {
   fc_cloud *cloud = g_new0(fc_cloud, 1);
-  cloud->http = fc_http_client_new(at, REPLY_MAX);
+  cloud->http = fc_http_client_new(at, REPLY_MAX_BYTES);
   return cloud;
 }
 
@@ -76,7 +76,7 @@
   }
 }
 
-/* Makes the call; on OK *answer holds the body, whose reference is the caller's. */
+/* Makes the call. On FC_CLOUD_OK *answer is a reference to the body, owned by the caller; else NULL. */
 static fc_cloud_result call_cloud(fc_cloud *cloud, const char *method, const char *path, json_t *body, double deadline,
                                   json_t **answer) {
   fc_json_reply reply = fc_json_call(cloud->http, method, path, body, deadline);
@@ -86,7 +86,7 @@
   return result;
 }
 
-/* Decodes the list in an OK answer; `malformed` is the result when there is none. */
+/* Decodes the array `field` of an answer; returns `malformed` if the answer has no such array. */
 static fc_cloud_result read_list(const json_t *answer, const char *field, fc_json_decoder decode,
                                  fc_cloud_result malformed, GPtrArray *out) {
   const json_t *list = json_object_get(answer, field);
@@ -105,7 +105,7 @@
   g_free(type);
 }
 
-static bool is_name(const char *text) {
+static bool is_valid_name(const char *text) {
   return text && *text && strlen(text) <= NAME_LENGTH_MAX;
 }
 
@@ -115,7 +115,7 @@
   char **names = g_new0(char *, count + 1);
   for (size_t i = 0; i < count; i++) {
     const char *name = json_string_value(json_array_get(zones, i));
-    if (!is_name(name)) {
+    if (!is_valid_name(name)) {
       fc_reader_fail(reader, FIELD_ZONES, FC_FIELD_NOT_NAME);
       break;
     }
@@ -154,7 +154,7 @@
 
 static void *decode_id(const json_t *element) {
   const char *id = json_string_value(element);
-  return is_name(id) ? g_strdup(id) : NULL;
+  return is_valid_name(id) ? g_strdup(id) : NULL;
 }
 
 fc_cloud_result fc_cloud_rent(fc_cloud *cloud, const char *rental, const char *type, const char *zone, bool spot,
@@ -164,7 +164,7 @@
   json_auto_t *answer = NULL;
   fc_cloud_result result = call_cloud(cloud, "POST", MACHINES_PATH, body, deadline, &answer);
   if (result != FC_CLOUD_OK) return result;
-  /* Without the ids it is not known which machines were rented. */
+  /* Without a list of ids it is unknown which machines were rented. */
   return read_list(answer, FIELD_MACHINES, decode_id, FC_CLOUD_UNKNOWN, out);
 }
 
@@ -186,7 +186,7 @@
   g_free(machine);
 }
 
-static fc_machine_status status_named(const char *text) {
+static fc_machine_status status_from_text(const char *text) {
   if (strcmp(text, STATUS_UP) == 0) return FC_MACHINE_UP;
   if (strcmp(text, STATUS_FAILED) == 0) return FC_MACHINE_FAILED;
   return FC_MACHINE_BOOTING;
@@ -208,7 +208,7 @@
   machine->endpoint = g_strdup(endpoint);
   machine->type = g_strdup(type);
   machine->zone = g_strdup(zone);
-  machine->status = status_named(status);
+  machine->status = status_from_text(status);
   return machine;
 }
 
--- a/src/protocol/cloud_api.h
+++ b/src/protocol/cloud_api.h
@@ -1,5 +1,5 @@
-/* The client of the cloud: machine types, renting, releasing and listing machines. Times are in
- * seconds; deadlines are times of the monotonic clock. */
+/* Client of the cloud's API: lists machine types, and rents, releases and lists machines. Times are
+ * in seconds; deadlines are times of the monotonic clock. */
 #ifndef FC_PROTOCOL_CLOUD_API_H
 #define FC_PROTOCOL_CLOUD_API_H
 
@@ -8,7 +8,7 @@
 
 #include "transport/conn.h"
 
-/* Machines in one request. */
+/* Machines that one request may rent or release. */
 #define FC_RENTAL_MAX 50u
 #define FC_RELEASE_MAX 100u
 
@@ -35,7 +35,7 @@
   FC_CLOUD_NO_CAPACITY, /* of this type in this zone: not executed */
   FC_CLOUD_BUSY,        /* rate limited: not executed */
   FC_CLOUD_DOWN,        /* unavailable or no connection: not executed */
-  FC_CLOUD_UNKNOWN,     /* executed, not executed, or executed later */
+  FC_CLOUD_UNKNOWN,     /* no usable answer: it may have been executed, or may still be */
   FC_CLOUD_REFUSED,     /* malformed request or answer */
 } fc_cloud_result;
 
@@ -47,17 +47,18 @@
 void fc_listed_machine_free(gpointer machine);
 
 /* Each of the calls below may suspend the calling routine. `out` receives the elements of the
- * answer that are well-formed and owns them. */
+ * answer and owns them; malformed elements are skipped. */
 
-/* `out` receives fc_machine_type. */
+/* Lists the machine types. `out` receives fc_machine_type. */
 fc_cloud_result fc_cloud_types(fc_cloud *cloud, double deadline, GPtrArray *out);
-/* Rents up to `count` machines. The request is idempotent by the name `rental`: repeated, it
- * answers with the same machines. `out` receives their ids (char *). */
+/* Rents up to `count` machines. The name `rental` makes the request idempotent: a repeated request
+ * returns the same machines. `out` receives their ids (char *). */
 fc_cloud_result fc_cloud_rent(fc_cloud *cloud, const char *rental, const char *type, const char *zone, bool spot,
                               unsigned count, double deadline, GPtrArray *out);
+/* Releases the machines with these ids, at most FC_RELEASE_MAX. */
 fc_cloud_result fc_cloud_release(fc_cloud *cloud, const char *const *ids, size_t count, double deadline);
-/* One page of at most `limit` machines after the id `after` (NULL: from the start). `out` receives
- * fc_listed_machine. */
+/* Lists one page of at most `limit` rented machines, after the id `after` (NULL: from the start).
+ * `out` receives fc_listed_machine; *more tells whether there is another page. */
 fc_cloud_result fc_cloud_list(fc_cloud *cloud, const char *after, unsigned limit, double deadline, GPtrArray *out,
                               bool *more);
 
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-/* jansson recurses once for each level. Its own bound (2048) needs more than the small stack of
- * a routine, so texts nested deeper than this are refused before it parses them. */
+/* Levels of nesting. jansson recurses once for each level, and its own bound (2048) would overflow
+ * the small stack of a routine, so texts nested deeper than this are refused before parsing. */
 #define DEPTH_MAX 24
 #define CHOICE_LENGTH_MAX 256u
 
@@ -44,7 +44,7 @@
   return k_field_errors[error];
 }
 
-static bool too_deep(const char *text, size_t length) {
+static bool nested_too_deeply(const char *text, size_t length) {
   int depth = 0;
   bool in_string = false;
   for (size_t i = 0; i < length; i++) {
@@ -67,7 +67,7 @@
 }
 
 json_t *fc_json_parse(const char *text, size_t length) {
-  if (!text || too_deep(text, length)) return NULL;
+  if (!text || nested_too_deeply(text, length)) return NULL;
   return json_loadb(text, length, JSON_DECODE_ANY, NULL);
 }
 
@@ -88,41 +88,42 @@
 
 void fc_reader_fail_element(fc_reader *reader, const char *field, const fc_reader *inner) {
   if (!fc_reader_ok(reader)) return;
-  reader->outer = field;
+  reader->array_field = field;
   reader->field = inner->field;
   reader->error = inner->error;
 }
 
 void fc_reader_describe(const fc_reader *reader, char *out, size_t size) {
-  g_snprintf(out, size, "%s%s%s%s%s", reader->outer ? reader->outer : "", reader->outer ? "." : "",
+  g_snprintf(out, size, "%s%s%s%s%s", reader->array_field ? reader->array_field : "", reader->array_field ? "." : "",
              reader->field ? reader->field : "", reader->field ? ": " : "", fc_field_strerror(reader->error));
 }
 
-/* The field's value; NULL when it is absent or null, or after an error. */
+/* The field's value; NULL if it is absent or null, or after an error. */
 static const json_t *optional_field(fc_reader *reader, const char *field) {
   if (!fc_reader_ok(reader)) return NULL;
   const json_t *value = json_object_get(reader->object, field);
   return json_is_null(value) ? NULL : value;
 }
 
-/* The same, and an error when it is absent or null. */
+/* The field's value; records an error if it is absent or null. */
 static const json_t *required_field(fc_reader *reader, const char *field) {
   const json_t *value = optional_field(reader, field);
   if (!value) fc_reader_fail(reader, field, FC_FIELD_MISSING);
   return value;
 }
 
-static const char *check_string(fc_reader *reader, const json_t *value, const char *field, size_t most) {
+static const char *check_string(fc_reader *reader, const json_t *value, const char *field, size_t max) {
   if (!json_is_string(value)) {
     fc_reader_fail(reader, field, FC_FIELD_NOT_STRING);
     return NULL;
   }
   size_t length = json_string_length(value);
-  if (length == 0 || length > most) {
+  if (length == 0 || length > max) {
     fc_reader_fail(reader, field, length == 0 ? FC_FIELD_EMPTY : FC_FIELD_TOO_LONG);
     return NULL;
   }
-  /* Names become parts of keys, log lines and packed fields, none of which may hold these. */
+  /* Strings become parts of keys, log lines and text fields of peer frames, none of which may contain
+   * control characters. */
   const char *text = json_string_value(value);
   for (size_t i = 0; i < length; i++) {
     if (g_ascii_iscntrl(text[i])) {
@@ -133,14 +134,14 @@
   return text;
 }
 
-const char *fc_read_string(fc_reader *reader, const char *field, size_t most) {
+const char *fc_read_string(fc_reader *reader, const char *field, size_t max) {
   const json_t *value = required_field(reader, field);
-  return value ? check_string(reader, value, field, most) : NULL;
+  return value ? check_string(reader, value, field, max) : NULL;
 }
 
-const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t most) {
+const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t max) {
   const json_t *value = optional_field(reader, field);
-  return value ? check_string(reader, value, field, most) : NULL;
+  return value ? check_string(reader, value, field, max) : NULL;
 }
 
 void fc_read_string_into(fc_reader *reader, const char *field, char *out, size_t size) {
@@ -148,56 +149,56 @@
   if (text) g_strlcpy(out, text, size);
 }
 
-static double check_amount(fc_reader *reader, const json_t *value, const char *field, double least, double most) {
+static double check_amount(fc_reader *reader, const json_t *value, const char *field, double min, double max) {
   if (!json_is_number(value)) {
     fc_reader_fail(reader, field, FC_FIELD_NOT_NUMBER);
-    return least;
+    return min;
   }
   double amount = json_number_value(value);
-  if (!isfinite(amount) || amount < least || amount > most) {
+  if (!isfinite(amount) || amount < min || amount > max) {
     fc_reader_fail(reader, field, FC_FIELD_OUT_OF_RANGE);
-    return least;
+    return min;
   }
   return amount;
 }
 
-double fc_read_amount(fc_reader *reader, const char *field, double least, double most) {
+double fc_read_amount(fc_reader *reader, const char *field, double min, double max) {
   const json_t *value = required_field(reader, field);
-  return value ? check_amount(reader, value, field, least, most) : least;
+  return value ? check_amount(reader, value, field, min, max) : min;
 }
 
-double fc_read_amount_or(fc_reader *reader, const char *field, double least, double most, double otherwise) {
+double fc_read_amount_or(fc_reader *reader, const char *field, double min, double max, double fallback) {
   const json_t *value = optional_field(reader, field);
-  return value ? check_amount(reader, value, field, least, most) : otherwise;
+  return value ? check_amount(reader, value, field, min, max) : fallback;
 }
 
-static uint64_t check_count(fc_reader *reader, const json_t *value, const char *field, uint64_t least, uint64_t most) {
+static uint64_t check_count(fc_reader *reader, const json_t *value, const char *field, uint64_t min, uint64_t max) {
   if (!json_is_integer(value)) {
     fc_reader_fail(reader, field, FC_FIELD_NOT_INTEGER);
-    return least;
+    return min;
   }
   json_int_t count = json_integer_value(value);
-  if (count < 0 || (uint64_t)count < least || (uint64_t)count > most) {
+  if (count < 0 || (uint64_t)count < min || (uint64_t)count > max) {
     fc_reader_fail(reader, field, FC_FIELD_OUT_OF_RANGE);
-    return least;
+    return min;
   }
   return (uint64_t)count;
 }
 
-uint64_t fc_read_count(fc_reader *reader, const char *field, uint64_t least, uint64_t most) {
+uint64_t fc_read_count(fc_reader *reader, const char *field, uint64_t min, uint64_t max) {
   const json_t *value = required_field(reader, field);
-  return value ? check_count(reader, value, field, least, most) : least;
+  return value ? check_count(reader, value, field, min, max) : min;
 }
 
-uint64_t fc_read_count_or(fc_reader *reader, const char *field, uint64_t least, uint64_t most, uint64_t otherwise) {
+uint64_t fc_read_count_or(fc_reader *reader, const char *field, uint64_t min, uint64_t max, uint64_t fallback) {
   const json_t *value = optional_field(reader, field);
-  return value ? check_count(reader, value, field, least, most) : otherwise;
+  return value ? check_count(reader, value, field, min, max) : fallback;
 }
 
-static bool check_bool(fc_reader *reader, const json_t *value, const char *field, bool otherwise) {
+static bool check_bool(fc_reader *reader, const json_t *value, const char *field, bool fallback) {
   if (json_is_boolean(value)) return json_is_true(value);
   fc_reader_fail(reader, field, FC_FIELD_NOT_BOOL);
-  return otherwise;
+  return fallback;
 }
 
 bool fc_read_bool(fc_reader *reader, const char *field) {
@@ -205,9 +206,9 @@
   return value ? check_bool(reader, value, field, false) : false;
 }
 
-bool fc_read_bool_or(fc_reader *reader, const char *field, bool otherwise) {
+bool fc_read_bool_or(fc_reader *reader, const char *field, bool fallback) {
   const json_t *value = optional_field(reader, field);
-  return value ? check_bool(reader, value, field, otherwise) : otherwise;
+  return value ? check_bool(reader, value, field, fallback) : fallback;
 }
 
 const json_t *fc_read_array(fc_reader *reader, const char *field) {
@@ -260,7 +261,7 @@
 }
 
 void fc_json_append(GString *out, json_t *value) {
-  /* Values are built by this program; a failure here is a defect of its own. */
+  /* All values are built by this program, so a failure here is a bug in it. */
   if (!value || json_dump_callback(value, append_chunk, out, JSON_COMPACT | JSON_ENCODE_ANY) != 0)
     g_error("cannot encode JSON");
   json_decref(value);
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -1,4 +1,5 @@
-/* Reads JSON of unknown origin: bounded depth, typed fields, typed errors that name the field. */
+/* Parses and validates untrusted JSON: bounded nesting, typed fields, errors that name the field.
+ * Nothing here suspends the calling routine. */
 #ifndef FC_PROTOCOL_JSON_H
 #define FC_PROTOCOL_JSON_H
 
@@ -44,62 +45,62 @@
 /* The text of an error, for users and logs; a constant. */
 const char *fc_field_strerror(fc_field_error error);
 
-/* NULL unless the text is one JSON value nested no deeper than allowed; the reference is the
- * caller's. */
+/* Parses one JSON value; the caller owns the reference. NULL: malformed, or nested too deeply. */
 json_t *fc_json_parse(const char *text, size_t length);
 
-/* Reads the fields of one object. It keeps the first error: later reads return the least valid
- * value, or NULL, and change nothing. */
+/* Reads the fields of one object. The first error is kept: later reads return the smallest valid
+ * value, or NULL, and leave the error as it is. */
 typedef struct fc_reader {
-  const json_t *object; /* borrowed */
-  const char *outer;    /* the array field whose element holds the faulty field; NULL: none */
-  const char *field;    /* the faulty field, a constant; NULL: the object itself */
+  const json_t *object;    /* borrowed */
+  const char *array_field; /* the array whose element has the faulty field; NULL: not in an array */
+  const char *field;       /* the faulty field, a constant; NULL: the object itself */
   fc_field_error error;
 } fc_reader;
 
-/* `object` has to outlive the reader and all strings read with it. An error when it is NULL or
- * no object. */
+/* `object` has to outlive the reader and all strings read with it. Records an error when it is NULL
+ * or not an object. */
 void fc_reader_init(fc_reader *reader, const json_t *object);
 bool fc_reader_ok(const fc_reader *reader);
-/* Records an error of a field unless there is one already. */
+/* Records an error in a field, unless there is an earlier error. */
 void fc_reader_fail(fc_reader *reader, const char *field, fc_field_error error);
-/* Records the error of `inner`, which read an element of the array `field`. */
+/* Records the error of `inner`, the reader of an element of the array `field`. */
 void fc_reader_fail_element(fc_reader *reader, const char *field, const fc_reader *inner);
-/* Enough for every description. */
+/* Buffer size in bytes that holds every description, including the NUL. */
 #define FC_READER_DESCRIPTION_SIZE 160
-/* Writes the error as "outer.field: text"; only after an error. */
+/* Writes the error as "array_field.field: text". Call it only after an error. */
 void fc_reader_describe(const fc_reader *reader, char *out, size_t size);
 
-/* Each reads one field. A field that is absent or null is an error for the plain functions, and
- * gives NULL or `otherwise` with the others. Bounds are inclusive; strings are borrowed from the
- * object, not empty, at most `most` bytes long and free of control characters. */
-const char *fc_read_string(fc_reader *reader, const char *field, size_t most);
-const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t most);
-/* Copies a string that has to fit into `out` with its NUL; `out` is unchanged after an error. */
+/* Each of these reads one field. If the field is absent or null, the functions named ..._or and
+ * ..._or_null return `fallback` or NULL, and the others record an error. Bounds are inclusive.
+ * Strings are borrowed from the object; they must not be empty, longer than `max` bytes, or contain
+ * control characters. */
+const char *fc_read_string(fc_reader *reader, const char *field, size_t max);
+const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t max);
+/* Copies a string, which has to fit into `out` with its NUL. `out` is unchanged after an error. */
 void fc_read_string_into(fc_reader *reader, const char *field, char *out, size_t size);
-double fc_read_amount(fc_reader *reader, const char *field, double least, double most);
-double fc_read_amount_or(fc_reader *reader, const char *field, double least, double most, double otherwise);
-uint64_t fc_read_count(fc_reader *reader, const char *field, uint64_t least, uint64_t most);
-uint64_t fc_read_count_or(fc_reader *reader, const char *field, uint64_t least, uint64_t most, uint64_t otherwise);
+double fc_read_amount(fc_reader *reader, const char *field, double min, double max);
+double fc_read_amount_or(fc_reader *reader, const char *field, double min, double max, double fallback);
+uint64_t fc_read_count(fc_reader *reader, const char *field, uint64_t min, uint64_t max);
+uint64_t fc_read_count_or(fc_reader *reader, const char *field, uint64_t min, uint64_t max, uint64_t fallback);
 bool fc_read_bool(fc_reader *reader, const char *field);
-bool fc_read_bool_or(fc_reader *reader, const char *field, bool otherwise);
+bool fc_read_bool_or(fc_reader *reader, const char *field, bool fallback);
 const json_t *fc_read_array(fc_reader *reader, const char *field);
 const json_t *fc_read_object(fc_reader *reader, const char *field);
-/* The index of the text in `names`; -1: it is none of them. */
+/* The index of the text in `names`; -1: not found. */
 int fc_name_index(const char *const *names, size_t count, const char *text);
-/* The index of the field's value in `names`; 0, and an error, when it is none of them. */
+/* The index of the field's value in `names`; records an error and returns 0 if it is none of them. */
 int fc_read_choice(fc_reader *reader, const char *field, const char *const *names, int count);
 
-/* The largest count that fits a JSON integer. */
+/* The largest count that fits into a JSON integer. */
 #define FC_COUNT_MAX ((uint64_t)INT64_MAX)
 
-/* Makes a value of its own from one element; NULL: malformed. */
+/* Decodes one element into a newly allocated value; NULL: malformed. */
 typedef void *(*fc_json_decoder)(const json_t *element);
-/* Appends the decoded elements of an array to `out`, which owns them, and skips malformed ones.
- * Returns how many it skipped. NULL is read as an empty array. */
+/* Appends the decoded elements of an array to `out`, which owns them. Returns the number of malformed
+ * elements, which are skipped. NULL is read as an empty array. */
 size_t fc_json_decode_list(const json_t *array, fc_json_decoder decode, GPtrArray *out);
 
-/* Appends the compact text of `value` to `out` and drops the reference. */
+/* Appends `value` as compact JSON text to `out`, and takes its reference. */
 void fc_json_append(GString *out, json_t *value);
 
 #endif
