--- a/src/protocol/job.c
+++ b/src/protocol/job.c
@@ -7,10 +7,10 @@
 #define ID_PREFIX "job-"
 #define ID_DIGITS_MIN 6u
 #define ID_DIGITS_MAX 18u
-/* Of a list of dependencies in a record: more than a submission has room for. */
+/* Bytes of the list of dependencies in a record; the body of a submission has room for fewer. */
 #define DEPENDENCIES_LENGTH_MAX ((size_t)64 * 1024)
 
-/* The words of submissions, which stored descriptions share. */
+/* Fields of submissions, and of stored descriptions. */
 #define FIELD_ID "id"
 #define FIELD_CLASS "squad"
 #define FIELD_TEAM "club"
@@ -33,7 +33,7 @@
 #define FIELD_DEADLINE "whistleS"
 #define FIELD_DEPENDENCIES "awaits"
 
-/* The words of answers. */
+/* Fields of answers. */
 #define FIELD_STATUS "status"
 #define FIELD_DONE "done"
 #define FIELD_RUNNING "running"
@@ -69,13 +69,14 @@
 
 /* ---- dependencies ---- */
 
-static gint by_text(gconstpointer left, gconstpointer right) {
+static gint compare_strings(gconstpointer left, gconstpointer right) {
   return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* Sorts the ids and drops repeats; NULL when there are none. Takes the array and its texts. */
-static char **sorted_without_repeats(GPtrArray *ids) {
-  g_ptr_array_sort(ids, by_text);
+/* Sorts the ids and removes duplicates. Takes ownership of the array and its strings; returns a
+ * NULL-terminated array, or NULL for no ids. */
+static char **sort_unique(GPtrArray *ids) {
+  g_ptr_array_sort(ids, compare_strings);
   guint distinct = 0;
   for (guint i = 0; i < ids->len; i++) {
     if (distinct > 0 && strcmp(ids->pdata[distinct - 1], ids->pdata[i]) == 0) {
@@ -89,7 +90,7 @@
   return (char **)g_ptr_array_free(ids, distinct == 0);
 }
 
-/* Of a submission, which has them as an array of ids. */
+/* Reads the dependencies of a submission, an array of ids. */
 static void read_dependencies(fc_reader *reader, fc_job_spec *spec) {
   const json_t *list = json_object_get(reader->object, FIELD_DEPENDENCIES);
   if (!list || json_is_null(list) || !fc_reader_ok(reader)) return;
@@ -108,7 +109,7 @@
     }
     g_ptr_array_add(ids, g_strdup(id));
   }
-  spec->dependencies = sorted_without_repeats(ids);
+  spec->dependencies = sort_unique(ids);
 }
 
 char *fc_job_dependencies_text(char *const *dependencies) {
@@ -128,7 +129,7 @@
     if (!fc_job_id_valid(id)) fc_reader_fail(reader, field, FC_FIELD_ELEMENT_NOT_JOB_ID);
     g_ptr_array_add(ids, id);
   }
-  spec->dependencies = sorted_without_repeats(ids);
+  spec->dependencies = sort_unique(ids);
 }
 
 /* ---- descriptions ---- */
@@ -240,21 +241,21 @@
   return false;
 }
 
-static void release(GRefString *text) {
+static void release_string(GRefString *text) {
   if (text) g_ref_string_release(text);
 }
 
-static GRefString *acquire(GRefString *text) {
+static GRefString *acquire_string(GRefString *text) {
   return text ? g_ref_string_acquire(text) : NULL;
 }
 
 fc_job_spec fc_job_spec_copy(const fc_job_spec *spec) {
   fc_job_spec copy = *spec;
   copy.id = g_strdup(spec->id);
-  copy.class_name = acquire(spec->class_name);
-  copy.team = acquire(spec->team);
-  copy.image = acquire(spec->image);
-  copy.zone = acquire(spec->zone);
+  copy.class_name = acquire_string(spec->class_name);
+  copy.team = acquire_string(spec->team);
+  copy.image = acquire_string(spec->image);
+  copy.zone = acquire_string(spec->zone);
   copy.types = g_strdupv(spec->types);
   copy.dependencies = g_strdupv(spec->dependencies);
   return copy;
@@ -262,10 +263,10 @@
 
 void fc_job_spec_clear(fc_job_spec *spec) {
   g_free(spec->id);
-  release(spec->class_name);
-  release(spec->team);
-  release(spec->image);
-  release(spec->zone);
+  release_string(spec->class_name);
+  release_string(spec->team);
+  release_string(spec->image);
+  release_string(spec->zone);
   g_strfreev(spec->types);
   g_strfreev(spec->dependencies);
   memset(spec, 0, sizeof *spec);
@@ -274,8 +275,8 @@
 unsigned fc_job_slices(const fc_job_spec *spec, unsigned limit) {
   unsigned slices = 1;
   if (spec->kind != FC_JOB_ARRAY) return slices; /* gangs and services are never split */
-  /* Nor are tasks whose places depend on each other: the owners of two slices do not see what the
-   * other one places at the same moment, and put them in different zones. */
+  /* Nor are jobs whose tasks' zones depend on each other: the owners of two slices do not see each
+   * other's concurrent placements, and would choose different zones. */
   if (spec->one_zone || spec->spread) return slices;
   while (slices * 2 <= MIN(limit, FC_SLICES_MAX) && spec->tasks / (slices * 2) >= 2) slices *= 2;
   return slices;
--- a/src/protocol/job_description.c
+++ b/src/protocol/job_description.c
@@ -7,11 +7,11 @@
 
 #define PART_FORMAT 1
 #define DIGEST_TYPE G_CHECKSUM_MD5
-/* Of a part's value without its text, {"f":1,"text":""}, and a margin. */
+/* Bytes of a part's value without its text, {"f":1,"text":""}, with a margin. */
 #define VALUE_OVERHEAD 32u
 #define TEXT_LENGTH_MAX ((size_t)1024 * 1024)
 
-/* The words of descriptions and their parts. */
+/* Fields of descriptions and their parts. */
 #define FIELD_SPEC "spec"
 #define FIELD_DEPENDENCIES "awaits"
 #define FIELD_FORMAT "f"
@@ -42,15 +42,16 @@
   return false;
 }
 
-/* Bytes of a character inside a JSON string; the text is ASCII without control characters. */
-static size_t encoded_size(char ch) {
+/* Bytes of a character in a JSON string, with its escape; the text is ASCII without control
+ * characters. */
+static size_t escaped_size(char ch) {
   return ch == '"' || ch == '\\' ? 2 : 1;
 }
 
-/* The end of the longest text from `start` on that fits into one part. */
+/* The end of the longest prefix of `start` that has at most `size_max` bytes when escaped. */
 static const char *end_of_part(const char *start, size_t size_max) {
   const char *end = start;
-  for (size_t size = 0; *end && size + encoded_size(*end) <= size_max; end++) size += encoded_size(*end);
+  for (size_t size = 0; *end && size + escaped_size(*end) <= size_max; end++) size += escaped_size(*end);
   return end;
 }
 
--- a/src/protocol/job_record.c
+++ b/src/protocol/job_record.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIME_OF_DAY_MAX 1e11
-/* At most "99999," for each task, and a margin. */
+#define UNIX_TIME_MAX_S 1e11
+/* Bytes: at most "99999," for each task, with a margin. */
 #define DONE_LENGTH_MAX ((size_t)FC_TASKS_MAX * 8)
 
-/* The words of a job's record. */
+/* Fields of a job's record. */
 #define FIELD_FORMAT "f"
 #define FIELD_SPEC "spec"
 #define FIELD_DEPENDENCIES "awaits"
@@ -16,12 +16,12 @@
 #define FIELD_PHASE "phase"
 #define FIELD_DONE "done"
 #define FIELD_SLICES "slices"
-#define FIELD_HANDED "to"
+#define FIELD_HANDED_TO "to"
 #define FIELD_SUBMITTED "submitted"
 #define FIELD_TERM "term"
-#define FIELD_MOVED "moved"
-#define FIELD_LAST_MOVE "lastMove"
-#define FIELD_UNSEEN "unseen"
+#define FIELD_TRANSFERRED "moved"
+#define FIELD_LAST_TRANSFER "lastMove"
+#define FIELD_PARTLY_KNOWN "unseen"
 
 static const char *const k_phases[] = {
     [FC_PHASE_ACCEPTED] = "accepted",
@@ -29,9 +29,9 @@
     [FC_PHASE_DONE] = "done",
 };
 
-/* ---- objects by number of a slice ---- */
+/* ---- objects whose keys are slice numbers ---- */
 
-/* Sets a slice's value in the object, which is made for the first one. */
+/* Sets a slice's value in *object, which is created if it is NULL. */
 static void set_slice(json_t **object, unsigned slice, json_t *value) {
   if (!*object) *object = json_object();
   char number[16];
@@ -41,7 +41,8 @@
 
 typedef bool (*slice_reader)(const json_t *value, unsigned slice, fc_job_record *out);
 
-/* Reads the value of each slice in the object, if there is one. */
+/* Calls `read` for each slice in the object `field`, if the record has that field; records `error` for a
+ * slice that the job lacks or `read` rejects. */
 static void read_slices(fc_reader *reader, const char *field, slice_reader read, fc_field_error error,
                         fc_job_record *out) {
   json_t *object = json_object_get(reader->object, field);
@@ -55,19 +56,19 @@
   }
 }
 
-/* {"3":[term,members]}; NULL: there is nothing to state. */
-static json_t *encode_last_moves(const fc_job_origin *origin, unsigned slices) {
-  json_t *moves = NULL;
+/* Encodes {"3":[term,members]}; NULL: no slice has a known last transfer. */
+static json_t *encode_last_transfers(const fc_job_origin *origin, unsigned slices) {
+  json_t *transfers = NULL;
   for (unsigned i = 0; i < slices; i++) {
     if (!(origin->transferred >> i & 1) || !origin->last_transfer[i].term) continue;
     json_int_t term = (json_int_t)origin->last_transfer[i].term;
     json_int_t members = (json_int_t)origin->last_transfer[i].members;
-    set_slice(&moves, i, json_pack("[II]", term, members));
+    set_slice(&transfers, i, json_pack("[II]", term, members));
   }
-  return moves;
+  return transfers;
 }
 
-static bool read_last_move(const json_t *value, unsigned slice, fc_job_record *out) {
+static bool read_last_transfer(const json_t *value, unsigned slice, fc_job_record *out) {
   json_int_t term = json_integer_value(json_array_get(value, 0));
   json_int_t members = json_integer_value(json_array_get(value, 1));
   if (term <= 0 || members <= 0 || members > UINT32_MAX) return false;
@@ -76,15 +77,15 @@
   return true;
 }
 
-/* {"2":"paddock-2"}; NULL: no slice was transferred. */
-static json_t *encode_handed(const fc_job_record *record) {
-  json_t *handed = NULL;
+/* Encodes {"2":"paddock-2"}; NULL: no slice has been transferred. */
+static json_t *encode_handed_to(const fc_job_record *record) {
+  json_t *handed_to = NULL;
   for (unsigned i = 0; i < record->slices; i++)
-    if (record->handed_to[i]) set_slice(&handed, i, json_string(record->handed_to[i]));
-  return handed;
+    if (record->handed_to[i]) set_slice(&handed_to, i, json_string(record->handed_to[i]));
+  return handed_to;
 }
 
-static bool read_handed(const json_t *value, unsigned slice, fc_job_record *out) {
+static bool read_handed_to(const json_t *value, unsigned slice, fc_job_record *out) {
   if (!json_is_string(value)) return false;
   g_free(out->handed_to[slice]);
   out->handed_to[slice] = g_strdup(json_string_value(value));
@@ -102,14 +103,16 @@
   if (origin->submitted_at > 0 && awaits_dependencies(record))
     json_object_set_new(object, FIELD_SUBMITTED, json_real(origin->submitted_at));
   if (origin->term) json_object_set_new(object, FIELD_TERM, json_integer((json_int_t)origin->term));
-  if (origin->transferred) json_object_set_new(object, FIELD_MOVED, json_integer((json_int_t)origin->transferred));
-  json_t *moves = encode_last_moves(origin, record->slices);
-  if (moves) json_object_set_new(object, FIELD_LAST_MOVE, moves);
-  if (origin->partly_known) json_object_set_new(object, FIELD_UNSEEN, json_integer((json_int_t)origin->partly_known));
+  if (origin->transferred)
+    json_object_set_new(object, FIELD_TRANSFERRED, json_integer((json_int_t)origin->transferred));
+  json_t *transfers = encode_last_transfers(origin, record->slices);
+  if (transfers) json_object_set_new(object, FIELD_LAST_TRANSFER, transfers);
+  if (origin->partly_known)
+    json_object_set_new(object, FIELD_PARTLY_KNOWN, json_integer((json_int_t)origin->partly_known));
 }
 
-/* The job's description, or the reference to its parts. Older versions cannot read a description
- * in parts either, so it always has the newer format. */
+/* Encodes the job's description, or the reference to its parts. Older versions cannot read a
+ * description in parts either, so a record that refers to parts always has the newer format. */
 static json_t *encode_description(const fc_job_record *record) {
   bool awaiting = awaits_dependencies(record);
   if (record->parts.count > 0)
@@ -129,8 +132,8 @@
   json_object_set_new(object, FIELD_PHASE, json_string(k_phases[record->phase]));
   if (record->done && *record->done) json_object_set_new(object, FIELD_DONE, json_string(record->done));
   json_object_set_new(object, FIELD_SLICES, json_integer(record->slices));
-  json_t *handed = encode_handed(record);
-  if (handed) json_object_set_new(object, FIELD_HANDED, handed);
+  json_t *handed_to = encode_handed_to(record);
+  if (handed_to) json_object_set_new(object, FIELD_HANDED_TO, handed_to);
   encode_origin(object, record);
   return object;
 }
@@ -174,11 +177,11 @@
   const char *done = fc_read_string_or_null(&reader, FIELD_DONE, DONE_LENGTH_MAX);
   out->slices = (unsigned)fc_read_count_or(&reader, FIELD_SLICES, 1, FC_SLICES_MAX, 1);
   out->origin.term = fc_read_count_or(&reader, FIELD_TERM, 0, FC_COUNT_MAX, 0);
-  out->origin.transferred = (unsigned)fc_read_count_or(&reader, FIELD_MOVED, 0, UINT32_MAX, 0);
-  out->origin.partly_known = (unsigned)fc_read_count_or(&reader, FIELD_UNSEEN, 0, UINT32_MAX, 0);
-  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_HANDED, read_handed, FC_FIELD_NOT_SLICE, out);
-  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_LAST_MOVE, read_last_move, FC_FIELD_NOT_TRANSFER, out);
-  out->origin.submitted_at = fc_read_amount_or(&reader, FIELD_SUBMITTED, 0, TIME_OF_DAY_MAX, 0);
+  out->origin.transferred = (unsigned)fc_read_count_or(&reader, FIELD_TRANSFERRED, 0, UINT32_MAX, 0);
+  out->origin.partly_known = (unsigned)fc_read_count_or(&reader, FIELD_PARTLY_KNOWN, 0, UINT32_MAX, 0);
+  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_HANDED_TO, read_handed_to, FC_FIELD_NOT_SLICE, out);
+  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_LAST_TRANSFER, read_last_transfer, FC_FIELD_NOT_TRANSFER, out);
+  out->origin.submitted_at = fc_read_amount_or(&reader, FIELD_SUBMITTED, 0, UNIX_TIME_MAX_S, 0);
   read_description(&reader, format, out);
   if (!fc_reader_ok(&reader)) {
     fc_job_record_clear(out);
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -1,28 +1,29 @@
-/* The records of jobs in the key-value store. Nothing here suspends the calling routine. */
+/* Encodes and decodes the records of jobs in the key-value store. Nothing here suspends the calling
+ * routine. */
 #ifndef FC_PROTOCOL_JOB_RECORD_H
 #define FC_PROTOCOL_JOB_RECORD_H
 
 #include "protocol/job.h"
 #include "protocol/job_description.h"
 
-/* Formats of a record. An accepted job with unfinished dependencies has one of its own: versions
- * that do not know of dependencies cannot read it, and so never run the job. */
+/* Formats of a record. An accepted job with unfinished dependencies, or whose description is in parts,
+ * has the second: versions without support for dependencies reject it, and so never run the job. */
 #define FC_JOB_FORMAT_PLAIN 1
 #define FC_JOB_FORMAT_AWAITING 2
 
-/* When the record was first written, and the transfers of slices to other controllers since. */
+/* When the job was submitted and accepted, and the transfers of its slices to other controllers. */
 typedef struct fc_job_origin {
-  double submitted_at;  /* time of day, in seconds; 0: not known. Stored while dependencies are unfinished */
-  uint64_t term;        /* it was accepted in this term or later; 0: not known */
-  unsigned transferred; /* one bit for each slice: it has been transferred */
-  /* Of a transferred slice: the term of the last transfer, and one bit for each member of that
-   * term on whose machines its tasks were then, or could be started since. 0, 0: not known. */
+  double submitted_at;  /* Unix time in seconds; 0: unknown. Stored only while dependencies are unfinished */
+  uint64_t term;        /* the job was accepted in this term or later; 0: unknown */
+  unsigned transferred; /* bitmap of the slices that have been transferred */
+  /* For each transferred slice: the term of the last transfer, and a bitmap of the members of that
+   * term on whose machines its tasks were then, or may have been started since. 0, 0: unknown. */
   struct {
     uint64_t term;
     unsigned members;
   } last_transfer[FC_SLICES_MAX];
-  /* One bit for each slice: its owner since the last transfer may not have seen all of its tasks.
-   * They are older than the term of the transfer and on machines that were reconciled, so the
+  /* Bitmap of the slices whose owner since the last transfer may not have seen all of their tasks.
+   * These tasks are older than the term of the transfer and on machines that were reconciled, so the
    * owner has seen them once it has reconciled all machines too. */
   unsigned partly_known;
 } fc_job_origin;
@@ -31,21 +32,21 @@
   fc_job_spec spec;
   fc_job_origin origin;
   fc_job_phase phase;
-  char *done;                     /* finished tasks as ranges, "0-3,7" */
-  unsigned slices;                /* that an array is split into */
-  char *handed_to[FC_SLICES_MAX]; /* the controllers that slices were transferred to; NULL: as assigned */
-  fc_description_ref parts;       /* to the description, when it is not in the record */
+  char *done;                     /* numbers of the finished tasks as ranges, "0-3,7" */
+  unsigned slices;                /* number of slices; 1 unless the job is a split array */
+  char *handed_to[FC_SLICES_MAX]; /* by slice: the controller it was transferred to; NULL: as assigned */
+  fc_description_ref parts;       /* of the description, when it is not in the record */
   bool awaiting;                  /* its dependencies are unfinished */
 } fc_job_record;
 
-/* The record's value; the reference is the caller's. */
+/* Encodes the record's value; the caller owns the reference. */
 json_t *fc_job_record_encode(const fc_job_record *record);
-/* Reads such a value. False when it is malformed, with `out` empty; else `out` is the caller's to
- * clear. The spec stays empty when the description is in parts. */
+/* Decodes such a value. False when it is malformed, with `out` empty; else the caller clears `out`. The
+ * spec stays empty when the description is in parts. */
 bool fc_job_record_decode(const json_t *value, fc_job_record *out);
 void fc_job_record_clear(fc_job_record *record);
 
-/* A bitmap with a bit for each task. */
+/* A bitmap with one bit for each task. */
 static inline size_t fc_task_bitmap_bytes(uint32_t tasks) {
   return (tasks + 7) / 8;
 }
@@ -56,10 +57,10 @@
   bitmap[index / 8] |= (uint8_t)(1u << (index % 8));
 }
 
-/* The numbers of the set bits among the first `tasks` as ranges; the caller frees the text. */
+/* Encodes the numbers of the set bits among the first `tasks` as ranges; the caller frees the text. */
 char *fc_ranges_encode(const uint8_t *bitmap, uint32_t tasks);
-/* Sets the bits of the ranges. False for a malformed text or a number that is not below `tasks`;
- * some bits may be set then. */
+/* Sets the bits of the ranges in the text. False for a malformed text or a number that is not below
+ * `tasks`; some bits may then be set already. */
 bool fc_ranges_decode(const char *text, uint8_t *bitmap, uint32_t tasks);
 
 #endif
