--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -5,10 +5,10 @@
 #include "protocol/json.h"
 #include "protocol/json_call.h"
 
-#define REPLY_MAX ((size_t)8 * 1024 * 1024)
+#define REPLY_MAX_BYTES ((size_t)8 * 1024 * 1024)
 #define KEY_LENGTH_MAX 200u
 
-/* The words of the store's protocol. */
+/* Paths, parameters and fields of the store's API. */
 #define COMMIT_PATH "/commit"
 #define KEYS_PATH "/keys"
 #define CHANGES_PATH "/changes"
@@ -38,7 +38,7 @@
 
 struct fc_kv {
   fc_http_client *http;
-  bool too_large; /* the answer of the call that has just returned */
+  bool too_large; /* the answer to the last call exceeded REPLY_MAX_BYTES */
 };
 
 struct fc_txn {
@@ -91,7 +91,7 @@
 
 fc_kv *fc_kv_new(const fc_endpoint *at) {
   fc_kv *kv = g_new0(fc_kv, 1);
-  kv->http = fc_http_client_new(at, REPLY_MAX);
+  kv->http = fc_http_client_new(at, REPLY_MAX_BYTES);
   return kv;
 }
 
@@ -102,7 +102,7 @@
 }
 
 static fc_kv_result result_of_reply(const fc_json_reply *reply) {
-  /* An answer that is not an object does not say what was executed. */
+  /* An answer that is not an object does not tell what was executed. */
   bool readable = reply->object != NULL;
   switch (reply->status) {
     case 0:
@@ -123,7 +123,8 @@
   }
 }
 
-/* Makes the call; on OK or CONFLICT *answer holds the body, whose reference is the caller's. */
+/* Makes the call. On FC_KV_OK and FC_KV_CONFLICT *answer is a reference to the body, owned by the
+ * caller; else NULL. */
 static fc_kv_result call_store(fc_kv *kv, const char *method, const char *path, json_t *body, double deadline,
                                json_t **answer) {
   fc_json_reply reply = fc_json_call(kv->http, method, path, body, deadline);
@@ -134,7 +135,7 @@
   return result;
 }
 
-/* Reads a number that an answer has to hold. */
+/* Reads a required number of an answer; false if it is missing or malformed. */
 static bool read_number(const json_t *answer, const char *field, uint64_t *number) {
   fc_reader reader;
   fc_reader_init(&reader, answer);
@@ -210,7 +211,7 @@
   return fc_json_decode_list(rows, decode_row, out) == 0 ? FC_KV_OK : FC_KV_REFUSED;
 }
 
-static gint by_version(gconstpointer left, gconstpointer right) {
+static gint compare_versions(gconstpointer left, gconstpointer right) {
   uint64_t left_version = (*(const fc_kv_change *const *)left)->version;
   uint64_t right_version = (*(const fc_kv_change *const *)right)->version;
   return left_version < right_version ? -1 : left_version > right_version;
@@ -223,19 +224,19 @@
                       prefix, (guint64)from, (int)(wait_s * 1000));
   json_auto_t *answer = NULL;
   fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &answer);
-  /* All changes come in one answer: after a long interruption they may exceed its bound, at this
-   * try and at every later one. Pages of the list stay within it. */
+  /* All changes come in one answer. After a long interruption they may exceed its size limit, and so
+   * would every retry, while pages of the list stay below it. */
   if (kv->too_large) {
-    g_info("more changes than an answer may hold from=%" G_GUINT64_FORMAT, (guint64)from);
+    g_info("change feed answer too large, listing the keys instead from=%" G_GUINT64_FORMAT, (guint64)from);
     return FC_KV_GONE;
   }
   if (result != FC_KV_OK) return result;
   const json_t *events = json_object_get(answer, FIELD_EVENTS);
   if (!read_number(answer, FIELD_REVISION, revision) || !json_is_array(events)) return FC_KV_REFUSED;
   if (fc_json_decode_list(events, decode_event, out) > 0) return FC_KV_REFUSED;
-  /* The protocol states no order; records that are derived from others at the version of the term
-   * record need the oldest first. */
-  g_ptr_array_sort(out, by_version);
+  /* The store's API specifies no order, but records that are derived from others at the version of the
+   * term record need the oldest change first. */
+  g_ptr_array_sort(out, compare_versions);
   return FC_KV_OK;
 }
 
