--- a/src/protocol/peer_frame.c
+++ b/src/protocol/peer_frame.c
@@ -3,15 +3,15 @@
 #include <string.h>
 
 #define FRAME_MAGIC 0xfc1eu
-#define LENGTH_OFFSET 4u /* of the length in the head */
+#define LENGTH_OFFSET 4u /* of the body's length, in the head */
 
-/* The smallest encoded size of each list element, with empty names: a count stated by a frame
- * is refused before memory is taken for more elements than the frame has bytes for. */
-#define MACHINE_LEAST (1u + 1u + 2u)
-#define RENEWAL_LEAST (1u + 4u + 1u + 8u + 8u)
-#define PROBE_LEAST (1u + 4u + 1u)
-#define TASK_LEAST (1u + 4u + 8u + 1u + 1u)
-#define CANCELLATION_LEAST (1u + 8u + 4u)
+/* The smallest encoded size in bytes of each kind of list element, with empty names. A frame whose
+ * count of elements exceeds what its bytes can hold is rejected before memory is allocated for them. */
+#define MACHINE_SIZE_MIN (1u + 1u + 2u)
+#define RENEWAL_SIZE_MIN (1u + 4u + 1u + 8u + 8u)
+#define PROBE_SIZE_MIN (1u + 4u + 1u)
+#define TASK_SIZE_MIN (1u + 4u + 8u + 1u + 1u)
+#define CANCELLATION_SIZE_MIN (1u + 8u + 4u)
 
 enum machine_flag { MACHINE_RECONCILED = 1, MACHINE_CORDONED = 2, MACHINE_UNREACHABLE = 4 };
 
@@ -42,8 +42,8 @@
   g_byte_array_append(out, (const guint8 *)text, (guint)length);
 }
 
-/* What is left to decode. After the first malformed byte `malformed` stays set and every value
- * reads as zero. */
+/* The bytes that are left to decode. After the first malformed value `malformed` stays set, and all
+ * further values read as zero. */
 typedef struct frame_input {
   const uint8_t *next;
   size_t left;
@@ -97,20 +97,21 @@
   }
   get_bytes(in, out, length);
   out[in->malformed ? 0 : length] = '\0';
-  bool holds_nul = !in->malformed && strlen(out) != length;
-  if (holds_nul) in->malformed = true;
+  bool contains_nul = !in->malformed && strlen(out) != length;
+  if (contains_nul) in->malformed = true;
 }
 
 /* ---- lists ---- */
 
 typedef void (*element_decoder)(frame_input *in, void *element);
 
-/* Decodes `count` elements of `size` bytes in memory and at least `least` in the frame. The caller
- * frees the array; NULL, with *decoded 0, when there are none or more than `most` or than fit. */
-static void *get_list(frame_input *in, size_t count, size_t most, size_t least, size_t size, element_decoder decode,
-                      size_t *decoded) {
+/* Decodes `count` elements, each of `size` bytes in memory and at least `size_min` in the frame. The
+ * caller frees the array. Returns NULL, with *decoded 0, if `count` is 0, or if it exceeds `count_max`
+ * or the bytes that are left. */
+static void *get_list(frame_input *in, size_t count, size_t count_max, size_t size_min, size_t size,
+                      element_decoder decode, size_t *decoded) {
   *decoded = 0;
-  if (in->malformed || count > most || count > in->left / least) {
+  if (in->malformed || count > count_max || count > in->left / size_min) {
     in->malformed = true;
     return NULL;
   }
@@ -138,7 +139,7 @@
 
 static fc_frame_cancellation *get_cancellations(frame_input *in, size_t *count) {
   size_t stated = get_u16(in);
-  return get_list(in, stated, FC_FRAME_CANCELLATIONS_MAX, CANCELLATION_LEAST, sizeof(fc_frame_cancellation),
+  return get_list(in, stated, FC_FRAME_CANCELLATIONS_MAX, CANCELLATION_SIZE_MIN, sizeof(fc_frame_cancellation),
                   get_cancellation, count);
 }
 
@@ -183,17 +184,17 @@
   machine->unreachable = flags & MACHINE_UNREACHABLE;
   size_t stated = get_u16(in);
   machine->tasks =
-      get_list(in, stated, FC_FRAME_TASKS_MAX, TASK_LEAST, sizeof(fc_frame_task), get_task, &machine->task_count);
+      get_list(in, stated, FC_FRAME_TASKS_MAX, TASK_SIZE_MIN, sizeof(fc_frame_task), get_task, &machine->task_count);
 }
 
 static fc_frame_machine *get_machines(frame_input *in, size_t *count) {
   size_t stated = get_u32(in);
-  return get_list(in, stated, SIZE_MAX, MACHINE_LEAST, sizeof(fc_frame_machine), get_machine, count);
+  return get_list(in, stated, SIZE_MAX, MACHINE_SIZE_MIN, sizeof(fc_frame_machine), get_machine, count);
 }
 
 size_t fc_frame_machine_size(const fc_frame_machine *machine) {
-  size_t size = MACHINE_LEAST + strlen(machine->id);
-  for (size_t i = 0; i < machine->task_count; i++) size += TASK_LEAST + strlen(machine->tasks[i].job);
+  size_t size = MACHINE_SIZE_MIN + strlen(machine->id);
+  for (size_t i = 0; i < machine->task_count; i++) size += TASK_SIZE_MIN + strlen(machine->tasks[i].job);
   return size;
 }
 
@@ -219,7 +220,7 @@
 
 static fc_frame_lease_renewal *get_renewals(frame_input *in, size_t *count) {
   size_t stated = get_u32(in);
-  return get_list(in, stated, SIZE_MAX, RENEWAL_LEAST, sizeof(fc_frame_lease_renewal), get_renewal, count);
+  return get_list(in, stated, SIZE_MAX, RENEWAL_SIZE_MIN, sizeof(fc_frame_lease_renewal), get_renewal, count);
 }
 
 static void put_probes(GByteArray *out, const fc_frame_probe *probes, size_t count) {
@@ -240,17 +241,17 @@
 
 static fc_frame_probe *get_probes(frame_input *in, size_t *count) {
   size_t stated = get_u32(in);
-  return get_list(in, stated, SIZE_MAX, PROBE_LEAST, sizeof(fc_frame_probe), get_probe, count);
+  return get_list(in, stated, SIZE_MAX, PROBE_SIZE_MIN, sizeof(fc_frame_probe), get_probe, count);
 }
 
-/* ---- the head and what both frames begin with ---- */
+/* ---- the head, and the first fields of both frames ---- */
 
 static guint begin_frame(GByteArray *out, fc_frame_type type) {
   guint start = out->len;
   put_u16(out, FRAME_MAGIC);
   put_u8(out, FC_FRAME_VERSION);
   put_u8(out, (uint8_t)type);
-  put_u32(out, 0); /* the length, by finish_frame() */
+  put_u32(out, 0); /* the length, set by finish_frame() */
   return start;
 }
 
@@ -274,7 +275,7 @@
   return magic == FRAME_MAGIC && version == FC_FRAME_VERSION && known_type && *length <= FC_FRAME_MAX;
 }
 
-/* Which process sent the frame, in which term, and the number of the view. */
+/* The process that sent the frame, its term, and the number of the view. */
 static void put_origin(GByteArray *out, const char *sender, uint64_t incarnation, uint64_t term, uint64_t sequence) {
   put_text(out, sender);
   put_u64(out, incarnation);
@@ -290,7 +291,7 @@
   *sequence = get_u64(in);
 }
 
-static bool decoded_whole(const frame_input *in) {
+static bool decoded_completely(const frame_input *in) {
   return !in->malformed && in->left == 0;
 }
 
@@ -320,7 +321,7 @@
   out->revision = get_u64(&in);
   out->cancellations = get_cancellations(&in, &out->cancellation_count);
   out->machines = get_machines(&in, &out->machine_count);
-  if (decoded_whole(&in)) return true;
+  if (decoded_completely(&in)) return true;
   fc_view_clear(out);
   return false;
 }
@@ -362,7 +363,7 @@
   out->cancellations = get_cancellations(&in, &out->cancellation_count);
   out->renewals = get_renewals(&in, &out->renewal_count);
   out->probes = get_probes(&in, &out->probe_count);
-  if (decoded_whole(&in)) return true;
+  if (decoded_completely(&in)) return true;
   fc_ack_clear(out);
   return false;
 }
--- a/src/protocol/peer_frame.h
+++ b/src/protocol/peer_frame.h
@@ -1,6 +1,6 @@
-/* The frames that controllers exchange: packed big-endian fields, checked for version and length.
- * One exchange is a view (the sender's machines and their tasks) and its acknowledgement. Nothing
- * here suspends the calling routine. */
+/* Encodes and decodes the frames that controllers exchange: packed big-endian fields after a head with
+ * version and length. One exchange is a view (the sender's machines and their tasks) and its
+ * acknowledgement. Nothing here suspends the calling routine. */
 #ifndef FC_PROTOCOL_PEER_FRAME_H
 #define FC_PROTOCOL_PEER_FRAME_H
 
@@ -13,15 +13,16 @@
 
 #define FC_FRAME_VERSION 5
 #define FC_MS_PER_S 1000.0 /* ages and durations in frames are in milliseconds */
+/* Size of a frame's head. */
 #define FC_FRAME_HEAD 8u
-/* Room for the lease renewals of one controller for 65,535 workers, more than it has sockets
- * for. Memory is taken only for what a frame really holds. */
+/* Largest body of a frame. It has room for one controller's lease renewals for 65,535 workers, more
+ * than it can have connections to. Memory is allocated only for what a frame really contains. */
 #define FC_FRAME_MAX (8u * 1024u * 1024u)
-/* A view is sent in pieces of about this size, each of whole machines. */
+/* A view is split into pieces of about this size, at the boundaries of machines. */
 #define FC_PIECE_BYTES ((size_t)64 * 1024)
-/* As many tasks as a heartbeat may name. */
+/* Tasks of one machine, as in a heartbeat. */
 #define FC_FRAME_TASKS_MAX FC_HEARTBEAT_TASKS_MAX
-/* Cancellations in one frame; older ones are learned from the key-value store. */
+/* Cancellations in one frame; the receiver reads older ones from the key-value store. */
 #define FC_FRAME_CANCELLATIONS_MAX 1024u
 
 typedef enum { FC_FRAME_VIEW = 1, FC_FRAME_ACK = 2 } fc_frame_type;
@@ -36,7 +37,7 @@
 
 typedef struct fc_frame_machine {
   char id[FC_NAME_SIZE];
-  bool reconciled;  /* in the frame's term; only then is the task list complete */
+  bool reconciled;  /* by its owner in the frame's term; only then is the task list complete */
   bool cordoned;    /* takes no new tasks */
   bool unreachable; /* by its owner */
   fc_frame_task *tasks;
@@ -50,15 +51,15 @@
   uint32_t age_ms; /* since the sender could first have learned of it */
 } fc_frame_cancellation;
 
-/* One piece of a view: the sender's machines, or with `base` only those that have
- * changed since the view of that number. */
+/* One piece of a view: the sender's machines, or with `base` only those that have changed since the
+ * view of that number. */
 typedef struct fc_view {
   char sender[FC_NAME_SIZE];
   uint64_t incarnation, term, sequence;
-  uint64_t base;     /* the view that the receiver must have applied; 0: this one is complete */
-  uint32_t piece;    /* from 0 on */
-  bool last;         /* the last piece of this view, which is acknowledged */
-  uint16_t backlog;  /* writes that are pending at the sender */
+  uint64_t base;     /* number of the view that the receiver must have applied; 0: this one is complete */
+  uint32_t piece;    /* number of the piece, from 0 */
+  bool last;         /* this is the last piece of the view, the one that is acknowledged */
+  uint16_t backlog;  /* pending writes of the sender */
   uint64_t revision; /* the sender's table is current up to this revision */
   fc_frame_cancellation *cancellations;
   size_t cancellation_count;
@@ -84,10 +85,10 @@
 typedef struct fc_ack {
   char sender[FC_NAME_SIZE];
   uint64_t incarnation, term, sequence;
-  bool applied;                /* the whole view, so that the next one may name it as its base */
-  uint32_t grant_ms;           /* for so long the sender commits no term without the receiver; 0: no grant */
+  bool applied;                /* the view was applied completely, so the next one may have it as its base */
+  uint32_t grant_ms;           /* time for which the sender commits no term without the receiver; 0: no grant */
   uint32_t no_cancellation_ms; /* since the sender last learned of a cancellation, or started */
-  bool cancellations_complete; /* all that the sender knows of and the receiver's table lacks are here */
+  bool cancellations_complete; /* the list has every one that the sender knows and the receiver's table lacks */
   fc_frame_cancellation *cancellations;
   size_t cancellation_count;
   uint32_t kv_read_age_ms; /* since the sender last read the key-value store */
@@ -98,21 +99,21 @@
   size_t probe_count;
 } fc_ack;
 
-/* Encoded size of the machine in a view, in bytes. */
+/* Encoded size of a machine in a view, in bytes. */
 size_t fc_frame_machine_size(const fc_frame_machine *machine);
 
-/* Append a whole frame, with its head, to `out`. */
+/* Append a whole frame, including its head, to `out`. */
 void fc_view_encode(GByteArray *out, const fc_view *view);
 void fc_ack_encode(GByteArray *out, const fc_ack *ack);
 
-/* Whether these first bytes of a connection belong to an HTTP request instead. */
+/* Whether the first bytes of a connection are those of an HTTP GET request, not of a frame. */
 bool fc_frame_is_http(const uint8_t head[FC_FRAME_HEAD]);
-/* Reads the head; *length is that of the body in bytes. False for another magic, version or type,
- * or a body larger than FC_FRAME_MAX. */
+/* Decodes the head; *length is the size of the body in bytes. False for another magic or version, an
+ * unknown type, or a body larger than FC_FRAME_MAX. */
 bool fc_frame_head(const uint8_t head[FC_FRAME_HEAD], fc_frame_type *type, uint32_t *length);
 
-/* Decode a frame's body. False when it is malformed, with `out` empty; else the lists in `out` are
- * the caller's, to be freed with the matching clear function. */
+/* Decode a frame's body. False when it is malformed, with `out` empty; else the caller frees the lists
+ * in `out` with the matching clear function. */
 bool fc_view_decode(const uint8_t *body, size_t length, fc_view *out);
 bool fc_ack_decode(const uint8_t *body, size_t length, fc_ack *out);
 void fc_view_clear(fc_view *view);
