--- a/src/protocol/operator_settings.cc
+++ b/src/protocol/operator_settings.cc
@@ -1,4 +1,4 @@
-// Reads the operators' settings file. The only C++ of the project: toml++ behind a C function.
+// Reads the operators' settings file (TOML). The only C++ of the project: it wraps toml++ in a C function.
 #define TOML_EXCEPTIONS 0
 #include <toml++/toml.h>
 
@@ -14,8 +14,8 @@
 struct number_entry {
   const char *table;
   const char *key;
-  double least, most;
-  bool whole;
+  double min, max;
+  bool integer;
   void (*set)(fc_operator_settings *, double);
 };
 
@@ -34,15 +34,15 @@
      [](fc_operator_settings *out, double value) { out->idle_keep_share = value; }},
 };
 
-// Where the line about the first fault is written.
-struct fault_line {
+// Receives one line about the first error.
+struct error_buffer {
   char *text;
   size_t size;
 };
 
-bool read_rent(const toml::node &node, fc_operator_settings *out, const fault_line &fault) {
+bool read_rent(const toml::node &node, fc_operator_settings *out, const error_buffer &error_out) {
   if (!node.is_boolean()) {
-    std::snprintf(fault.text, fault.size, "machines.rent: not true or false");
+    std::snprintf(error_out.text, error_out.size, "machines.rent: not true or false");
     return false;
   }
   out->rent = *node.value<bool>();
@@ -50,12 +50,12 @@
 }
 
 bool read_number(const number_entry &entry, const toml::node &node, fc_operator_settings *out,
-                 const fault_line &fault) {
+                 const error_buffer &error_out) {
   auto value = node.value<double>();
-  bool typed = entry.whole ? node.is_integer() : node.is_number();
-  if (!typed || !value || !(*value >= entry.least && *value <= entry.most)) {
-    std::snprintf(fault.text, fault.size, "%s.%s: not a number from %g to %g", entry.table, entry.key, entry.least,
-                  entry.most);
+  bool typed = entry.integer ? node.is_integer() : node.is_number();
+  if (!typed || !value || !(*value >= entry.min && *value <= entry.max)) {
+    std::snprintf(error_out.text, error_out.size, "%s.%s: not a number from %g to %g", entry.table, entry.key,
+                  entry.min, entry.max);
     return false;
   }
   entry.set(out, *value);
@@ -63,11 +63,11 @@
 }
 
 bool read_entry(const std::string &table, const std::string &key, const toml::node &node, fc_operator_settings *out,
-                const fault_line &fault) {
-  if (table == "machines" && key == "rent") return read_rent(node, out, fault);
+                const error_buffer &error_out) {
+  if (table == "machines" && key == "rent") return read_rent(node, out, error_out);
   for (const number_entry &entry : k_numbers)
-    if (table == entry.table && key == entry.key) return read_number(entry, node, out, fault);
-  std::snprintf(fault.text, fault.size, "%s.%s: unknown key", table.c_str(), key.c_str());
+    if (table == entry.table && key == entry.key) return read_number(entry, node, out, error_out);
+  std::snprintf(error_out.text, error_out.size, "%s.%s: unknown key", table.c_str(), key.c_str());
   return false;
 }
 
@@ -80,7 +80,7 @@
 }  // namespace
 
 extern "C" bool fc_operator_load(const char *path, fc_operator_settings *out, char *error, size_t error_size) {
-  const fault_line fault = {error, error_size};
+  const error_buffer error_out = {error, error_size};
   toml::parse_result parsed = toml::parse_file(path);
   if (!parsed) {
     std::snprintf(error, error_size, "%s: %s", path, std::string(parsed.error().description()).c_str());
@@ -94,7 +94,7 @@
       return false;
     }
     for (auto &&[key, node] : *table)
-      if (!read_entry(name, std::string(key.str()), node, out, fault)) return false;
+      if (!read_entry(name, std::string(key.str()), node, out, error_out)) return false;
   }
   return true;
 }
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -6,20 +6,20 @@
 
 #include "protocol/json.h"
 
-/* Libraries, stacks and an empty table; with less the process would be killed as it starts. */
+/* Memory for libraries, stacks and an empty table; with less, the process would be killed at startup. */
 #define MEMORY_MIN_MB 6
-/* Links to the peers, the member's lease and reads of changes alone take half of this. */
-#define CPU_MIN 0.002
-/* Below these a warning is given: twice the measured needs with some hundred machines. */
-#define MEMORY_ROOMY_MB 20
-#define CPU_ROOMY 0.015
-#define FD_ROOMY 256
-/* Releases of machines and archived jobs change two keys in one transaction. */
+/* The links to the peers, the member's lease and reads of changes alone take half of this. */
+#define CPU_MIN_CORES 0.002
+/* Below these limits fc_settings_warning() warns: twice the needs with some hundred machines. */
+#define MEMORY_WARNING_MB 20
+#define CPU_WARNING_CORES 0.015
+#define FD_WARNING 256
+/* Releasing a machine and archiving a job each change two keys in one transaction. */
 #define TXN_OPS_MIN 2
-/* The peers' listener may take eight connections for each peer, and calls to peers an eighth of
- * all descriptors. */
-#define FD_PER_CONTROLLER 16
-/* One lost answer costs a worker several heartbeat intervals. */
+/* The peers' listener accepts up to eight connections for each peer, and calls to peers may use an
+ * eighth of all descriptors. */
+#define FD_PER_CONTROLLER_MIN 16
+/* A worker that misses one answer is without an answer for several heartbeat intervals. */
 #define HEARTBEATS_PER_LEASE_MIN 3
 #define NAME_LENGTH_MAX 64u
 #define TEXT_LENGTH_MAX 256u
@@ -27,7 +27,7 @@
 #define AMOUNT_MAX 1e9
 #define BYTES_PER_KB 1024
 
-/* Words that several objects of the file have. */
+/* Fields that occur in several objects of the file. */
 #define FIELD_HOST_NAME "host_name"
 #define FIELD_DOMAIN "domain"
 #define FIELD_MEMBERS "members"
@@ -35,34 +35,34 @@
 #define FIELD_TEAMS "teams"
 #define FIELD_STATE "state"
 
-/* Where the line about the first fault is written. */
-typedef struct fault_line {
+/* Receives one line about the first error. */
+typedef struct error_buffer {
   char *text;
   size_t size;
-} fault_line;
+} error_buffer;
 
-/* Writes the line; returns false. */
+/* Writes the line, and returns false for the caller to pass on. */
 G_GNUC_PRINTF(2, 3)
-static bool refuse(const fault_line *fault, const char *format, ...) {
+static bool report_error(const error_buffer *error_out, const char *format, ...) {
   va_list arguments;
   va_start(arguments, format);
-  g_vsnprintf(fault->text, fault->size, format, arguments);
+  g_vsnprintf(error_out->text, error_out->size, format, arguments);
   va_end(arguments);
   return false;
 }
 
-/* Whether the reader is without error; else writes it, with the path of the reader's object. */
-static bool accept(const fault_line *fault, const char *path, const fc_reader *reader) {
+/* Whether the reader has no error; else writes the error, after the path of the reader's object. */
+static bool check_reader(const error_buffer *error_out, const char *path, const fc_reader *reader) {
   if (fc_reader_ok(reader)) return true;
   char description[FC_READER_DESCRIPTION_SIZE];
   fc_reader_describe(reader, description, sizeof description);
-  return refuse(fault, "%s%s", path, description);
+  return report_error(error_out, "%s%s", path, description);
 }
 
-/* The same for an element of an array. */
-static bool accept_element(const fault_line *fault, const char *array, size_t index, const fc_reader *reader) {
+/* Checks the reader of an element of an array. */
+static bool check_element(const error_buffer *error_out, const char *array, size_t index, const fc_reader *reader) {
   g_autofree char *path = g_strdup_printf("%s[%zu].", array, index);
-  return accept(fault, path, reader);
+  return check_reader(error_out, path, reader);
 }
 
 /* ---- names and addresses ---- */
@@ -74,56 +74,56 @@
 
 static void read_name(fc_reader *reader, const char *field, char **out) {
   const char *text = fc_read_string(reader, field, NAME_LENGTH_MAX);
-  /* Names become parts of keys in the key-value store, which hold no spaces. */
+  /* Names become parts of keys in the key-value store, which hold no spaces and use slashes as separators. */
   if (text && strpbrk(text, " /")) fc_reader_fail(reader, field, FC_FIELD_NAME_WITH_SEPARATOR);
   if (fc_reader_ok(reader)) *out = g_strdup(text);
 }
 
-static bool read_own(fc_reader *root, fc_settings *settings, const fault_line *fault) {
+static bool read_own_member(fc_reader *root, fc_settings *settings, const error_buffer *error_out) {
   read_name(root, FIELD_HOST_NAME, &settings->name);
   read_name(root, FIELD_DOMAIN, &settings->zone);
   read_endpoint(root, "client_listen", &settings->client_at);
   read_endpoint(root, "peer_listen", &settings->peer_at);
-  return accept(fault, "", root);
+  return check_reader(error_out, "", root);
 }
 
-static bool read_peer(const json_t *element, size_t index, fc_settings *settings, const fault_line *fault) {
+static bool read_peer(const json_t *element, size_t index, fc_settings *settings, const error_buffer *error_out) {
   fc_reader reader;
   fc_reader_init(&reader, element);
   fc_peer_settings *peer = &settings->peers[index];
   read_name(&reader, FIELD_HOST_NAME, &peer->name);
   read_name(&reader, FIELD_DOMAIN, &peer->zone);
   read_endpoint(&reader, "endpoint", &peer->peer_at);
-  if (!accept_element(fault, FIELD_MEMBERS, index, &reader)) return false;
+  if (!check_element(error_out, FIELD_MEMBERS, index, &reader)) return false;
   if (strcmp(peer->name, settings->name) == 0)
-    return refuse(fault, FIELD_MEMBERS "[%zu]." FIELD_HOST_NAME ": same as our own", index);
+    return report_error(error_out, FIELD_MEMBERS "[%zu]." FIELD_HOST_NAME ": same as our own", index);
   return true;
 }
 
-static bool read_peers(fc_reader *root, fc_settings *settings, const fault_line *fault) {
+static bool read_peers(fc_reader *root, fc_settings *settings, const error_buffer *error_out) {
   const json_t *list = fc_read_array(root, FIELD_MEMBERS);
   size_t count = json_array_size(list);
   if (count >= FC_MEMBERS_MAX) fc_reader_fail(root, FIELD_MEMBERS, FC_FIELD_TOO_MANY);
-  if (!accept(fault, "", root)) return false;
+  if (!check_reader(error_out, "", root)) return false;
   while (settings->peer_count < count) {
     size_t index = settings->peer_count;
-    if (!read_peer(json_array_get(list, index), index, settings, fault)) return false;
+    if (!read_peer(json_array_get(list, index), index, settings, error_out)) return false;
     settings->peer_count++;
   }
   return true;
 }
 
-static bool read_services(const json_t *outside, fc_settings *settings, const fault_line *fault) {
+static bool read_services(const json_t *outside, fc_settings *settings, const error_buffer *error_out) {
   fc_reader reader;
   fc_reader_init(&reader, outside);
   read_endpoint(&reader, "cloud", &settings->cloud_at);
   read_endpoint(&reader, FIELD_STATE, &settings->kv_at);
-  return accept(fault, "outside.", &reader);
+  return check_reader(error_out, "outside.", &reader);
 }
 
 /* ---- zones, teams and objectives ---- */
 
-static bool read_zones(fc_reader *params, fc_settings *settings, const fault_line *fault) {
+static bool read_zones(fc_reader *params, fc_settings *settings, const error_buffer *error_out) {
   const json_t *list = fc_read_array(params, FIELD_ZONES);
   size_t count = json_array_size(list);
   if (count == 0 || count > FC_ZONES_MAX) fc_reader_fail(params, FIELD_ZONES, FC_FIELD_NONE_OR_TOO_MANY);
@@ -135,14 +135,14 @@
       fc_reader_fail(params, FIELD_ZONES, FC_FIELD_ELEMENT_NOT_NAME);
     }
   }
-  return accept(fault, "settings.", params);
+  return check_reader(error_out, "settings.", params);
 }
 
-static bool read_teams(fc_reader *params, fc_settings *settings, const fault_line *fault) {
+static bool read_teams(fc_reader *params, fc_settings *settings, const error_buffer *error_out) {
   const json_t *list = fc_read_array(params, FIELD_TEAMS);
   size_t count = json_array_size(list);
   if (count > FC_TEAMS_MAX) fc_reader_fail(params, FIELD_TEAMS, FC_FIELD_TOO_MANY);
-  if (!accept(fault, "settings.", params)) return false;
+  if (!check_reader(error_out, "settings.", params)) return false;
   for (size_t i = 0; i < count; i++) {
     fc_reader reader;
     fc_reader_init(&reader, json_array_get(list, i));
@@ -152,17 +152,17 @@
     team->gpus = fc_read_amount_or(&reader, "gpus", 0, AMOUNT_MAX, 0);
     team->cpus_max = fc_read_amount_or(&reader, "cpus_max", 0, AMOUNT_MAX, 0);
     team->gpus_max = fc_read_amount_or(&reader, "gpus_max", 0, AMOUNT_MAX, 0);
-    if (!accept_element(fault, "settings." FIELD_TEAMS, i, &reader)) return false;
+    if (!check_element(error_out, "settings." FIELD_TEAMS, i, &reader)) return false;
     settings->team_count++;
   }
   return true;
 }
 
-static bool read_objectives(const json_t *params, fc_settings *settings, const fault_line *fault) {
+static bool read_objectives(const json_t *params, fc_settings *settings, const error_buffer *error_out) {
   const json_t *list = json_object_get(params, "objectives");
   if (!list || json_is_null(list)) return true;
   if (!json_is_array(list) || json_array_size(list) > FC_OBJECTIVES_MAX)
-    return refuse(fault, "settings.objectives: not a short array");
+    return report_error(error_out, "settings.objectives: not a short array");
   for (size_t i = 0; i < json_array_size(list); i++) {
     fc_reader reader;
     fc_reader_init(&reader, json_array_get(list, i));
@@ -171,7 +171,7 @@
     const char *class_name = fc_read_string_or_null(&reader, "class", TEXT_LENGTH_MAX);
     objective->within_s = fc_read_amount_or(&reader, "within_s", 0, AMOUNT_MAX, 0);
     objective->share = fc_read_amount_or(&reader, "share", 0, 1, 0);
-    if (!accept_element(fault, "settings.objectives", i, &reader)) return false;
+    if (!check_element(error_out, "settings.objectives", i, &reader)) return false;
     objective->kind = g_strdup(kind);
     objective->class_name = g_strdup(class_name);
     settings->objective_count++;
@@ -181,7 +181,7 @@
 
 /* ---- limits of the key-value store ---- */
 
-/* As they are or as they will be. */
+/* The current limits, or the next ones. */
 typedef struct kv_limits {
   double rps, write_rps, value_kb, txn_ops;
 } kv_limits;
@@ -189,7 +189,7 @@
 typedef struct kv_limit_field {
   const char *name;
   size_t offset; /* in kv_limits */
-  double least, most;
+  double min, max;
 } kv_limit_field;
 
 static const kv_limit_field k_kv_limit_fields[] = {
@@ -203,42 +203,42 @@
   return (double *)(void *)((char *)limits + field->offset);
 }
 
-static bool read_present_limits(const json_t *state, kv_limits *out, const fault_line *fault) {
+static bool read_current_limits(const json_t *state, kv_limits *out, const error_buffer *error_out) {
   fc_reader reader;
   fc_reader_init(&reader, state);
   for (size_t i = 0; i < G_N_ELEMENTS(k_kv_limit_fields); i++) {
     const kv_limit_field *field = &k_kv_limit_fields[i];
-    *limit_at(out, field) = fc_read_amount(&reader, field->name, field->least, field->most);
+    *limit_at(out, field) = fc_read_amount(&reader, field->name, field->min, field->max);
   }
-  return accept(fault, "settings.state.", &reader);
+  return check_reader(error_out, "settings.state.", &reader);
 }
 
-/* What `state.next` does not name stays as it is in `next`. */
-static bool read_next_limits(const json_t *state, kv_limits *next, const fault_line *fault) {
+/* Limits that `state.next` lacks keep their value in `next`. */
+static bool read_next_limits(const json_t *state, kv_limits *next, const error_buffer *error_out) {
   const json_t *object = json_object_get(state, "next");
   if (!object || json_is_null(object)) return true;
   fc_reader reader;
   fc_reader_init(&reader, object);
-  if (!accept(fault, "settings.state.next: ", &reader)) return false;
+  if (!check_reader(error_out, "settings.state.next: ", &reader)) return false;
   for (size_t i = 0; i < G_N_ELEMENTS(k_kv_limit_fields); i++) {
     const kv_limit_field *field = &k_kv_limit_fields[i];
     double *limit = limit_at(next, field);
-    *limit = fc_read_amount_or(&reader, field->name, field->least, field->most, *limit);
+    *limit = fc_read_amount_or(&reader, field->name, field->min, field->max, *limit);
   }
-  return accept(fault, "settings.state.next.", &reader);
+  return check_reader(error_out, "settings.state.next.", &reader);
 }
 
-static bool read_kv_limits(const json_t *params, fc_settings *settings, const fault_line *fault) {
+static bool read_kv_limits(const json_t *params, fc_settings *settings, const error_buffer *error_out) {
   const json_t *state = json_object_get(params, FIELD_STATE);
-  kv_limits now;
-  if (!read_present_limits(state, &now, fault)) return false;
-  kv_limits next = now;
-  if (!read_next_limits(state, &next, fault)) return false;
-  settings->kv_rps = MIN(now.rps, next.rps);
-  settings->kv_value_kb = MIN(now.value_kb, next.value_kb);
-  settings->kv_txn_ops = (unsigned)MIN(now.txn_ops, next.txn_ops);
-  settings->kv_write_rps = now.write_rps;
-  settings->kv_next_write_rps = MIN(now.write_rps, next.write_rps);
+  kv_limits current;
+  if (!read_current_limits(state, &current, error_out)) return false;
+  kv_limits next = current;
+  if (!read_next_limits(state, &next, error_out)) return false;
+  settings->kv_rps = MIN(current.rps, next.rps);
+  settings->kv_value_kb = MIN(current.value_kb, next.value_kb);
+  settings->kv_txn_ops = (unsigned)MIN(current.txn_ops, next.txn_ops);
+  settings->kv_write_rps = current.write_rps;
+  settings->kv_next_write_rps = MIN(current.write_rps, next.write_rps);
   return true;
 }
 
@@ -247,35 +247,35 @@
 typedef struct number_field {
   const char *name;
   double *out;
-  double least, most;
+  double min, max;
 } number_field;
 
 /* Reads the numbers of one group, such as "settings.workers". */
 static bool read_group(const json_t *params, const char *group, const number_field *fields, size_t count,
-                       const fault_line *fault) {
+                       const error_buffer *error_out) {
   fc_reader reader;
   fc_reader_init(&reader, json_object_get(params, group));
   for (size_t i = 0; i < count; i++)
-    *fields[i].out = fc_read_amount(&reader, fields[i].name, fields[i].least, fields[i].most);
+    *fields[i].out = fc_read_amount(&reader, fields[i].name, fields[i].min, fields[i].max);
   g_autofree char *path = g_strdup_printf("settings.%s.", group);
-  return accept(fault, path, &reader);
+  return check_reader(error_out, path, &reader);
 }
 
-/* Whether the numbers allow the service to keep its rules. */
-static bool check_numbers(const fc_settings *settings, const fault_line *fault) {
-  if (settings->fd_limit < FD_PER_CONTROLLER * (settings->peer_count + 1))
-    return refuse(fault, "settings.limits.fd_limit: too few for the links to %zu other controllers",
-                  settings->peer_count);
+/* Checks the constraints between several settings that the service needs to meet its guarantees. */
+static bool check_constraints(const fc_settings *settings, const error_buffer *error_out) {
+  if (settings->fd_limit < FD_PER_CONTROLLER_MIN * (settings->peer_count + 1))
+    return report_error(error_out, "settings.limits.fd_limit: too few for the links to %zu other controllers",
+                        settings->peer_count);
   if (settings->lease_s < HEARTBEATS_PER_LEASE_MIN * settings->heartbeat_s)
-    return refuse(fault, "settings.workers.lease_s: shorter than three times report_s");
-  /* A controller that may have missed a cancellation has to stop answering a whole worker lease
-   * before cancel_s is up (docs/design.md, "Cancellations"). */
+    return report_error(error_out, "settings.workers.lease_s: shorter than three times report_s");
+  /* A controller that may have missed a cancellation has to stop answering workers a whole worker
+   * lease before cancel_s has passed (docs/design.md, "Cancellations"). */
   if (settings->cancel_s < settings->lease_s + HEARTBEATS_PER_LEASE_MIN * settings->heartbeat_s)
-    return refuse(fault, "settings.workers.cancel_s: not beyond lease_s by three times report_s");
+    return report_error(error_out, "settings.workers.cancel_s: not beyond lease_s by three times report_s");
   return true;
 }
 
-static bool read_numbers(const json_t *params, fc_settings *settings, const fault_line *fault) {
+static bool read_numbers(const json_t *params, fc_settings *settings, const error_buffer *error_out) {
   double fd_limit = 0;
   const number_field workers[] = {{"report_s", &settings->heartbeat_s, 0.01, 3600},
                                   {"lease_s", &settings->lease_s, 0.1, 36000},
@@ -284,53 +284,54 @@
                                   {"cancel_s", &settings->cancel_s, 0.1, 36000}};
   const number_field cloud[] = {{"rps", &settings->cloud_rps, 0.01, 1e6},
                                 {"list_lag_s", &settings->cloud_list_lag_s, 0, 3600}};
-  const number_field limits[] = {{"cpu", &settings->cpu, CPU_MIN, 1e4},
+  const number_field limits[] = {{"cpu", &settings->cpu, CPU_MIN_CORES, 1e4},
                                  {"memory_mb", &settings->memory_mb, MEMORY_MIN_MB, 1e7},
                                  {"fd_limit", &fd_limit, 32, 1e6}};
-  if (!read_group(params, "workers", workers, G_N_ELEMENTS(workers), fault)) return false;
-  if (!read_kv_limits(params, settings, fault)) return false;
-  if (!read_group(params, "cloud", cloud, G_N_ELEMENTS(cloud), fault)) return false;
-  if (!read_group(params, "limits", limits, G_N_ELEMENTS(limits), fault)) return false;
+  if (!read_group(params, "workers", workers, G_N_ELEMENTS(workers), error_out)) return false;
+  if (!read_kv_limits(params, settings, error_out)) return false;
+  if (!read_group(params, "cloud", cloud, G_N_ELEMENTS(cloud), error_out)) return false;
+  if (!read_group(params, "limits", limits, G_N_ELEMENTS(limits), error_out)) return false;
   settings->fd_limit = (unsigned)fd_limit;
-  return check_numbers(settings, fault);
+  return check_constraints(settings, error_out);
 }
 
 /* ---- the whole file ---- */
 
-static bool read_settings(const json_t *value, fc_settings *settings, const fault_line *fault) {
+static bool read_settings(const json_t *value, fc_settings *settings, const error_buffer *error_out) {
   fc_reader root;
   fc_reader_init(&root, value);
-  if (!read_own(&root, settings, fault)) return false;
-  if (!read_peers(&root, settings, fault)) return false;
+  if (!read_own_member(&root, settings, error_out)) return false;
+  if (!read_peers(&root, settings, error_out)) return false;
   const json_t *outside = fc_read_object(&root, "outside");
   const json_t *params = fc_read_object(&root, "settings");
-  if (!accept(fault, "", &root)) return false;
-  if (!read_services(outside, settings, fault)) return false;
+  if (!check_reader(error_out, "", &root)) return false;
+  if (!read_services(outside, settings, error_out)) return false;
   fc_reader params_reader;
   fc_reader_init(&params_reader, params);
-  if (!read_zones(&params_reader, settings, fault)) return false;
-  if (!read_teams(&params_reader, settings, fault)) return false;
-  if (!read_objectives(params, settings, fault)) return false;
-  return read_numbers(params, settings, fault);
+  if (!read_zones(&params_reader, settings, error_out)) return false;
+  if (!read_teams(&params_reader, settings, error_out)) return false;
+  if (!read_objectives(params, settings, error_out)) return false;
+  return read_numbers(params, settings, error_out);
 }
 
 bool fc_settings_load(const char *path, fc_settings *out, char *error, size_t error_size) {
-  const fault_line fault = {.text = error, .size = error_size};
+  const error_buffer error_out = {.text = error, .size = error_size};
   memset(out, 0, sizeof *out);
   fc_operator_defaults(&out->operator_settings);
   g_autofree gchar *text = NULL;
   gsize length = 0;
   g_autoptr(GError) file_error = NULL;
-  if (!g_file_get_contents(path, &text, &length, &file_error)) return refuse(&fault, "%s", file_error->message);
+  if (!g_file_get_contents(path, &text, &length, &file_error))
+    return report_error(&error_out, "%s", file_error->message);
   json_auto_t *value = fc_json_parse(text, length);
-  if (!value) return refuse(&fault, "%s: not JSON", path);
-  return read_settings(value, out, &fault);
+  if (!value) return report_error(&error_out, "%s: not JSON", path);
+  return read_settings(value, out, &error_out);
 }
 
 const char *fc_settings_warning(const fc_settings *settings) {
-  if (settings->memory_mb < MEMORY_ROOMY_MB) return "settings.limits.memory_mb: little room for a larger fleet";
-  if (settings->cpu < CPU_ROOMY) return "settings.limits.cpu: little room for a larger fleet";
-  if (settings->fd_limit < FD_ROOMY) return "settings.limits.fd_limit: little room for workers and users";
+  if (settings->memory_mb < MEMORY_WARNING_MB) return "settings.limits.memory_mb: little room for a larger fleet";
+  if (settings->cpu < CPU_WARNING_CORES) return "settings.limits.cpu: little room for a larger fleet";
+  if (settings->fd_limit < FD_WARNING) return "settings.limits.fd_limit: little room for workers and users";
   return NULL;
 }
 
