--- a/src/protocol/records.c
+++ b/src/protocol/records.c
@@ -8,7 +8,7 @@
 
 #define RECORD_FORMAT 1
 
-/* The words of the records. */
+/* Fields of the records. */
 #define FIELD_FORMAT "f"
 #define FIELD_JOB_FORMAT "jobFormat"
 
@@ -32,7 +32,8 @@
 #define FIELD_CARRIED "carried"
 #define FIELD_SHARES "shares"
 
-static void reader_init(fc_reader *reader, const json_t *value) {
+/* Starts to read a record; its format has to be RECORD_FORMAT. */
+static void record_reader_init(fc_reader *reader, const json_t *value) {
   fc_reader_init(reader, value);
   (void)fc_read_count(reader, FIELD_FORMAT, RECORD_FORMAT, RECORD_FORMAT);
 }
@@ -49,7 +50,7 @@
 
 unsigned fc_member_key_format(const json_t *value) {
   fc_reader reader;
-  reader_init(&reader, value);
+  record_reader_init(&reader, value);
   return (unsigned)fc_read_count_or(&reader, FIELD_JOB_FORMAT, 1, UINT32_MAX, FC_JOB_FORMAT_PLAIN);
 }
 
@@ -75,7 +76,7 @@
 bool fc_term_decode(const json_t *value, fc_term *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  reader_init(&reader, value);
+  record_reader_init(&reader, value);
   out->number = fc_read_count(&reader, FIELD_TERM, 1, FC_COUNT_MAX);
   out->seed = fc_read_count(&reader, FIELD_SEED, 0, FC_COUNT_MAX);
   out->names_since = fc_read_count_or(&reader, FIELD_NAMES_SINCE, 0, FC_COUNT_MAX, out->number);
@@ -96,9 +97,9 @@
 
 /* ---- machines and rentals ---- */
 
-/* What records of machines and of rentals share. */
-static void read_kind_of_machine(fc_reader *reader, char type[FC_NAME_SIZE], char zone[FC_NAME_SIZE],
-                                 char owner[FC_NAME_SIZE], bool *spot) {
+/* Reads the fields that records of machines and of rentals have in common. */
+static void read_machine_fields(fc_reader *reader, char type[FC_NAME_SIZE], char zone[FC_NAME_SIZE],
+                                char owner[FC_NAME_SIZE], bool *spot) {
   fc_read_string_into(reader, FIELD_TYPE, type, FC_NAME_SIZE);
   fc_read_string_into(reader, FIELD_ZONE, zone, FC_NAME_SIZE);
   fc_read_string_into(reader, FIELD_OWNER, owner, FC_NAME_SIZE);
@@ -114,8 +115,8 @@
 bool fc_machine_record_decode(const json_t *value, fc_machine_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  reader_init(&reader, value);
-  read_kind_of_machine(&reader, out->type, out->zone, out->owner, &out->spot);
+  record_reader_init(&reader, value);
+  read_machine_fields(&reader, out->type, out->zone, out->owner, &out->spot);
   const char *endpoint = fc_read_string_or_null(&reader, FIELD_ENDPOINT, sizeof out->endpoint - 1);
   if (endpoint) g_strlcpy(out->endpoint, endpoint, sizeof out->endpoint);
   return fc_reader_ok(&reader);
@@ -130,8 +131,8 @@
 bool fc_rental_record_decode(const json_t *value, fc_rental_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  reader_init(&reader, value);
-  read_kind_of_machine(&reader, out->type, out->zone, out->owner, &out->spot);
+  record_reader_init(&reader, value);
+  read_machine_fields(&reader, out->type, out->zone, out->owner, &out->spot);
   out->count = (unsigned)fc_read_count(&reader, FIELD_COUNT, 1, FC_RENTAL_MAX);
   return fc_reader_ok(&reader);
 }
@@ -146,7 +147,7 @@
 bool fc_archived_job_decode(const json_t *value, fc_archived_job *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  reader_init(&reader, value);
+  record_reader_init(&reader, value);
   out->done = fc_read_bool(&reader, FIELD_DONE);
   out->tasks_done = (uint32_t)fc_read_count(&reader, FIELD_TASKS, 0, FC_TASKS_MAX);
   return fc_reader_ok(&reader);
@@ -154,7 +155,7 @@
 
 /* ---- quota shares ---- */
 
-/* {"team":[cpus,gpus]} of one member. */
+/* Encodes {"team":[cpus,gpus]}, the shares of one member. */
 static json_t *encode_shares(const fc_quota_record *quota, size_t member, const fc_settings *settings) {
   json_t *shares = json_object();
   for (size_t team = 0; team < settings->team_count; team++) {
@@ -191,7 +192,7 @@
 bool fc_quota_record_decode(const json_t *value, const fc_settings *settings, fc_quota_record *out) {
   memset(out, 0, sizeof *out);
   fc_reader reader;
-  reader_init(&reader, value);
+  record_reader_init(&reader, value);
   out->term = fc_read_count(&reader, FIELD_TERM, 1, FC_COUNT_MAX);
   out->carried = fc_read_bool_or(&reader, FIELD_CARRIED, false);
   const json_t *shares = fc_read_object(&reader, FIELD_SHARES);
--- a/src/protocol/routes.h
+++ b/src/protocol/routes.h
@@ -1,4 +1,5 @@
-/* Maps HTTP requests to the calls of the users', workers' and health interface. */
+/* Maps the method and path of an HTTP request to a call of the API for users, workers or monitoring.
+ * Nothing here suspends the calling routine. */
 #ifndef FC_PROTOCOL_ROUTES_H
 #define FC_PROTOCOL_ROUTES_H
 
@@ -13,11 +14,12 @@
   FC_ROUTE_METRICS,
 } fc_route;
 
-/* Of the buffer for an id in a path, with the closing NUL. A longer one is FC_ROUTE_NONE. */
+/* Buffer size in bytes for an id in a path, including the NUL. A path with a longer id is
+ * FC_ROUTE_NONE. */
 #define FC_ROUTE_ID_MAX 256
 
-/* `id` receives the job's id of a poll or cancel as it stands in the path, unchecked; *allow the
- * method to use, a constant, with FC_ROUTE_WRONG_METHOD, else NULL. */
+/* For a poll or cancel, `id` receives the job's id from the path, not validated. *allow is the method
+ * that the path allows, a constant, on FC_ROUTE_WRONG_METHOD, else NULL. */
 fc_route fc_route_of(const char *method, const char *path, char id[FC_ROUTE_ID_MAX], const char **allow);
 
 #endif
--- a/src/protocol/worker_api.c
+++ b/src/protocol/worker_api.c
@@ -11,7 +11,7 @@
 #define WORD_LENGTH_MAX 32u
 #define ERROR_SIZE 200u
 
-/* The words of the worker protocol. */
+/* Paths, fields and values of the workers' API. */
 #define CALL_PATH "/orders"
 
 #define FIELD_MACHINE "paddock"
@@ -61,8 +61,8 @@
 
 /* ---- heartbeats ---- */
 
-/* Splits "job-000412/3". */
-static bool split_task_name(const char *text, fc_task_status *task) {
+/* Parses "job-000412/3" into the task's job and index. */
+static bool parse_task_name(const char *text, fc_task_status *task) {
   const char *slash = strchr(text, '/');
   if (!slash || (size_t)(slash - text) >= sizeof task->job) return false;
   memcpy(task->job, text, (size_t)(slash - text));
@@ -83,10 +83,10 @@
     fc_reader_fail(reader, FIELD_STATE, FC_FIELD_UNKNOWN_VALUE);
 }
 
-static fc_exit_cause cause_named(const char *text) {
+static fc_exit_cause cause_from_text(const char *text) {
   if (!text) return FC_CAUSE_NONE;
   int cause = fc_name_index(k_causes, G_N_ELEMENTS(k_causes), text);
-  /* An exit for a cause of a newer version is still an exit. */
+  /* A cause that only newer versions know still means that the task has exited. */
   return cause >= 0 ? (fc_exit_cause)cause : FC_CAUSE_ERROR;
 }
 
@@ -98,10 +98,10 @@
   const char *state = fc_read_string(&reader, FIELD_STATE, WORD_LENGTH_MAX);
   const char *cause = fc_read_string_or_null(&reader, FIELD_CAUSE, WORD_LENGTH_MAX);
   task->saved = fc_read_bool_or(&reader, FIELD_SAVED, false);
-  if (fc_reader_ok(&reader) && !split_task_name(name, task)) fc_reader_fail(&reader, FIELD_TASK, FC_FIELD_NOT_TASK);
+  if (fc_reader_ok(&reader) && !parse_task_name(name, task)) fc_reader_fail(&reader, FIELD_TASK, FC_FIELD_NOT_TASK);
   if (fc_reader_ok(&reader)) {
     read_state(&reader, state, task);
-    task->cause = cause_named(cause);
+    task->cause = cause_from_text(cause);
   }
   if (fc_reader_ok(&reader)) return true;
   fc_reader_fail_element(heartbeat, FIELD_TASKS, &reader);
@@ -181,8 +181,8 @@
   g_string_append_c(out, '}');
 }
 
-static void append_commands_body(GString *out, uint64_t fencing_token, uint64_t epoch, const fc_command *commands,
-                                 size_t count) {
+static void append_call_body(GString *out, uint64_t fencing_token, uint64_t epoch, const fc_command *commands,
+                             size_t count) {
   g_string_append_c(out, '{');
   append_number_field(out, FIELD_FENCING_TOKEN, fencing_token);
   g_string_append_c(out, ',');
@@ -210,7 +210,7 @@
                                      const fc_command *commands, size_t count, double deadline,
                                      fc_heartbeat *heartbeat) {
   g_autoptr(GString) body = g_string_new(NULL);
-  append_commands_body(body, fencing_token, epoch, commands, count);
+  append_call_body(body, fencing_token, epoch, commands, count);
   fc_http_client *http = fc_http_client_new(at, FC_HTTP_BODY_MAX);
   fc_http_reply reply;
   bool answered = fc_http_call(http, "POST", CALL_PATH, body->str, body->len, deadline, &reply);
