--- a/tests/test_compat.c
+++ b/tests/test_compat.c
@@ -1,6 +1,6 @@
-/* Stored records and peer frames of the version that was in production before pipelines:
- * this version reads them, and writes the same bytes for the same content, so that both
- * can serve side by side. The bytes in fixtures/ were taken down from that version. */
+/* Compatibility with the version that was in production before job dependencies existed: this version
+ * reads its stored records and peer frames, and writes the same bytes for the same content, so that
+ * both can run side by side during an upgrade. The bytes in fixtures/ were recorded from that version. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -10,11 +10,11 @@
 #include "protocol/peer_frame.h"
 #include "protocol/records.h"
 
-#define FIXTURES "version-0275842.txt"
+#define FIXTURE_FILE "version-0275842.txt"
 
-/* The bytes of the named fixture as text; the caller frees them. */
-static char *fixture(const char *name) {
-  char *path = g_build_filename(FIXTURES_DIR, FIXTURES, NULL), *text = NULL;
+/* Returns the text of the named fixture; the caller frees it. */
+static char *read_fixture(const char *name) {
+  char *path = g_build_filename(FIXTURES_DIR, FIXTURE_FILE, NULL), *text = NULL;
   assert_true(g_file_get_contents(path, &text, NULL, NULL));
   char **lines = g_strsplit(text, "\n", -1), *found = NULL;
   size_t len = strlen(name);
@@ -27,17 +27,17 @@
   return found;
 }
 
-static json_t *stored(const char *name) {
-  char *text = fixture(name);
-  json_t *v = fc_json_parse(text, strlen(text));
-  assert_non_null(v);
+static json_t *load_record(const char *name) {
+  char *text = read_fixture(name);
+  json_t *value = fc_json_parse(text, strlen(text));
+  assert_non_null(value);
   g_free(text);
-  return v;
+  return value;
 }
 
-/* Takes the reference. */
-static void writes_as(const char *name, json_t *value) {
-  char *expected = fixture(name);
+/* The value's encoding equals the fixture. Takes the reference. */
+static void assert_encodes_as(const char *name, json_t *value) {
+  char *expected = read_fixture(name);
   GString *written = g_string_new(NULL);
   fc_json_append(written, value);
   assert_string_equal(written->str, expected);
@@ -45,7 +45,7 @@
   g_free(expected);
 }
 
-static void jobs(void **state) {
+static void job_records(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -60,24 +60,24 @@
       {"job done", FC_PHASE_DONE, "job-000412", "0-15", 8, 6},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    json_t *v = stored(rows[i].name);
+    json_t *value = load_record(rows[i].name);
     fc_job_record record;
-    check_row(rows[i].name, fc_job_record_decode(v, &record));
+    check_row(rows[i].name, fc_job_record_decode(value, &record));
     check_row(rows[i].name, record.phase == rows[i].phase && strcmp(record.spec.id, rows[i].id) == 0);
     check_row(rows[i].name, strcmp(record.done, rows[i].done) == 0 && record.slices == rows[i].slices);
     check_row(rows[i].name, record.origin.term == rows[i].term);
-    writes_as(rows[i].name, fc_job_record_encode(&record));
+    assert_encodes_as(rows[i].name, fc_job_record_encode(&record));
     fc_job_record_clear(&record);
-    json_decref(v);
+    json_decref(value);
   }
 }
 
-/* All that a record says of where its slices are, and of its tasks. */
-static void a_job_in_full(void **state) {
+/* Checks the transfers of slices and the description in a record. */
+static void fields_of_a_job_record(void **state) {
   (void)state;
-  json_t *v = stored("job moved");
+  json_t *value = load_record("job moved");
   fc_job_record record;
-  assert_true(fc_job_record_decode(v, &record));
+  assert_true(fc_job_record_decode(value, &record));
   assert_string_equal(record.handed_to[2], "paddock-2");
   assert_string_equal(record.handed_to[7], "paddock-0");
   assert_null(record.handed_to[0]);
@@ -90,71 +90,71 @@
   assert_string_equal(spec->zone, "a");
   assert_true(spec->deadline_s == 900 && spec->checkpoint_s == 30 && spec->spot && !spec->one_zone);
   fc_job_record_clear(&record);
-  json_decref(v);
+  json_decref(value);
 }
 
 static void other_records(void **state) {
   (void)state;
   fc_term term;
-  json_t *v = stored("term");
-  assert_true(fc_term_decode(v, &term));
+  json_t *value = load_record("term");
+  assert_true(fc_term_decode(value, &term));
   assert_true(term.number == 12 && term.count == 3 && term.members[2].incarnation == 30 && term.names_since == 3);
-  writes_as("term", fc_term_encode(&term));
-  json_decref(v);
+  assert_encodes_as("term", fc_term_encode(&term));
+  json_decref(value);
   static const char *const machines[] = {"machine", "machine booting"};
   for (size_t i = 0; i < G_N_ELEMENTS(machines); i++) {
     fc_machine_record record;
-    v = stored(machines[i]);
-    assert_true(fc_machine_record_decode(v, &record));
+    value = load_record(machines[i]);
+    assert_true(fc_machine_record_decode(value, &record));
     assert_string_equal(record.endpoint, i == 0 ? "10.1.0.2:9000" : "");
-    writes_as(machines[i], fc_machine_record_encode(&record));
-    json_decref(v);
+    assert_encodes_as(machines[i], fc_machine_record_encode(&record));
+    json_decref(value);
   }
   fc_rental_record rental;
-  v = stored("rental");
-  assert_true(fc_rental_record_decode(v, &rental));
+  value = load_record("rental");
+  assert_true(fc_rental_record_decode(value, &rental));
   assert_true(rental.count == 50 && rental.spot);
-  writes_as("rental", fc_rental_record_encode(&rental));
-  json_decref(v);
+  assert_encodes_as("rental", fc_rental_record_encode(&rental));
+  json_decref(value);
   static const char *const archived[] = {"archived done", "archived cancelled"};
   for (size_t i = 0; i < G_N_ELEMENTS(archived); i++) {
-    fc_archived_job a;
-    v = stored(archived[i]);
-    assert_true(fc_archived_job_decode(v, &a));
-    assert_int_equal(a.done, i == 0);
-    writes_as(archived[i], fc_archived_job_encode(&a));
-    json_decref(v);
+    fc_archived_job job;
+    value = load_record(archived[i]);
+    assert_true(fc_archived_job_decode(value, &job));
+    assert_int_equal(job.done, i == 0);
+    assert_encodes_as(archived[i], fc_archived_job_encode(&job));
+    json_decref(value);
   }
-  writes_as("mark", fc_mark_encode());
+  assert_encodes_as("mark", fc_mark_encode());
 }
 
-static void shares_of_limits(void **state) {
+static void quota_shares(void **state) {
   (void)state;
   fc_settings settings = {.team_count = 2};
   settings.teams[0] = (fc_team_settings){.name = "red"};
   settings.teams[1] = (fc_team_settings){.name = "blue", .gpus_max = 16};
   fc_quota_record quota;
-  json_t *v = stored("quota");
-  assert_true(fc_quota_record_decode(v, &settings, &quota));
+  json_t *value = load_record("quota");
+  assert_true(fc_quota_record_decode(value, &settings, &quota));
   assert_true(quota.term == 12 && quota.carried && quota.member_count == 2);
   assert_true(quota.gpus[0][1] == 5.5 && quota.gpus[1][1] == 10.25);
-  writes_as("quota", fc_quota_record_encode(&quota, &settings));
-  json_decref(v);
+  assert_encodes_as("quota", fc_quota_record_encode(&quota, &settings));
+  json_decref(value);
 }
 
-static GByteArray *frame(const char *name) {
-  char *hex = fixture(name);
-  GByteArray *b = g_byte_array_new();
+static GByteArray *load_frame(const char *name) {
+  char *hex = read_fixture(name);
+  GByteArray *bytes = g_byte_array_new();
   for (const char *p = hex; *p; p += 2) {
-    char two[] = {p[0], p[1], '\0'};
-    guint8 byte = (guint8)strtoul(two, NULL, 16);
-    g_byte_array_append(b, &byte, 1);
+    char digits[] = {p[0], p[1], '\0'};
+    guint8 byte = (guint8)strtoul(digits, NULL, 16);
+    g_byte_array_append(bytes, &byte, 1);
   }
   g_free(hex);
-  return b;
+  return bytes;
 }
 
-static void same_bytes(const GByteArray *expected, GByteArray *written) {
+static void assert_same_bytes(const GByteArray *expected, GByteArray *written) {
   assert_int_equal(written->len, expected->len);
   assert_memory_equal(written->data, expected->data, expected->len);
   g_byte_array_free(written, TRUE);
@@ -162,49 +162,50 @@
 
 static void views(void **state) {
   (void)state;
-  GByteArray *b = frame("view");
+  GByteArray *bytes = load_frame("view");
   fc_frame_type type;
   uint32_t len;
-  assert_true(fc_frame_head(b->data, &type, &len));
-  assert_true(type == FC_FRAME_VIEW && len == b->len - FC_FRAME_HEAD);
+  assert_true(fc_frame_head(bytes->data, &type, &len));
+  assert_true(type == FC_FRAME_VIEW && len == bytes->len - FC_FRAME_HEAD);
   fc_view view;
-  assert_true(fc_view_decode(b->data + FC_FRAME_HEAD, len, &view));
+  assert_true(fc_view_decode(bytes->data + FC_FRAME_HEAD, len, &view));
   assert_true(view.incarnation == 7 && view.term == 12 && view.sequence == 11 && view.base == 10 && view.last &&
               view.backlog == 3);
   assert_true(view.cancellation_count == 1 && view.cancellations[0].revision == 77);
   assert_true(view.machine_count == 2 && view.machines[0].task_count == 2 && view.machines[1].unreachable &&
               view.machines[1].cordoned);
   assert_int_equal(view.machines[0].tasks[1].cause, FC_CAUSE_DONE);
-  GByteArray *again = g_byte_array_new();
-  fc_view_encode(again, &view);
-  same_bytes(b, again);
+  GByteArray *encoded = g_byte_array_new();
+  fc_view_encode(encoded, &view);
+  assert_same_bytes(bytes, encoded);
   fc_view_clear(&view);
-  g_byte_array_free(b, TRUE);
+  g_byte_array_free(bytes, TRUE);
 }
 
 static void acknowledgements(void **state) {
   (void)state;
-  GByteArray *b = frame("ack");
+  GByteArray *bytes = load_frame("ack");
   fc_frame_type type;
   uint32_t len;
-  assert_true(fc_frame_head(b->data, &type, &len));
+  assert_true(fc_frame_head(bytes->data, &type, &len));
   assert_int_equal(type, FC_FRAME_ACK);
-  fc_ack a;
-  assert_true(fc_ack_decode(b->data + FC_FRAME_HEAD, len, &a));
-  assert_true(a.applied && a.cancellations_complete && a.grant_ms == 7000 && a.revision == 80 &&
-              a.kv_read_age_ms == 60);
-  assert_true(a.renewal_count == 1 && a.renewals[0].bidirectional && a.probe_count == 1 && !a.probes[0].answered);
-  GByteArray *again = g_byte_array_new();
-  fc_ack_encode(again, &a);
-  same_bytes(b, again);
-  fc_ack_clear(&a);
-  g_byte_array_free(b, TRUE);
+  fc_ack ack;
+  assert_true(fc_ack_decode(bytes->data + FC_FRAME_HEAD, len, &ack));
+  assert_true(ack.applied && ack.cancellations_complete && ack.grant_ms == 7000 && ack.revision == 80 &&
+              ack.kv_read_age_ms == 60);
+  assert_true(ack.renewal_count == 1 && ack.renewals[0].bidirectional && ack.probe_count == 1 &&
+              !ack.probes[0].answered);
+  GByteArray *encoded = g_byte_array_new();
+  fc_ack_encode(encoded, &ack);
+  assert_same_bytes(bytes, encoded);
+  fc_ack_clear(&ack);
+  g_byte_array_free(bytes, TRUE);
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(jobs),  cmocka_unit_test(a_job_in_full),    cmocka_unit_test(other_records),
-      cmocka_unit_test(views), cmocka_unit_test(shares_of_limits), cmocka_unit_test(acknowledgements),
+      cmocka_unit_test(job_records), cmocka_unit_test(fields_of_a_job_record), cmocka_unit_test(other_records),
+      cmocka_unit_test(views),       cmocka_unit_test(quota_shares),           cmocka_unit_test(acknowledgements),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -1,4 +1,4 @@
-/* Jobs as submitted and as recorded: validation, slices, task ranges. */
+/* Jobs: validation of submissions, number of slices, task ranges, and round trips of job records. */
 #include "check.h"
 
 #include "protocol/job.h"
@@ -21,7 +21,7 @@
   (void)state;
   static const struct {
     const char *name, *part, *replacement;
-    const char *error; /* its start; NULL: accepted */
+    const char *error; /* prefix of the error text; NULL: accepted */
   } rows[] = {
       {"as documented", "16", "16", NULL},
       {"null types", "[\"g8\"]", "null", NULL},
@@ -71,7 +71,7 @@
   }
 }
 
-/* Only jobs whose tasks are placed independently of each other are sliced. */
+/* Only arrays whose tasks are placed independently of each other are split into slices. */
 static void arrays_are_sliced(void **state) {
   (void)state;
   static const struct {
@@ -148,17 +148,17 @@
   assert_int_equal(record.spec.tasks, 16);
   assert_true(record.spec.deadline_s == 900.0 && record.spec.zone == NULL && strcmp(record.spec.types[0], "g8") == 0);
   fc_job_record_clear(&record);
-  json_t *moves = json_incref(json_object_get(encoded, "lastMove"));
-  json_object_del(encoded, "lastMove"); /* a record written before the field existed */
+  json_t *transfers = json_incref(json_object_get(encoded, "lastMove"));
+  json_object_del(encoded, "lastMove"); /* a record of a version without the field */
   assert_true(fc_job_record_decode(encoded, &record));
   assert_true(record.origin.transferred == 5 && record.origin.last_transfer[2].term == 0 &&
               record.origin.last_transfer[2].members == 0);
   fc_job_record_clear(&record);
-  json_object_set_new(moves, "4", json_pack("[ii]", 9, 6)); /* the job has no such slice */
-  json_object_set_new(encoded, "lastMove", moves);
+  json_object_set_new(transfers, "4", json_pack("[ii]", 9, 6)); /* the job has no such slice */
+  json_object_set_new(encoded, "lastMove", transfers);
   assert_false(fc_job_record_decode(encoded, &record));
   json_object_del(encoded, "lastMove");
-  json_object_set_new(encoded, "f", json_integer(2)); /* an unknown format */
+  json_object_set_new(encoded, "f", json_integer(2)); /* this format needs dependencies, and the record has none */
   assert_false(fc_job_record_decode(encoded, &record));
   json_decref(encoded);
   fc_job_spec_clear(&spec);
--- a/tests/test_job_record.c
+++ b/tests/test_job_record.c
@@ -6,7 +6,7 @@
 #include "protocol/json.h"
 #include "protocol/records.h"
 
-/* A submission whose field of dependencies is that JSON; "": without the field. */
+/* A submission whose dependencies field has this JSON value; "": no such field. */
 static char *submission(const char *dependencies) {
   return g_strdup_printf(
       "{\"id\":\"job-000412\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":2,"
@@ -19,8 +19,8 @@
   (void)state;
   static const struct {
     const char *name, *dependencies;
-    const char *ids;   /* as parsed; NULL: refused */
-    const char *error; /* its start; NULL: the field's name */
+    const char *ids;   /* as parsed, separated by spaces; NULL: rejected */
+    const char *error; /* prefix of the error text; NULL: the field's name */
   } rows[] = {
       {"no such field", "", "", NULL},
       {"null", "null", "", NULL},
@@ -61,7 +61,7 @@
   }
 }
 
-/* Only a record with dependencies that are not met has the format that older versions can't read. */
+/* Only an accepted job with unfinished dependencies has the format that older versions cannot read. */
 static void format_by_pending_dependencies(void **state) {
   (void)state;
   static const struct {
@@ -99,26 +99,27 @@
   }
 }
 
-static void damaged_dependencies_are_refused(void **state) {
+static void malformed_dependencies_are_refused(void **state) {
   (void)state;
-  static const char *const damaged[] = {"null", "\"\"", "7", "[\"000398\"]", "\"398\"", "\"000398,\"", "\"000398,x\""};
+  static const char *const malformed[] = {"null",    "\"\"",        "7",           "[\"000398\"]",
+                                          "\"398\"", "\"000398,\"", "\"000398,x\""};
   char *text = submission("[\"job-000398\"]");
   fc_job_spec spec;
   char error[200];
   assert_true(fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error));
-  for (size_t i = 0; i < G_N_ELEMENTS(damaged); i++) {
+  for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++) {
     json_t *encoded =
         fc_job_record_encode(&(fc_job_record){.spec = spec, .phase = FC_PHASE_ACCEPTED, .slices = 1, .awaiting = true});
-    json_object_set_new(encoded, "awaits", fc_json_parse(damaged[i], strlen(damaged[i])));
+    json_object_set_new(encoded, "awaits", fc_json_parse(malformed[i], strlen(malformed[i])));
     fc_job_record record;
-    check_row(damaged[i], !fc_job_record_decode(encoded, &record));
+    check_row(malformed[i], !fc_job_record_decode(encoded, &record));
     json_decref(encoded);
   }
   fc_job_spec_clear(&spec);
   g_free(text);
 }
 
-/* A member whose key names no format reads plain records only. */
+/* A member whose key has no valid format reads only plain records. */
 static void job_format_of_a_member(void **state) {
   (void)state;
   static const struct {
@@ -147,14 +148,14 @@
   return g_string_free(list, FALSE);
 }
 
-/* Cut for any size of a value, no part is larger, and the joined parts are the description. */
+/* For each value size, no encoded part is larger, and the parts joined are the description. */
 static void descriptions_cut_into_parts(void **state) {
   (void)state;
   static const unsigned id_counts[] = {0, 1, 70, 4900};
   static const size_t value_sizes[] = {64, 1024, 2048, 8192, 1 << 20};
   for (size_t i = 0; i < G_N_ELEMENTS(id_counts); i++) {
     char *list = list_of_ids(id_counts[i]), *text = submission(list), error[200];
-    fc_job_spec spec, again;
+    fc_job_spec spec, decoded;
     assert_true(fc_job_spec_parse(text, strlen(text), &spec, error, sizeof error));
     char *description = fc_job_description_text(&spec);
     for (size_t k = 0; k < G_N_ELEMENTS(value_sizes); k++) {
@@ -172,12 +173,12 @@
       g_string_free(whole, TRUE);
       g_ptr_array_free(parts, TRUE);
     }
-    assert_true(fc_job_description_read(description, &again));
-    assert_int_equal(again.dependencies ? g_strv_length(again.dependencies) : 0, id_counts[i]);
-    assert_true(again.tasks == spec.tasks && again.deadline_s == spec.deadline_s);
-    fc_job_spec_clear(&again);
+    assert_true(fc_job_description_read(description, &decoded));
+    assert_int_equal(decoded.dependencies ? g_strv_length(decoded.dependencies) : 0, id_counts[i]);
+    assert_true(decoded.tasks == spec.tasks && decoded.deadline_s == spec.deadline_s);
+    fc_job_spec_clear(&decoded);
     description[strlen(description) / 2] = '\0'; /* a part is missing */
-    assert_false(fc_job_description_read(description, &again));
+    assert_false(fc_job_description_read(description, &decoded));
     fc_job_spec_clear(&spec);
     g_free(description);
     g_free(text);
@@ -215,7 +216,7 @@
   g_free(key);
 }
 
-/* The record refers to the parts of its description; damaged references are refused. */
+/* A record that refers to its description's parts round-trips; malformed references are rejected. */
 static void records_that_refer_to_parts(void **state) {
   (void)state;
   fc_job_record record = {.phase = FC_PHASE_ACCEPTED, .slices = 4, .awaiting = true, .done = (char *)"0-1"};
@@ -223,31 +224,32 @@
   record.origin = (fc_job_origin){.term = 6, .submitted_at = 1.8e9};
   json_t *encoded = fc_job_record_encode(&record);
   assert_int_equal(json_integer_value(json_object_get(encoded, "f")), FC_JOB_FORMAT_AWAITING);
-  fc_job_record again;
-  assert_true(fc_job_record_decode(encoded, &again));
-  assert_true(again.parts.count == 3 && strcmp(again.parts.digest, DIGEST) == 0 && again.awaiting);
-  assert_true(again.slices == 4 && again.origin.term == 6 && again.origin.submitted_at == 1.8e9 && !again.spec.id);
-  fc_job_record_clear(&again);
-  static const char *const damaged[] = {"7",
-                                        "[]",
-                                        "[\"" DIGEST "\"]",
-                                        "[\"" DIGEST "\",0]",
-                                        "[\"" DIGEST "\",-1]",
-                                        "[\"" DIGEST "\",1025]",
-                                        "[\"0123\",1]",
-                                        "[3,\"" DIGEST "\"]"};
-  for (size_t i = 0; i < G_N_ELEMENTS(damaged); i++) {
-    json_object_set_new(encoded, "parts", fc_json_parse(damaged[i], strlen(damaged[i])));
-    check_row(damaged[i], !fc_job_record_decode(encoded, &again));
+  fc_job_record decoded;
+  assert_true(fc_job_record_decode(encoded, &decoded));
+  assert_true(decoded.parts.count == 3 && strcmp(decoded.parts.digest, DIGEST) == 0 && decoded.awaiting);
+  assert_true(decoded.slices == 4 && decoded.origin.term == 6 && decoded.origin.submitted_at == 1.8e9 &&
+              !decoded.spec.id);
+  fc_job_record_clear(&decoded);
+  static const char *const malformed[] = {"7",
+                                          "[]",
+                                          "[\"" DIGEST "\"]",
+                                          "[\"" DIGEST "\",0]",
+                                          "[\"" DIGEST "\",-1]",
+                                          "[\"" DIGEST "\",1025]",
+                                          "[\"0123\",1]",
+                                          "[3,\"" DIGEST "\"]"};
+  for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++) {
+    json_object_set_new(encoded, "parts", fc_json_parse(malformed[i], strlen(malformed[i])));
+    check_row(malformed[i], !fc_job_record_decode(encoded, &decoded));
   }
   json_decref(encoded);
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(dependencies_of_a_submission),     cmocka_unit_test(format_by_pending_dependencies),
-      cmocka_unit_test(damaged_dependencies_are_refused), cmocka_unit_test(job_format_of_a_member),
-      cmocka_unit_test(descriptions_cut_into_parts),      cmocka_unit_test(keys_of_description_parts),
+      cmocka_unit_test(dependencies_of_a_submission),       cmocka_unit_test(format_by_pending_dependencies),
+      cmocka_unit_test(malformed_dependencies_are_refused), cmocka_unit_test(job_format_of_a_member),
+      cmocka_unit_test(descriptions_cut_into_parts),        cmocka_unit_test(keys_of_description_parts),
       cmocka_unit_test(records_that_refer_to_parts),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_peer_frame.c
+++ b/tests/test_peer_frame.c
@@ -1,4 +1,4 @@
-/* Frames between controllers: encoded, decoded, truncated, over their bounds. */
+/* Peer frames: round trips, and rejection of truncated, overlong and oversized frames. */
 #include "check.h"
 
 #include "protocol/peer_frame.h"
@@ -32,19 +32,19 @@
   assert_string_equal(decoded.cancellations[1].job, "job-000410");
   assert_true(decoded.cancellations[0].revision == 77 && decoded.cancellations[0].age_ms == 1500);
   fc_view_clear(&decoded);
-  /* A body at the bound is accepted, one byte over is not. */
+  /* A body of the maximum size is accepted, one byte more is not. */
   uint8_t head[FC_FRAME_HEAD];
   memcpy(head, bytes->data, sizeof head);
-  for (int over = -1; over <= 1; over++) {
-    guint32 big_endian = GUINT32_TO_BE(FC_FRAME_MAX + (guint32)over);
+  for (int excess = -1; excess <= 1; excess++) {
+    guint32 big_endian = GUINT32_TO_BE(FC_FRAME_MAX + (guint32)excess);
     uint32_t body_length;
     memcpy(head + 4, &big_endian, sizeof big_endian);
-    assert_int_equal(fc_frame_head(head, &type, &body_length), over <= 0);
+    assert_int_equal(fc_frame_head(head, &type, &body_length), excess <= 0);
   }
-  /* Every truncated copy is refused, and one that is too long. */
-  for (uint32_t shorter = 0; shorter < len; shorter++) {
-    uint8_t *copy = g_memdup2(bytes->data + FC_FRAME_HEAD, shorter ? shorter : 1);
-    assert_false(fc_view_decode(copy, shorter, &decoded));
+  /* Every truncated body is rejected, and so is one with a byte too many. */
+  for (uint32_t truncated_length = 0; truncated_length < len; truncated_length++) {
+    uint8_t *copy = g_memdup2(bytes->data + FC_FRAME_HEAD, truncated_length ? truncated_length : 1);
+    assert_false(fc_view_decode(copy, truncated_length, &decoded));
     g_free(copy);
   }
   g_byte_array_append(bytes, (const guint8 *)"x", 1);
@@ -54,7 +54,8 @@
   g_byte_array_free(bytes, TRUE);
 }
 
-/* Also truncated within the first 200 bytes, too long, and with more cancellations than a frame may carry. */
+/* Also rejects bodies truncated within the first 200 bytes, bodies with a byte too many, and lists of more than
+ * FC_FRAME_CANCELLATIONS_MAX cancellations. */
 static void acknowledgements_round_trip(void **state) {
   (void)state;
   fc_frame_cancellation *cancellations = g_new0(fc_frame_cancellation, FC_FRAME_CANCELLATIONS_MAX + 1);
@@ -99,9 +100,9 @@
       check_row(rows[i].name, !decoded.probes[1].answered && decoded.probes[1].age_ms == 1500);
       fc_ack_clear(&decoded);
     }
-    for (uint32_t shorter = 0; shorter < MIN(len, 200); shorter++) {
-      uint8_t *copy = g_memdup2(body, shorter ? shorter : 1);
-      check_row(rows[i].name, !fc_ack_decode(copy, shorter, &decoded));
+    for (uint32_t truncated_length = 0; truncated_length < MIN(len, 200); truncated_length++) {
+      uint8_t *copy = g_memdup2(body, truncated_length ? truncated_length : 1);
+      check_row(rows[i].name, !fc_ack_decode(copy, truncated_length, &decoded));
       g_free(copy);
     }
     g_byte_array_append(bytes, (const guint8 *)"x", 1);
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -1,11 +1,11 @@
-/* The bound on nested JSON, records of terms, and routes of requests. */
+/* The limit on nested JSON, the encoding of term records, and the routing of requests. */
 #include "check.h"
 
 #include "protocol/json.h"
 #include "protocol/records.h"
 #include "protocol/routes.h"
 
-/* The parser recurses, and a routine has a small stack. */
+/* The parser recurses once for each level, which would overflow the small stack of a routine. */
 static void deep_json_is_refused(void **state) {
   (void)state;
   GString *deep = g_string_new(NULL);
@@ -26,7 +26,7 @@
   assert_int_equal(decoded.names_since, 2);
   assert_int_equal(fc_term_find(&decoded, "b"), 1);
   assert_int_equal(fc_term_find(&decoded, "c"), -1);
-  json_object_del(encoded, "since"); /* a record written before the field existed: known since this term only */
+  json_object_del(encoded, "since"); /* a record of a version without the field: the names count as new in this term */
   assert_true(fc_term_decode(encoded, &decoded));
   assert_int_equal(decoded.names_since, 3);
   json_object_set_new(encoded, "term", json_integer(0));
--- a/tests/test_worker_api.c
+++ b/tests/test_worker_api.c
@@ -1,4 +1,4 @@
-/* Heartbeats of workers. */
+/* Parsing and validation of workers' heartbeats. */
 #include "check.h"
 
 #include "protocol/worker_api.h"
@@ -44,7 +44,7 @@
   }
 }
 
-/* Parsed in full up to the bound on tasks, refused beyond. */
+/* A heartbeat with FC_HEARTBEAT_TASKS_MAX tasks is parsed completely; one with more is rejected. */
 static void heartbeats_with_many_tasks(void **state) {
   (void)state;
   static const struct {
