--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -32,7 +32,7 @@
 
 void fc_cluster_locate_machine(const fc_cluster *cluster, fc_machine *machine) {
   machine->type = fc_cluster_find_machine_type(cluster, machine->record.type);
-  machine->zone = fc_settings_zone(cluster->settings, machine->record.zone);
+  machine->zone = fc_settings_zone_index(cluster->settings, machine->record.zone);
 }
 
 fc_placement *fc_cluster_add_placement(fc_cluster *cluster, fc_machine *machine, const char *job_id, uint32_t index,
--- a/src/bookkeeping/group_commit.c
+++ b/src/bookkeeping/group_commit.c
@@ -91,7 +91,7 @@
   unsigned changes = 0;
   for (guint i = 0; i < commit->in_flight->len; i++) {
     const transaction *sent = commit->in_flight->pdata[i];
-    changes += (unsigned)fc_txn_writes(sent->txn);
+    changes += (unsigned)fc_txn_write_count(sent->txn);
   }
   for (int i = 0; i < FC_WRITE_PRIORITIES; i++) {
     for (const GList *link = commit->queues[i].head; link; link = link->next) {
@@ -310,7 +310,7 @@
 static void send_batch(fc_group_commit *commit, GPtrArray *batch) {
   transaction *next = transaction_new(commit, batch);
   double began_at = fc_now();
-  commit->rate_limited_writes = MIN((double)fc_txn_writes(next->txn), fc_write_rate_burst(&commit->rate));
+  commit->rate_limited_writes = MIN((double)fc_txn_write_count(next->txn), fc_write_rate_burst(&commit->rate));
   wait_for_rate(commit, commit->rate_limited_writes);
   commit->rate_limited_writes = 0;
   count_transaction(commit, batch);
--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -29,7 +29,7 @@
   job->slices.resolved = fresh ? FC_ALL_SLICES : 0;
   job->completion.bitmap = g_malloc0(fc_task_bitmap_bytes(job->spec.tasks));
   job->placements = g_ptr_array_new();
-  job->team = fc_settings_team(cluster->settings, job->spec.team);
+  job->team = fc_settings_team_index(cluster->settings, job->spec.team);
   double submitted_at = record->origin.submitted_at;
   job->lifecycle.submitted_at = submitted_at > 0 ? MIN(now, submitted_at - cluster->clock_offset_s) : now;
   job->queue.entered_at = now;
--- a/src/bookkeeping/record_writes.c
+++ b/src/bookkeeping/record_writes.c
@@ -5,7 +5,7 @@
 #include "bookkeeping/dependencies.h"
 
 static bool fits_in_value(const fc_cluster *cluster, const json_t *value) {
-  return json_dumpb(value, NULL, 0, JSON_COMPACT) <= fc_settings_value_bytes(cluster->settings);
+  return json_dumpb(value, NULL, 0, JSON_COMPACT) <= fc_settings_value_max_bytes(cluster->settings);
 }
 
 /* The encoded record, a new reference. NULL: it does not fit into a value. */
--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -75,7 +75,7 @@
 
 /* Why the job can never run; NULL: it can. */
 static const char *never_runs_because(const fc_cluster *cluster, const fc_job_spec *spec) {
-  int team = fc_settings_team(cluster->settings, spec->team);
+  int team = fc_settings_team_index(cluster->settings, spec->team);
   if (team < 0) return "unknown team";
   if (!limit_allows(&cluster->settings->teams[team], spec)) return "needs more than the team's limit";
   for (guint i = 0; i < cluster->machine_types->len; i++)
@@ -137,10 +137,11 @@
 static fc_job_record new_record(fc_admission *admission, const submission *submitted) {
   const fc_cluster *cluster = admission->cluster;
   const fc_term *term = &cluster->membership.term;
-  fc_job_record record = {.origin = {.term = term->number, .submitted_at = fc_time_of_day()},
-                          .phase = submitted->phase,
-                          .awaiting = submitted->open != NULL,
-                          .slices = fc_job_slices(submitted->spec, cluster->settings->operator_settings.split_limit)};
+  fc_job_record record = {
+      .origin = {.term = term->number, .submitted_at = fc_time_of_day()},
+      .phase = submitted->phase,
+      .awaiting = submitted->open != NULL,
+      .slices = fc_job_slice_count(submitted->spec, cluster->settings->operator_settings.split_limit)};
   bool fit[FC_MEMBERS_MAX];
   for (size_t member = 0; member < term->count; member++)
     fit[member] = fc_peers_member_fit(admission->peers, (int)member);
@@ -150,7 +151,7 @@
 
 /* What is left of a value is for completed tasks and handovers. */
 static bool fits_a_value(const fc_admission *admission, const json_t *record) {
-  size_t max_bytes = fc_settings_value_bytes(admission->cluster->settings) / 4 * 3;
+  size_t max_bytes = fc_settings_value_max_bytes(admission->cluster->settings) / 4 * 3;
   return json_dumpb(record, NULL, 0, JSON_COMPACT) <= max_bytes;
 }
 
@@ -203,7 +204,7 @@
   const fc_job_spec *spec = submitted->spec;
   response->status = 201;
   g_debug("accepted job=%s class=%s tasks=%u slices=%u", spec->id, spec->class_name, spec->tasks,
-          fc_job_slices(spec, admission->cluster->settings->operator_settings.split_limit));
+          fc_job_slice_count(spec, admission->cluster->settings->operator_settings.split_limit));
   fc_job_status status = submitted->phase == FC_PHASE_CANCELLED ? FC_STATUS_CANCELLED : FC_STATUS_PENDING;
   fc_job_answer(response->body, spec->id, status, 0, 0, false);
 }
--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -27,7 +27,7 @@
   const fc_settings *settings = archiver->cluster->settings;
   fc_write *write = fc_write_new();
   fc_write_compare(write, FC_KEY_ARCHIVE, 0);
-  fc_write_put(write, FC_KEY_ARCHIVE, fc_mark_encode());
+  fc_write_put(write, FC_KEY_ARCHIVE, fc_marker_encode());
   uint64_t revision = 0;
   fc_kv_result result = fc_group_commit_write(archiver->commit, write, FC_WRITE_PRIORITY_MAINTENANCE,
                                               fc_now() + settings->lease_s, &revision);
--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -68,7 +68,7 @@
   double now = fc_now();
   GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
-  for (fc_machine *machine; ids->len < FC_RELEASE_MAX && (machine = fc_machine_iter_next(&machine_iter));) {
+  for (fc_machine *machine; ids->len < FC_RELEASE_MACHINES_MAX && (machine = fc_machine_iter_next(&machine_iter));) {
     if (!fc_machine_owned_by_self(cluster, machine) || !machine->record_version || machine->record_write_pending ||
         !deadline_near(cluster, machine, now))
       continue;
--- a/src/controller/client_server.c
+++ b/src/controller/client_server.c
@@ -51,7 +51,7 @@
 static void serve(const fc_http_request *request, fc_http_response *response, void *arg) {
   const fc_client_server *server = arg;
   fc_metrics *metrics = server->deps.metrics;
-  char id[FC_ROUTE_ID_MAX];
+  char id[FC_ROUTE_ID_SIZE];
   const char *allow;
   metrics->counters.requests++;
   fc_route route = fc_route_of(request->method, request->path, id, &allow);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -71,7 +71,7 @@
   double members = (double)(settings->peer_count + 1);
   const fc_group_commit_limits limits = {
       .txn_ops = settings->kv_txn_ops,
-      .value_bytes = fc_settings_value_bytes(settings),
+      .value_bytes = fc_settings_value_max_bytes(settings),
       .writes_per_s = settings->kv_write_rps / members,
       .min_writes_per_s = settings->kv_next_write_rps / members,
       .requests_per_s = settings->kv_rps / members * TRANSACTION_RATE_SHARE,
--- a/src/controller/frame_reader.c
+++ b/src/controller/frame_reader.c
@@ -31,8 +31,8 @@
 
 fc_frame fc_frame_reader_next(fc_frame_reader *reader, double deadline) {
   fc_frame frame = {0};
-  if (!read_exact(reader, frame.head, FC_FRAME_HEAD, deadline)) return frame;
-  if (!fc_frame_head(frame.head, &frame.type, &frame.length)) return frame;
+  if (!read_exact(reader, frame.head, FC_FRAME_HEAD_BYTES, deadline)) return frame;
+  if (!fc_frame_head_decode(frame.head, &frame.type, &frame.length)) return frame;
   uint8_t *body = g_malloc(frame.length + 1);
   if (read_exact(reader, body, frame.length, deadline)) {
     frame.body = body;
--- a/src/controller/frame_reader.h
+++ b/src/controller/frame_reader.h
@@ -20,9 +20,9 @@
 
 typedef struct fc_frame {
   fc_frame_type type;
-  uint8_t head[FC_FRAME_HEAD]; /* as read, also when it is not a frame's */
-  uint8_t *body;               /* the caller's to free; NULL: no frame could be read */
-  uint32_t length;             /* of the body, in bytes */
+  uint8_t head[FC_FRAME_HEAD_BYTES]; /* as read, also when it is not a frame's */
+  uint8_t *body;                     /* the caller's to free; NULL: no frame could be read */
+  uint32_t length;                   /* of the body, in bytes */
 } fc_frame;
 
 /* Reads one frame. Suspends the calling routine until the deadline (steady time) at the most. */
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -129,7 +129,7 @@
     note_answer_received(heartbeats, machine, from->connection);
   machine->lease.redirected_at = fc_now();
   *out->status = STATUS_MISDIRECTED;
-  fc_worker_redirect(out->body, heartbeats->cluster->membership.term.members[machine->owner].name);
+  fc_worker_redirect_answer(out->body, heartbeats->cluster->membership.term.members[machine->owner].name);
 }
 
 /* Commands to stop the tasks of cancelled jobs. */
--- a/src/controller/machine_returns.c
+++ b/src/controller/machine_returns.c
@@ -70,7 +70,7 @@
   for (guint i = 0; i < ids->len && result == FC_KV_OK;) {
     fc_write *write = fc_write_new();
     /* Whoever records a machine that has sent a heartbeat compares the version of this mark. */
-    fc_write_put(write, FC_KEY_RETURNED, fc_mark_encode());
+    fc_write_put(write, FC_KEY_RETURNED, fc_marker_encode());
     i = add_removals(returns, write, ids, i);
     result = fc_group_commit_write(returns->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + WRITE_TIMEOUT_S,
                                    &revision);
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -96,7 +96,7 @@
 static fc_rental_record intent_of(const fc_cluster *cluster, const fc_rental_request *request) {
   const fc_machine_type *machine_type = cluster->machine_types->pdata[request->type];
   const char *owner = request->owner >= 0 ? cluster->membership.term.members[request->owner].name : BALANCED_OWNER;
-  fc_rental_record intent = {.spot = request->spot, .count = MIN(request->count, FC_RENTAL_MAX)};
+  fc_rental_record intent = {.spot = request->spot, .count = MIN(request->count, FC_RENTAL_MACHINES_MAX)};
   g_strlcpy(intent.type, machine_type->name, sizeof intent.type);
   g_strlcpy(intent.zone, request->zone, sizeof intent.zone);
   g_strlcpy(intent.owner, owner, sizeof intent.owner);
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -167,7 +167,7 @@
 /* Operators read the metrics at the peer address, which users can't reach. */
 static void serve_operator(const fc_http_request *req, fc_http_response *res, void *arg) {
   const fc_view_receiver *receiver = arg;
-  char id[FC_ROUTE_ID_MAX];
+  char id[FC_ROUTE_ID_SIZE];
   const char *allow;
   if (fc_route_of(req->method, req->path, id, &allow) == FC_ROUTE_METRICS) {
     res->status = 200;
@@ -182,10 +182,10 @@
 static void serve_http(fc_view_receiver *receiver, fc_frame_reader *reader, const uint8_t *head) {
   const fc_settings *settings = receiver->deps.cluster->settings;
   fc_http_server_options options = {.idle_s = settings->lease_s, .request_s = settings->heartbeat_s};
-  uint8_t first[FC_FRAME_HEAD + sizeof reader->bytes];
-  memcpy(first, head, FC_FRAME_HEAD);
-  size_t more = fc_frame_reader_take_buffered(reader, first + FC_FRAME_HEAD, sizeof reader->bytes);
-  fc_http_serve_conn(reader->conn, (const char *)first, FC_FRAME_HEAD + more, &options, serve_operator, receiver);
+  uint8_t first[FC_FRAME_HEAD_BYTES + sizeof reader->bytes];
+  memcpy(first, head, FC_FRAME_HEAD_BYTES);
+  size_t more = fc_frame_reader_take_buffered(reader, first + FC_FRAME_HEAD_BYTES, sizeof reader->bytes);
+  fc_http_serve_conn(reader->conn, (const char *)first, FC_FRAME_HEAD_BYTES + more, &options, serve_operator, receiver);
 }
 
 /* The routine of one connection: a peer's views, or an operator's HTTP. Ends when the connection
--- a/src/protocol/cloud_api.h
+++ b/src/protocol/cloud_api.h
@@ -9,8 +9,8 @@
 #include "transport/conn.h"
 
 /* Machines that one request may rent or release. */
-#define FC_RENTAL_MAX 50u
-#define FC_RELEASE_MAX 100u
+#define FC_RENTAL_MACHINES_MAX 50u
+#define FC_RELEASE_MACHINES_MAX 100u
 
 typedef struct fc_machine_type {
   char *name;
@@ -55,7 +55,7 @@
  * returns the same machines. `out` receives their ids (char *). */
 fc_cloud_result fc_cloud_rent(fc_cloud *cloud, const char *rental, const char *type, const char *zone, bool spot,
                               unsigned count, double deadline, GPtrArray *out);
-/* Releases the machines with these ids, at most FC_RELEASE_MAX. */
+/* Releases the machines with these ids, at most FC_RELEASE_MACHINES_MAX. */
 fc_cloud_result fc_cloud_release(fc_cloud *cloud, const char *const *ids, size_t count, double deadline);
 /* Lists one page of at most `limit` rented machines, after the id `after` (NULL: from the start).
  * `out` receives fc_listed_machine; *more tells whether there is another page. */
--- a/src/protocol/job.c
+++ b/src/protocol/job.c
@@ -272,7 +272,7 @@
   memset(spec, 0, sizeof *spec);
 }
 
-unsigned fc_job_slices(const fc_job_spec *spec, unsigned limit) {
+unsigned fc_job_slice_count(const fc_job_spec *spec, unsigned limit) {
   unsigned slices = 1;
   if (spec->kind != FC_JOB_ARRAY) return slices; /* gangs and services are never split */
   /* Nor are jobs whose tasks' zones depend on each other: the owners of two slices do not see each
--- a/src/protocol/job.h
+++ b/src/protocol/job.h
@@ -73,7 +73,7 @@
 /* The number of slices that the job is split into. An array has a power of two up to `limit`, with at
  * least two tasks in each slice. Jobs of other kinds, and those whose tasks' zones depend on each
  * other, have one. */
-unsigned fc_job_slices(const fc_job_spec *spec, unsigned limit);
+unsigned fc_job_slice_count(const fc_job_spec *spec, unsigned limit);
 
 /* Append the body of an answer: the status of a job, GET /ready, an error. */
 void fc_job_answer(GString *out, const char *id, fc_job_status status, uint32_t done, uint32_t running,
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -85,7 +85,7 @@
   json_array_append_new(txn->writes, json_pack("{ss}", FIELD_DELETE, key));
 }
 
-size_t fc_txn_writes(const fc_txn *txn) {
+size_t fc_txn_write_count(const fc_txn *txn) {
   return json_array_size(txn->writes);
 }
 
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -41,7 +41,7 @@
 void fc_txn_put_leased(fc_txn *txn, const char *key, json_t *value, uint64_t lease);
 void fc_txn_delete(fc_txn *txn, const char *key);
 /* The number of writes, conditions not counted. */
-size_t fc_txn_writes(const fc_txn *txn);
+size_t fc_txn_write_count(const fc_txn *txn);
 
 fc_kv *fc_kv_new(const fc_endpoint *at);
 void fc_kv_free(fc_kv *kv);
--- a/src/protocol/peer_frame.c
+++ b/src/protocol/peer_frame.c
@@ -256,23 +256,23 @@
 }
 
 static void finish_frame(GByteArray *out, guint start) {
-  guint32 length = GUINT32_TO_BE(out->len - start - FC_FRAME_HEAD);
+  guint32 length = GUINT32_TO_BE(out->len - start - FC_FRAME_HEAD_BYTES);
   memcpy(out->data + start + LENGTH_OFFSET, &length, sizeof length);
 }
 
-bool fc_frame_is_http(const uint8_t head[FC_FRAME_HEAD]) {
+bool fc_frame_is_http(const uint8_t head[FC_FRAME_HEAD_BYTES]) {
   return memcmp(head, "GET /", 5) == 0;
 }
 
-bool fc_frame_head(const uint8_t head[FC_FRAME_HEAD], fc_frame_type *type, uint32_t *length) {
-  frame_input in = {.next = head, .left = FC_FRAME_HEAD};
+bool fc_frame_head_decode(const uint8_t head[FC_FRAME_HEAD_BYTES], fc_frame_type *type, uint32_t *length) {
+  frame_input in = {.next = head, .left = FC_FRAME_HEAD_BYTES};
   uint16_t magic = get_u16(&in);
   uint8_t version = get_u8(&in);
   uint8_t stated_type = get_u8(&in);
   *length = get_u32(&in);
   *type = (fc_frame_type)stated_type;
   bool known_type = stated_type == FC_FRAME_VIEW || stated_type == FC_FRAME_ACK;
-  return magic == FRAME_MAGIC && version == FC_FRAME_VERSION && known_type && *length <= FC_FRAME_MAX;
+  return magic == FRAME_MAGIC && version == FC_FRAME_VERSION && known_type && *length <= FC_FRAME_BODY_MAX_BYTES;
 }
 
 /* The process that sent the frame, its term, and the number of the view. */
--- a/src/protocol/peer_frame.h
+++ b/src/protocol/peer_frame.h
@@ -14,10 +14,10 @@
 #define FC_FRAME_VERSION 5
 #define FC_MS_PER_S 1000.0 /* ages and durations in frames are in milliseconds */
 /* Size of a frame's head. */
-#define FC_FRAME_HEAD 8u
+#define FC_FRAME_HEAD_BYTES 8u
 /* Largest body of a frame. It has room for one controller's lease renewals for 65,535 workers, more
  * than it can have connections to. Memory is allocated only for what a frame really contains. */
-#define FC_FRAME_MAX (8u * 1024u * 1024u)
+#define FC_FRAME_BODY_MAX_BYTES (8u * 1024u * 1024u)
 /* A view is split into pieces of about this size, at the boundaries of machines. */
 #define FC_PIECE_BYTES ((size_t)64 * 1024)
 /* Tasks of one machine, as in a heartbeat. */
@@ -107,10 +107,10 @@
 void fc_ack_encode(GByteArray *out, const fc_ack *ack);
 
 /* Whether the first bytes of a connection are those of an HTTP GET request, not of a frame. */
-bool fc_frame_is_http(const uint8_t head[FC_FRAME_HEAD]);
+bool fc_frame_is_http(const uint8_t head[FC_FRAME_HEAD_BYTES]);
 /* Decodes the head; *length is the size of the body in bytes. False for another magic or version, an
- * unknown type, or a body larger than FC_FRAME_MAX. */
-bool fc_frame_head(const uint8_t head[FC_FRAME_HEAD], fc_frame_type *type, uint32_t *length);
+ * unknown type, or a body larger than FC_FRAME_BODY_MAX_BYTES. */
+bool fc_frame_head_decode(const uint8_t head[FC_FRAME_HEAD_BYTES], fc_frame_type *type, uint32_t *length);
 
 /* Decode a frame's body. False when it is malformed, with `out` empty; else the caller frees the lists
  * in `out` with the matching clear function. */
--- a/src/protocol/records.c
+++ b/src/protocol/records.c
@@ -38,7 +38,7 @@
   (void)fc_read_count(reader, FIELD_FORMAT, RECORD_FORMAT, RECORD_FORMAT);
 }
 
-json_t *fc_mark_encode(void) {
+json_t *fc_marker_encode(void) {
   return json_pack("{si}", FIELD_FORMAT, RECORD_FORMAT);
 }
 
@@ -133,7 +133,7 @@
   fc_reader reader;
   record_reader_init(&reader, value);
   read_machine_fields(&reader, out->type, out->zone, out->owner, &out->spot);
-  out->count = (unsigned)fc_read_count(&reader, FIELD_COUNT, 1, FC_RENTAL_MAX);
+  out->count = (unsigned)fc_read_count(&reader, FIELD_COUNT, 1, FC_RENTAL_MACHINES_MAX);
   return fc_reader_ok(&reader);
 }
 
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -44,7 +44,7 @@
 } fc_term;
 
 /* Encodes the value of a key that matters only by its existence or version. */
-json_t *fc_mark_encode(void);
+json_t *fc_marker_encode(void);
 
 /* Encodes the value of a member's own key, which exists as long as its lease. It has the newest format
  * of job records that the process reads; versions without support for dependencies give none. */
--- a/src/protocol/routes.c
+++ b/src/protocol/routes.c
@@ -23,7 +23,7 @@
   return FC_ROUTE_WRONG_METHOD;
 }
 
-fc_route fc_route_of(const char *method, const char *path, char id[FC_ROUTE_ID_MAX], const char **allow) {
+fc_route fc_route_of(const char *method, const char *path, char id[FC_ROUTE_ID_SIZE], const char **allow) {
   *allow = NULL;
   for (size_t i = 0; i < G_N_ELEMENTS(k_fixed_paths); i++)
     if (strcmp(path, k_fixed_paths[i].path) == 0)
@@ -31,7 +31,7 @@
   if (!g_str_has_prefix(path, JOB_PATH_PREFIX)) return FC_ROUTE_NONE;
   const char *start = path + strlen(JOB_PATH_PREFIX);
   size_t length = strcspn(start, "/");
-  if (length == 0 || length >= FC_ROUTE_ID_MAX) return FC_ROUTE_NONE;
+  if (length == 0 || length >= FC_ROUTE_ID_SIZE) return FC_ROUTE_NONE;
   memcpy(id, start, length);
   id[length] = '\0';
   const char *suffix = start + length;
--- a/src/protocol/routes.h
+++ b/src/protocol/routes.h
@@ -16,10 +16,10 @@
 
 /* Buffer size in bytes for an id in a path, including the NUL. A path with a longer id is
  * FC_ROUTE_NONE. */
-#define FC_ROUTE_ID_MAX 256
+#define FC_ROUTE_ID_SIZE 256
 
 /* For a poll or cancel, `id` receives the job's id from the path, not validated. *allow is the method
  * that the path allows, a constant, on FC_ROUTE_WRONG_METHOD, else NULL. */
-fc_route fc_route_of(const char *method, const char *path, char id[FC_ROUTE_ID_MAX], const char **allow);
+fc_route fc_route_of(const char *method, const char *path, char id[FC_ROUTE_ID_SIZE], const char **allow);
 
 #endif
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -348,17 +348,17 @@
   };
 }
 
-size_t fc_settings_value_bytes(const fc_settings *settings) {
+size_t fc_settings_value_max_bytes(const fc_settings *settings) {
   return (size_t)(settings->kv_value_kb * BYTES_PER_KB);
 }
 
-int fc_settings_team(const fc_settings *settings, const char *name) {
+int fc_settings_team_index(const fc_settings *settings, const char *name) {
   for (size_t i = 0; i < settings->team_count; i++)
     if (strcmp(settings->teams[i].name, name) == 0) return (int)i;
   return -1;
 }
 
-unsigned fc_settings_zone(const fc_settings *settings, const char *name) {
+unsigned fc_settings_zone_index(const fc_settings *settings, const char *name) {
   for (unsigned zone = 0; zone < settings->zone_count; zone++)
     if (strcmp(settings->zones[zone], name) == 0) return zone;
   return FC_ZONES_MAX;
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -83,10 +83,10 @@
 const char *fc_settings_warning(const fc_settings *settings);
 void fc_operator_defaults(fc_operator_settings *out);
 /* Largest size of a value in the key-value store, in bytes, under the current and the next limits. */
-size_t fc_settings_value_bytes(const fc_settings *settings);
+size_t fc_settings_value_max_bytes(const fc_settings *settings);
 /* The index of a team; -1: unknown. */
-int fc_settings_team(const fc_settings *settings, const char *name);
+int fc_settings_team_index(const fc_settings *settings, const char *name);
 /* The index of a zone; FC_ZONES_MAX: unknown. */
-unsigned fc_settings_zone(const fc_settings *settings, const char *name);
+unsigned fc_settings_zone_index(const fc_settings *settings, const char *name);
 
 #endif
--- a/src/protocol/worker_api.c
+++ b/src/protocol/worker_api.c
@@ -192,7 +192,7 @@
   g_string_append_c(out, '}');
 }
 
-void fc_worker_redirect(GString *out, const char *controller) {
+void fc_worker_redirect_answer(GString *out, const char *controller) {
   json_t *body = json_object();
   if (controller) json_object_set_new(body, FIELD_CONTROLLER, json_string(controller));
   fc_json_append(out, body);
--- a/src/protocol/worker_api.h
+++ b/src/protocol/worker_api.h
@@ -78,7 +78,7 @@
 /* Appends the answer to a heartbeat. */
 void fc_heartbeat_answer(GString *out, uint64_t fencing_token, const fc_command *commands, size_t count);
 /* Appends the body of a 421 answer, which names the controller to use; NULL: it is not known. */
-void fc_worker_redirect(GString *out, const char *controller);
+void fc_worker_redirect_answer(GString *out, const char *controller);
 
 typedef enum {
   FC_WORKER_CALL_DONE,    /* executed; the heartbeat has the state after that */
--- a/src/scheduler/capacity_model.c
+++ b/src/scheduler/capacity_model.c
@@ -49,7 +49,7 @@
     fc_model_machine added = {.type = type,
                               .owner = fc_term_find(&cluster->membership.term, rental->owner),
                               .zone = rental->zone,
-                              .zone_index = fc_settings_zone(cluster->settings, rental->zone),
+                              .zone_index = fc_settings_zone_index(cluster->settings, rental->zone),
                               .spot = rental->spot,
                               .idle = true,
                               .room = fc_machine_type_capacity(cluster->machine_types->pdata[type])};
--- a/tests/test_compat.c
+++ b/tests/test_compat.c
@@ -125,7 +125,7 @@
     assert_encodes_as(archived[i], fc_archived_job_encode(&job));
     json_decref(value);
   }
-  assert_encodes_as("mark", fc_mark_encode());
+  assert_encodes_as("mark", fc_marker_encode());
 }
 
 static void quota_shares(void **state) {
@@ -165,10 +165,10 @@
   GByteArray *bytes = load_frame("view");
   fc_frame_type type;
   uint32_t len;
-  assert_true(fc_frame_head(bytes->data, &type, &len));
-  assert_true(type == FC_FRAME_VIEW && len == bytes->len - FC_FRAME_HEAD);
+  assert_true(fc_frame_head_decode(bytes->data, &type, &len));
+  assert_true(type == FC_FRAME_VIEW && len == bytes->len - FC_FRAME_HEAD_BYTES);
   fc_view view;
-  assert_true(fc_view_decode(bytes->data + FC_FRAME_HEAD, len, &view));
+  assert_true(fc_view_decode(bytes->data + FC_FRAME_HEAD_BYTES, len, &view));
   assert_true(view.incarnation == 7 && view.term == 12 && view.sequence == 11 && view.base == 10 && view.last &&
               view.backlog == 3);
   assert_true(view.cancellation_count == 1 && view.cancellations[0].revision == 77);
@@ -187,10 +187,10 @@
   GByteArray *bytes = load_frame("ack");
   fc_frame_type type;
   uint32_t len;
-  assert_true(fc_frame_head(bytes->data, &type, &len));
+  assert_true(fc_frame_head_decode(bytes->data, &type, &len));
   assert_int_equal(type, FC_FRAME_ACK);
   fc_ack ack;
-  assert_true(fc_ack_decode(bytes->data + FC_FRAME_HEAD, len, &ack));
+  assert_true(fc_ack_decode(bytes->data + FC_FRAME_HEAD_BYTES, len, &ack));
   assert_true(ack.applied && ack.cancellations_complete && ack.grant_ms == 7000 && ack.revision == 80 &&
               ack.kv_read_age_ms == 60);
   assert_true(ack.renewal_count == 1 && ack.renewals[0].bidirectional && ack.probe_count == 1 &&
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -189,7 +189,7 @@
   fc_heartbeat_answer(out, 41, k_commands, G_N_ELEMENTS(k_commands));
   golden_check("worker: commands", out->str);
   g_string_truncate(out, 0);
-  fc_worker_redirect(out, NULL);
+  fc_worker_redirect_answer(out, NULL);
   golden_check("worker: redirected to nobody", out->str);
   g_string_free(out, TRUE);
 }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -92,7 +92,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     const fc_job_spec spec = {
         .kind = rows[i].kind, .tasks = rows[i].tasks, .one_zone = rows[i].one_zone, .spread = rows[i].spread};
-    check_row(rows[i].name, fc_job_slices(&spec, rows[i].limit) == rows[i].slices);
+    check_row(rows[i].name, fc_job_slice_count(&spec, rows[i].limit) == rows[i].slices);
   }
 }
 
--- a/tests/test_peer_frame.c
+++ b/tests/test_peer_frame.c
@@ -21,10 +21,10 @@
   fc_view_encode(bytes, &view);
   fc_frame_type type;
   uint32_t len;
-  assert_true(fc_frame_head(bytes->data, &type, &len));
-  assert_int_equal(len, bytes->len - FC_FRAME_HEAD);
+  assert_true(fc_frame_head_decode(bytes->data, &type, &len));
+  assert_int_equal(len, bytes->len - FC_FRAME_HEAD_BYTES);
   fc_view decoded;
-  assert_true(fc_view_decode(bytes->data + FC_FRAME_HEAD, len, &decoded));
+  assert_true(fc_view_decode(bytes->data + FC_FRAME_HEAD_BYTES, len, &decoded));
   assert_string_equal(decoded.machines[0].tasks[0].job, "job-000412");
   assert_true(decoded.machines[0].reconciled && !decoded.machines[0].cordoned && decoded.term == 9);
   assert_int_equal(decoded.revision, 76);
@@ -33,24 +33,24 @@
   assert_true(decoded.cancellations[0].revision == 77 && decoded.cancellations[0].age_ms == 1500);
   fc_view_clear(&decoded);
   /* A body of the maximum size is accepted, one byte more is not. */
-  uint8_t head[FC_FRAME_HEAD];
+  uint8_t head[FC_FRAME_HEAD_BYTES];
   memcpy(head, bytes->data, sizeof head);
   for (int excess = -1; excess <= 1; excess++) {
-    guint32 big_endian = GUINT32_TO_BE(FC_FRAME_MAX + (guint32)excess);
+    guint32 big_endian = GUINT32_TO_BE(FC_FRAME_BODY_MAX_BYTES + (guint32)excess);
     uint32_t body_length;
     memcpy(head + 4, &big_endian, sizeof big_endian);
-    assert_int_equal(fc_frame_head(head, &type, &body_length), excess <= 0);
+    assert_int_equal(fc_frame_head_decode(head, &type, &body_length), excess <= 0);
   }
   /* Every truncated body is rejected, and so is one with a byte too many. */
   for (uint32_t truncated_length = 0; truncated_length < len; truncated_length++) {
-    uint8_t *copy = g_memdup2(bytes->data + FC_FRAME_HEAD, truncated_length ? truncated_length : 1);
+    uint8_t *copy = g_memdup2(bytes->data + FC_FRAME_HEAD_BYTES, truncated_length ? truncated_length : 1);
     assert_false(fc_view_decode(copy, truncated_length, &decoded));
     g_free(copy);
   }
   g_byte_array_append(bytes, (const guint8 *)"x", 1);
-  assert_false(fc_view_decode(bytes->data + FC_FRAME_HEAD, len + 1, &decoded));
+  assert_false(fc_view_decode(bytes->data + FC_FRAME_HEAD_BYTES, len + 1, &decoded));
   bytes->data[2] = FC_FRAME_VERSION + 1;
-  assert_false(fc_frame_head(bytes->data, &type, &len));
+  assert_false(fc_frame_head_decode(bytes->data, &type, &len));
   g_byte_array_free(bytes, TRUE);
 }
 
@@ -87,8 +87,8 @@
     ack.probe_count = G_N_ELEMENTS(probes);
     GByteArray *bytes = g_byte_array_new();
     fc_ack_encode(bytes, &ack);
-    const uint8_t *body = bytes->data + FC_FRAME_HEAD;
-    uint32_t len = bytes->len - FC_FRAME_HEAD;
+    const uint8_t *body = bytes->data + FC_FRAME_HEAD_BYTES;
+    uint32_t len = bytes->len - FC_FRAME_HEAD_BYTES;
     fc_ack decoded;
     check_row(rows[i].name, fc_ack_decode(body, len, &decoded) == rows[i].valid);
     if (rows[i].valid) {
@@ -106,7 +106,7 @@
       g_free(copy);
     }
     g_byte_array_append(bytes, (const guint8 *)"x", 1);
-    check_row(rows[i].name, !fc_ack_decode(bytes->data + FC_FRAME_HEAD, len + 1, &decoded));
+    check_row(rows[i].name, !fc_ack_decode(bytes->data + FC_FRAME_HEAD_BYTES, len + 1, &decoded));
     g_byte_array_free(bytes, TRUE);
   }
   g_free(cancellations);
--- a/tests/test_peer_view.c
+++ b/tests/test_peer_view.c
@@ -98,9 +98,9 @@
   for (guint at = 0; at < out->len;) {
     fc_frame_type type;
     uint32_t len;
-    assert_true(fc_frame_head(out->data + at, &type, &len));
-    g_ptr_array_add(frames, g_bytes_new(out->data + at + FC_FRAME_HEAD, len));
-    at += FC_FRAME_HEAD + len;
+    assert_true(fc_frame_head_decode(out->data + at, &type, &len));
+    g_ptr_array_add(frames, g_bytes_new(out->data + at + FC_FRAME_HEAD_BYTES, len));
+    at += FC_FRAME_HEAD_BYTES + len;
   }
   g_byte_array_free(out, TRUE);
   return frames;
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -54,7 +54,7 @@
       {"GET", "/", FC_ROUTE_NONE, NULL},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    char id[FC_ROUTE_ID_MAX] = "";
+    char id[FC_ROUTE_ID_SIZE] = "";
     const char *allow = NULL;
     check_row(rows[i].path, fc_route_of(rows[i].method, rows[i].path, id, &allow) == rows[i].route);
     if (rows[i].id) check_row(rows[i].path, strcmp(allow ? allow : id, rows[i].id) == 0);
