--- a/src/protocol/peer_frame.h
+++ b/src/protocol/peer_frame.h
@@ -13,7 +13,6 @@
 
 #define FC_FRAME_VERSION 5
 #define FC_MS_PER_S 1000.0 /* ages and durations in frames are in milliseconds */
-/* Size of a frame's head. */
 #define FC_FRAME_HEAD_BYTES 8u
 /* Largest body of a frame. It has room for one controller's lease renewals for 65,535 workers, more
  * than it can have connections to. Memory is allocated only for what a frame really contains. */
