--- a/src/protocol/job.h
+++ b/src/protocol/job.h
@@ -75,7 +75,8 @@
  * other, have one. */
 unsigned fc_job_slice_count(const fc_job_spec *spec, unsigned limit);
 
-/* Append the body of an answer: the status of a job, GET /ready, an error. */
+/* Append the body of an answer: the status of a job (with the numbers of done and running tasks if
+ * `with_counts`), GET /ready, an error. */
 void fc_job_answer(GString *out, const char *id, fc_job_status status, uint32_t done, uint32_t running,
                    bool with_counts);
 void fc_ready_answer(GString *out);
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -6,8 +6,9 @@
 #include "protocol/job.h"
 #include "protocol/job_description.h"
 
-/* Formats of a record. An accepted job with unfinished dependencies, or whose description is in parts,
- * has the second: versions without support for dependencies reject it, and so never run the job. */
+/* Formats of a record. Records of accepted jobs with unfinished dependencies, and records that refer to
+ * a description in parts, have the second: versions without support for dependencies reject it, and so
+ * never run the job. */
 #define FC_JOB_FORMAT_PLAIN 1
 #define FC_JOB_FORMAT_AWAITING 2
 
--- a/src/protocol/peer_frame.c
+++ b/src/protocol/peer_frame.c
@@ -275,16 +275,18 @@
   return magic == FRAME_MAGIC && version == FC_FRAME_VERSION && known_type && *length <= FC_FRAME_BODY_MAX_BYTES;
 }
 
-/* The process that sent the frame, its term, and the number of the view. */
-static void put_origin(GByteArray *out, const char *sender, uint64_t incarnation, uint64_t term, uint64_t sequence) {
+/* The fields that both frames begin with: the process that sent the frame, its term, and the number of
+ * the view. */
+static void put_common_fields(GByteArray *out, const char *sender, uint64_t incarnation, uint64_t term,
+                              uint64_t sequence) {
   put_text(out, sender);
   put_u64(out, incarnation);
   put_u64(out, term);
   put_u64(out, sequence);
 }
 
-static void get_origin(frame_input *in, char sender[FC_NAME_SIZE], uint64_t *incarnation, uint64_t *term,
-                       uint64_t *sequence) {
+static void get_common_fields(frame_input *in, char sender[FC_NAME_SIZE], uint64_t *incarnation, uint64_t *term,
+                              uint64_t *sequence) {
   get_text(in, sender, FC_NAME_SIZE);
   *incarnation = get_u64(in);
   *term = get_u64(in);
@@ -299,7 +301,7 @@
 
 void fc_view_encode(GByteArray *out, const fc_view *view) {
   guint start = begin_frame(out, FC_FRAME_VIEW);
-  put_origin(out, view->sender, view->incarnation, view->term, view->sequence);
+  put_common_fields(out, view->sender, view->incarnation, view->term, view->sequence);
   put_u64(out, view->base);
   put_u32(out, view->piece);
   put_u8(out, view->last);
@@ -313,7 +315,7 @@
 bool fc_view_decode(const uint8_t *body, size_t length, fc_view *out) {
   memset(out, 0, sizeof *out);
   frame_input in = {.next = body, .left = length};
-  get_origin(&in, out->sender, &out->incarnation, &out->term, &out->sequence);
+  get_common_fields(&in, out->sender, &out->incarnation, &out->term, &out->sequence);
   out->base = get_u64(&in);
   out->piece = get_u32(&in);
   out->last = get_bool(&in);
@@ -337,7 +339,7 @@
 
 void fc_ack_encode(GByteArray *out, const fc_ack *ack) {
   guint start = begin_frame(out, FC_FRAME_ACK);
-  put_origin(out, ack->sender, ack->incarnation, ack->term, ack->sequence);
+  put_common_fields(out, ack->sender, ack->incarnation, ack->term, ack->sequence);
   put_u8(out, ack->applied);
   put_u32(out, ack->grant_ms);
   put_u32(out, ack->no_cancellation_ms);
@@ -353,7 +355,7 @@
 bool fc_ack_decode(const uint8_t *body, size_t length, fc_ack *out) {
   memset(out, 0, sizeof *out);
   frame_input in = {.next = body, .left = length};
-  get_origin(&in, out->sender, &out->incarnation, &out->term, &out->sequence);
+  get_common_fields(&in, out->sender, &out->incarnation, &out->term, &out->sequence);
   out->applied = get_bool(&in);
   out->grant_ms = get_u32(&in);
   out->no_cancellation_ms = get_u32(&in);
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -96,7 +96,8 @@
   read_endpoint(&reader, "endpoint", &peer->peer_at);
   if (!check_element(error_out, FIELD_MEMBERS, index, &reader)) return false;
   if (strcmp(peer->name, settings->name) == 0)
-    return report_error(error_out, FIELD_MEMBERS "[%zu]." FIELD_HOST_NAME ": same as our own", index);
+    return report_error(error_out, FIELD_MEMBERS "[%zu]." FIELD_HOST_NAME ": same as the name of this controller",
+                        index);
   return true;
 }
 
@@ -162,7 +163,7 @@
   const json_t *list = json_object_get(params, "objectives");
   if (!list || json_is_null(list)) return true;
   if (!json_is_array(list) || json_array_size(list) > FC_OBJECTIVES_MAX)
-    return report_error(error_out, "settings.objectives: not a short array");
+    return report_error(error_out, "settings.objectives: not an array, or too long");
   for (size_t i = 0; i < json_array_size(list); i++) {
     fc_reader reader;
     fc_reader_init(&reader, json_array_get(list, i));
@@ -271,7 +272,7 @@
   /* A controller that may have missed a cancellation has to stop answering workers a whole worker
    * lease before cancel_s has passed (docs/design.md, "Cancellations"). */
   if (settings->cancel_s < settings->lease_s + HEARTBEATS_PER_LEASE_MIN * settings->heartbeat_s)
-    return report_error(error_out, "settings.workers.cancel_s: not beyond lease_s by three times report_s");
+    return report_error(error_out, "settings.workers.cancel_s: shorter than lease_s plus three times report_s");
   return true;
 }
 
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -26,6 +26,7 @@
   double cpus_max, gpus_max; /* 0: no limit */
 } fc_team_settings;
 
+/* A service level objective of the platform; only validated here. */
 typedef struct fc_objective {
   char *kind;
   char *class_name; /* NULL: not specified */
@@ -58,6 +59,8 @@
   size_t objective_count;
   double heartbeat_s; /* interval of a worker's heartbeats */
   double lease_s;     /* duration of a worker's lease */
+  /* Time limits that workers apply to gangs: for all tasks to be ready, and to notice that another task
+   * is gone. They are only validated here. */
   double gang_wait_s, gang_peer_s;
   double cancel_s; /* time within which a cancelled job has to stop */
   /* Limits of the key-value store, which may lower them to those of `state.next` at any time. Sizes
