--- a/src/controller/description_store.c
+++ b/src/controller/description_store.c
@@ -39,7 +39,7 @@
 fc_kv_result fc_description_store_write(fc_description_store *store, const fc_job_spec *spec, double deadline,
                                         fc_description_ref *ref, uint64_t *first_version) {
   char *text = fc_job_description_text(spec);
-  GPtrArray *texts = fc_job_description_cut(text, fc_settings_value_max_bytes(store->cluster->settings), ref);
+  GPtrArray *texts = fc_job_description_split(text, fc_settings_value_max_bytes(store->cluster->settings), ref);
   fc_kv_result result = FC_KV_OK;
   fc_write *write;
   while (result == FC_KV_OK && (write = next_parts(store, spec->id, texts, ref))) {
--- a/src/protocol/job_description.c
+++ b/src/protocol/job_description.c
@@ -55,7 +55,7 @@
   return end;
 }
 
-GPtrArray *fc_job_description_cut(const char *text, size_t value_bytes, fc_description_ref *ref) {
+GPtrArray *fc_job_description_split(const char *text, size_t value_bytes, fc_description_ref *ref) {
   GPtrArray *parts = g_ptr_array_new_with_free_func(g_free);
   for (const char *start = text; *start;) {
     const char *end = end_of_part(start, value_bytes - VALUE_OVERHEAD);
--- a/src/protocol/job_description.h
+++ b/src/protocol/job_description.h
@@ -23,7 +23,7 @@
 
 /* Splits the text so that each part's encoded value has at most `value_bytes`. Returns the parts'
  * texts (char *), owned by the array, which the caller frees; *ref refers to them. */
-GPtrArray *fc_job_description_cut(const char *text, size_t value_bytes, fc_description_ref *ref);
+GPtrArray *fc_job_description_split(const char *text, size_t value_bytes, fc_description_ref *ref);
 
 /* The key of part `number` of a job's description; the caller frees it. */
 char *fc_job_part_key(const char *job, const char *digest, unsigned number);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -216,7 +216,7 @@
   check_stored("stored: awaiting job", fc_job_record_encode(&record));
   char *text = fc_job_description_text(&record.spec);
   golden_check("stored: description", text);
-  GPtrArray *parts = fc_job_description_cut(text, 200, &record.parts);
+  GPtrArray *parts = fc_job_description_split(text, 200, &record.parts);
   check_stored("stored: job in parts", fc_job_record_encode(&record));
   char *key = fc_job_part_key(record.spec.id, record.parts.digest, 1);
   golden_check("stored: key of a part", key);
--- a/tests/test_job_record.c
+++ b/tests/test_job_record.c
@@ -149,7 +149,7 @@
 }
 
 /* For each value size, no encoded part is larger, and the parts joined are the description. */
-static void descriptions_cut_into_parts(void **state) {
+static void descriptions_split_into_parts(void **state) {
   (void)state;
   static const unsigned id_counts[] = {0, 1, 70, 4900};
   static const size_t value_sizes[] = {64, 1024, 2048, 8192, 1 << 20};
@@ -160,7 +160,7 @@
     char *description = fc_job_description_text(&spec);
     for (size_t k = 0; k < G_N_ELEMENTS(value_sizes); k++) {
       fc_description_ref ref;
-      GPtrArray *parts = fc_job_description_cut(description, value_sizes[k], &ref);
+      GPtrArray *parts = fc_job_description_split(description, value_sizes[k], &ref);
       GString *whole = g_string_new(NULL);
       assert_int_equal(ref.count, parts->len);
       for (guint part = 0; part < parts->len; part++) {
@@ -249,7 +249,7 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(dependencies_of_a_submission),       cmocka_unit_test(format_by_pending_dependencies),
       cmocka_unit_test(malformed_dependencies_are_refused), cmocka_unit_test(job_format_of_a_member),
-      cmocka_unit_test(descriptions_cut_into_parts),        cmocka_unit_test(keys_of_description_parts),
+      cmocka_unit_test(descriptions_split_into_parts),      cmocka_unit_test(keys_of_description_parts),
       cmocka_unit_test(records_that_refer_to_parts),
   };
   return cmocka_run_group_tests(tests, NULL, NULL);
