--- a/src/controller/frame_reader.h
+++ b/src/controller/frame_reader.h
@@ -20,9 +20,9 @@
 
 typedef struct fc_frame {
   fc_frame_type type;
-  uint8_t head[FC_FRAME_HEAD]; /* as read, even if it is not a valid head */
-  uint8_t *body;               /* owned by the caller (g_free()); NULL: no frame could be read */
-  uint32_t length;             /* of the body, in bytes */
+  uint8_t head[FC_FRAME_HEAD_BYTES]; /* as read, even if it is not a valid head */
+  uint8_t *body;                     /* owned by the caller (g_free()); NULL: no frame could be read */
+  uint32_t length;                   /* of the body, in bytes */
 } fc_frame;
 
 /* Reads one frame. May suspend the calling routine, until the deadline (monotonic time) at most. */
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -189,7 +189,7 @@
   fc_heartbeat_answer(out, 41, k_commands, G_N_ELEMENTS(k_commands));
   golden_check("worker: commands", out->str);
   g_string_truncate(out, 0);
-  fc_worker_redirect(out, NULL);
+  fc_worker_redirect_answer(out, NULL);
   golden_check("worker: redirected to nobody", out->str);
   g_string_free(out, TRUE);
 }
@@ -216,7 +216,7 @@
   check_stored("stored: awaiting job", fc_job_record_encode(&record));
   char *text = fc_job_description_text(&record.spec);
   golden_check("stored: description", text);
-  GPtrArray *parts = fc_job_description_cut(text, 200, &record.parts);
+  GPtrArray *parts = fc_job_description_split(text, 200, &record.parts);
   check_stored("stored: job in parts", fc_job_record_encode(&record));
   char *key = fc_job_part_key(record.spec.id, record.parts.digest, 1);
   golden_check("stored: key of a part", key);
