--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* fieldcleat: command line, logging, and the start of one controller. */
+/* The program fieldcleat: reads the command line and the settings, sets up logging and runs one controller. */
 #include <glib.h>
 #include <malloc.h>
 #include <signal.h>
@@ -11,14 +11,14 @@
 
 #define VERSION "0.1.0"
 
-#define EXIT_USAGE 2 /* options or settings that can't be used */
+#define EXIT_USAGE 2 /* invalid options or settings */
 
 #define LOG_LINE_SIZE 1024
 #define ERROR_SIZE 400
 
 /* ---- logging ---- */
 
-/* The least important level that is printed. */
+/* The least severe level that is printed. */
 static GLogLevelFlags g_log_level = G_LOG_LEVEL_MESSAGE;
 
 static const char *level_name(GLogLevelFlags level) {
@@ -27,7 +27,7 @@
   return level & G_LOG_LEVEL_DEBUG ? "debug" : "info";
 }
 
-/* One line per event: level, steady time, message. */
+/* Writes one line per event to stderr: level, monotonic time in seconds, message; long lines are cut. */
 static GLogWriterOutput write_log(GLogLevelFlags level, const GLogField *fields, gsize field_count, gpointer data) {
   (void)data;
   if ((level & G_LOG_LEVEL_MASK) > g_log_level) return G_LOG_WRITER_HANDLED;
@@ -55,17 +55,17 @@
 /* ---- command line ---- */
 
 typedef struct options {
-  gchar *config, *operator_file; /* used as long as the process runs */
+  gchar *config, *operator_file; /* paths; never freed */
   gboolean check, version;
 } options;
 
-/* False: the error has been printed. */
+/* Returns false after printing an error. */
 static bool parse_options(int argc, char **argv, options *out) {
   const GOptionEntry entries[] = {
       {"config", 'c', 0, G_OPTION_ARG_FILENAME, &out->config, "The platform's settings (JSON)", "FILE.json"},
-      {"operator", 'o', 0, G_OPTION_ARG_FILENAME, &out->operator_file, "The operators' own settings", "FILE.toml"},
-      {"check", 0, 0, G_OPTION_ARG_NONE, &out->check, "Check the settings and end", NULL},
-      {"version", 0, 0, G_OPTION_ARG_NONE, &out->version, "Print the version and end", NULL},
+      {"operator", 'o', 0, G_OPTION_ARG_FILENAME, &out->operator_file, "The operators' settings (TOML)", "FILE.toml"},
+      {"check", 0, 0, G_OPTION_ARG_NONE, &out->check, "Check the settings and exit", NULL},
+      {"version", 0, 0, G_OPTION_ARG_NONE, &out->version, "Print the version and exit", NULL},
       {NULL, 0, 0, 0, NULL, NULL, NULL}};
   GError *error = NULL;
   GOptionContext *context = g_option_context_new("- a cluster scheduler's controller");
@@ -78,7 +78,7 @@
   return false;
 }
 
-/* False: the error has been printed. */
+/* Returns false after printing an error. */
 static bool load_settings(const options *given, fc_settings *out) {
   char error[ERROR_SIZE];
   if (!given->config) {
@@ -95,10 +95,10 @@
   return true;
 }
 
-/* Runs a controller until the process is ended. */
+/* Runs a controller until the process is killed. Returns the exit code when it cannot start. */
 static int run_controller(const fc_settings *settings) {
   if (!fc_loop_init()) {
-    fprintf(stderr, "fieldcleat: no event loop\n");
+    fprintf(stderr, "fieldcleat: cannot create the event loop\n");
     return EXIT_FAILURE;
   }
   fc_controller *controller;
@@ -127,7 +127,7 @@
   }
   init_logging();
   (void)signal(SIGPIPE, SIG_IGN);
-  /* One thread: a second arena would only cost memory. */
+  /* The process has one thread: more malloc arenas would only cost memory. */
   (void)mallopt(M_ARENA_MAX, 1);
   return run_controller(&settings);
 }
--- a/src/transport/conn.c
+++ b/src/transport/conn.c
@@ -17,12 +17,12 @@
 typedef struct listener listener;
 
 struct fc_conn {
-  const listener *accepted_by; /* NULL: this side connected */
+  const listener *accepted_by; /* NULL: made by fc_conn_connect() */
   uint64_t number;
   int fd;
   ev_io io;
-  int wanted;        /* events that the waiter waits for */
-  bool just_written; /* an answer cannot have arrived yet */
+  int wanted_events; /* EV_READ or EV_WRITE, as the waiter needs */
+  bool just_written; /* the other side has hardly had the time to answer */
   fc_routine *waiter;
 };
 
@@ -42,21 +42,21 @@
   return true;
 }
 
-/* Accounts one system call to the calling routine and returns its result. */
-static ssize_t count_call(ssize_t result) {
+/* Accounts one system call to the calling routine; passes its result on. */
+static ssize_t count_system_call(ssize_t result) {
   fc_routine_usage()->system_calls++;
   return result;
 }
 
 static void on_io(struct ev_loop *loop, ev_io *watcher, int events) {
   fc_conn *conn = watcher->data;
-  if (conn->waiter && (events & (conn->wanted | EV_ERROR))) {
+  if (conn->waiter && (events & (conn->wanted_events | EV_ERROR))) {
     fc_routine *routine = conn->waiter;
     conn->waiter = NULL;
     fc_routine_wake(routine);
-    return; /* it stays active: most often the next wait is for the same event */
+    return; /* the watcher stays active: most often the next wait is for the same event */
   }
-  /* Level-triggered: without a routine that reads, the event would fire again at once. */
+  /* The watcher is level-triggered: while no routine reads, the event would fire in every iteration. */
   ev_io_stop(loop, watcher);
 }
 
@@ -70,24 +70,24 @@
   conn->number = ++last_number;
   conn->fd = fd;
   int on = 1;
-  /* Best effort: without it messages are only slower. */
-  (void)count_call(setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on));
+  /* A failure is ignored: without the option, messages are only slower. */
+  (void)count_system_call(setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on));
   ev_io_init(&conn->io, on_io, fd, EV_READ);
   conn->io.data = conn;
   return conn;
 }
 
-/* Waits until the socket is ready. False at the deadline or when the routine is cancelled. */
+/* Waits until the socket is ready for `events`. False at the deadline or when the routine is cancelled. */
 static bool conn_wait(fc_conn *conn, int events, double deadline) {
-  conn->wanted = events;
+  conn->wanted_events = events;
   conn->waiter = fc_routine_self();
   if ((conn->io.events & (EV_READ | EV_WRITE)) != events) {
     ev_io_stop(fc_loop(), &conn->io);
-    /* Not ev_io_set(): after it libev takes the descriptor for a new one, and registers it with
-     * the kernel by a call that fails and one that does not, at every wait. */
+    /* Not ev_io_set(): it makes libev treat the descriptor as a new one and register it again, which
+     * costs two epoll_ctl() calls at every wait, the first of which fails. */
     ev_io_modify(&conn->io, events);
   }
-  ev_io_start(fc_loop(), &conn->io); /* without effect when it is active */
+  ev_io_start(fc_loop(), &conn->io); /* no effect if it is active already */
   fc_wake wake = fc_routine_park(deadline);
   conn->waiter = NULL;
   return wake == FC_WAKE_OK;
@@ -98,6 +98,7 @@
       .sin_family = AF_INET, .sin_port = htons(endpoint->port), .sin_addr.s_addr = endpoint->ip};
 }
 
+/* Whether a connect() in progress has succeeded. */
 static bool connected(int fd) {
   int error = 0;
   socklen_t size = sizeof error;
@@ -105,12 +106,12 @@
 }
 
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline) {
-  int fd = (int)count_call(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  int fd = (int)count_system_call(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (fd < 0) return NULL;
   fc_conn *conn = conn_new(fd);
   if (!conn) return NULL;
   struct sockaddr_in address = socket_address(to);
-  if (count_call(connect(fd, (struct sockaddr *)&address, sizeof address)) == 0) return conn;
+  if (count_system_call(connect(fd, (struct sockaddr *)&address, sizeof address)) == 0) return conn;
   if (errno == EINPROGRESS && conn_wait(conn, EV_WRITE, deadline) && connected(fd)) return conn;
   fc_conn_close(conn);
   return NULL;
@@ -122,12 +123,13 @@
 
 ssize_t fc_conn_read(fc_conn *conn, void *buffer, size_t size, double deadline) {
   for (;;) {
-    /* Saves a recv() in vain for each message; system calls are slow where this runs. */
+    /* Saves a recv() per message that would fail with EAGAIN; system calls are slow on the hosts that
+     * this runs on. */
     if (conn->just_written) {
       conn->just_written = false;
       if (!conn_wait(conn, EV_READ, deadline)) return -1;
     }
-    ssize_t received = count_call(recv(conn->fd, buffer, size, 0));
+    ssize_t received = count_system_call(recv(conn->fd, buffer, size, 0));
     if (received >= 0) {
       fc_routine_usage()->bytes_in += (uint64_t)received;
       return received;
@@ -140,7 +142,7 @@
 bool fc_conn_write(fc_conn *conn, const void *buffer, size_t size, double deadline) {
   const char *next = buffer;
   while (size > 0) {
-    ssize_t sent = count_call(send(conn->fd, next, size, MSG_NOSIGNAL));
+    ssize_t sent = count_system_call(send(conn->fd, next, size, MSG_NOSIGNAL));
     if (sent > 0) {
       fc_routine_usage()->bytes_out += (uint64_t)sent;
       next += sent;
@@ -157,14 +159,14 @@
 
 bool fc_conn_stale(fc_conn *conn) {
   char byte;
-  ssize_t received = count_call(recv(conn->fd, &byte, 1, MSG_PEEK));
+  ssize_t received = count_system_call(recv(conn->fd, &byte, 1, MSG_PEEK));
   return received >= 0 || !would_block();
 }
 
 void fc_conn_close(fc_conn *conn) {
   if (!conn) return;
   ev_io_stop(fc_loop(), &conn->io);
-  (void)count_call(close(conn->fd));
+  (void)count_system_call(close(conn->fd));
   free(conn);
 }
 
@@ -176,35 +178,36 @@
   ev_io io;
   fc_conn_fn on_conn;
   void *arg;
-  size_t open_count, open_max;
+  size_t open_count, max_open; /* connections */
 };
 
 bool fc_conn_crowded(const fc_conn *conn) {
   const listener *listener = conn->accepted_by;
-  return listener && listener->open_count * 5 >= listener->open_max * 4;
+  return listener && listener->open_count * 5 >= listener->max_open * 4;
 }
 
-typedef struct accepted {
+/* Argument of the routine that serves an accepted connection. */
+typedef struct serve_args {
   listener *listener;
   fc_conn *conn;
-} accepted;
+} serve_args;
 
 static void serve_accepted(void *arg) {
-  accepted accepted_conn = *(accepted *)arg;
+  serve_args args = *(serve_args *)arg;
   free(arg);
-  listener *listener = accepted_conn.listener;
-  listener->on_conn(accepted_conn.conn, listener->arg);
-  fc_conn_close(accepted_conn.conn);
+  listener *listener = args.listener;
+  listener->on_conn(args.conn, listener->arg);
+  fc_conn_close(args.conn);
   listener->open_count--;
 }
 
-/* Starts a routine that serves the connection. */
+/* Starts a routine that serves the connection; false when memory is short. */
 static bool spawn_server(listener *listener, fc_conn *conn) {
-  accepted *arg = malloc(sizeof *arg);
-  if (!arg) return false;
-  *arg = (accepted){.listener = listener, .conn = conn};
-  if (fc_routine_spawn(serve_accepted, arg)) return true;
-  free(arg);
+  serve_args *args = malloc(sizeof *args);
+  if (!args) return false;
+  *args = (serve_args){.listener = listener, .conn = conn};
+  if (fc_routine_spawn(serve_accepted, args)) return true;
+  free(args);
   return false;
 }
 
@@ -215,9 +218,9 @@
   for (;;) {
     int fd = accept4(watcher->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    /* Beyond the limit the connection is closed at once: the remaining descriptors are needed for
+    /* Connections beyond the limit are closed at once: the remaining file descriptors are needed for
      * workers, peers and the key-value store. */
-    if (listener->open_count >= listener->open_max) {
+    if (listener->open_count >= listener->max_open) {
       close(fd);
       continue;
     }
@@ -232,7 +235,7 @@
   }
 }
 
-/* A listening socket; -1 when there can be none. */
+/* Returns a listening socket; -1 on failure. */
 static int open_listener(const fc_endpoint *at) {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
@@ -247,7 +250,7 @@
   return -1;
 }
 
-bool fc_listen(const fc_endpoint *at, size_t most, fc_conn_fn on_conn, void *arg) {
+bool fc_listen(const fc_endpoint *at, size_t max_open, fc_conn_fn on_conn, void *arg) {
   int fd = open_listener(at);
   if (fd < 0) return false;
   listener *listener = calloc(1, sizeof *listener);
@@ -257,7 +260,7 @@
   }
   listener->on_conn = on_conn;
   listener->arg = arg;
-  listener->open_max = most;
+  listener->max_open = max_open;
   ev_io_init(&listener->io, on_accept, fd, EV_READ);
   listener->io.data = listener;
   ev_io_start(fc_loop(), &listener->io);
--- a/src/transport/conn.h
+++ b/src/transport/conn.h
@@ -1,5 +1,5 @@
-/* TCP connections and listeners. Reads and writes wait inside the calling routine, with deadlines of
- * the monotonic clock. */
+/* Non-blocking TCP connections and listeners for routines. Connecting, reading and writing suspend only
+ * the calling routine; deadlines are times of the monotonic clock (fc_now()). */
 #ifndef FC_TRANSPORT_CONN_H
 #define FC_TRANSPORT_CONN_H
 
@@ -15,34 +15,36 @@
   uint16_t port;
 } fc_endpoint;
 
-/* Of a buffer for an endpoint's text, with the closing NUL. */
+/* Size in bytes of a buffer for an endpoint as text, with the terminating NUL. */
 #define FC_ENDPOINT_SIZE 32
 
-/* Reads a text such as "10.0.0.1:8080"; false when it is malformed or NULL. */
+/* Parses an IPv4 address and port such as "10.0.0.1:8080"; false when the text is malformed or NULL. */
 bool fc_endpoint_parse(const char *text, fc_endpoint *out);
 
-/* The connection is the caller's to close; NULL when it is refused, at the deadline or when the
- * routine is cancelled. May suspend the calling routine. */
+/* Connects to an endpoint. The caller closes the connection. NULL when it is refused, at the deadline
+ * or when the routine is cancelled. May suspend the calling routine. */
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline);
-/* The number of bytes read; 0 at the end of the stream; -1 on an error, at the deadline or when the
- * routine is cancelled. May suspend the calling routine. */
+/* Reads what has arrived, at least one byte: the number of bytes read; 0 at the end of the stream; -1 on an error, at
+ * the deadline or when the routine is cancelled. May suspend the calling routine. */
 ssize_t fc_conn_read(fc_conn *conn, void *buffer, size_t size, double deadline);
-/* Writes all bytes. False on an error, at the deadline or when the routine is cancelled; some may
- * be sent then. May suspend the calling routine. */
+/* Writes all bytes. False on an error, at the deadline or when the routine is cancelled; a part of
+ * them may have been sent by then. May suspend the calling routine. */
 bool fc_conn_write(fc_conn *conn, const void *buffer, size_t size, double deadline);
-/* Whether an idle connection is unusable: the other side has closed it or sent something unasked. */
+/* Whether an idle connection is unusable: the other side has closed it or sent data that nobody requested. */
 bool fc_conn_stale(fc_conn *conn);
-/* A number that no other connection of this process has. */
+/* A number that is unique among all connections of this process, also closed ones. */
 uint64_t fc_conn_number(const fc_conn *conn);
-/* Whether the listener that accepted it has little room left for new connections. */
+/* Whether the listener that accepted the connection has 80 % or more of its connections open. False
+ * for a connection made by fc_conn_connect(). */
 bool fc_conn_crowded(const fc_conn *conn);
-/* Closes and frees the connection; NULL: nothing. */
+/* Closes and frees the connection; does nothing for NULL. */
 void fc_conn_close(fc_conn *conn);
 
-/* Serves one connection, in a routine of its own; it is closed when the function returns. */
+/* Serves one accepted connection, in a routine of its own; the listener closes the connection when the
+ * function returns. */
 typedef void (*fc_conn_fn)(fc_conn *conn, void *arg);
-/* Accepts connections until the process ends, at most `most` open at a time. False when the address
- * cannot be listened on. */
-bool fc_listen(const fc_endpoint *at, size_t most, fc_conn_fn on_conn, void *arg);
+/* Accepts connections until the process ends; those beyond `max_open` open ones are closed at once.
+ * False when the address cannot be listened on. */
+bool fc_listen(const fc_endpoint *at, size_t max_open, fc_conn_fn on_conn, void *arg);
 
 #endif
--- a/src/transport/fcontext.h
+++ b/src/transport/fcontext.h
@@ -1,12 +1,13 @@
-/* Boost.Context's switching functions: they have a C calling convention but only a C++ header, so
- * they are declared here. They make no system call, unlike the swapcontext() under libpcl
- * (docs/design.md, "Routines"). Shared with the simulated routines of the tests. */
+/* Declares the context switching functions of Boost.Context: they have C linkage, but Boost ships only
+ * a C++ header for them. Unlike swapcontext(), which libpcl uses, they make no system call
+ * (docs/design.md, "Routines"). The simulated routines of the tests use them, too. */
 #ifndef FC_TRANSPORT_FCONTEXT_H
 #define FC_TRANSPORT_FCONTEXT_H
 
 #include <stddef.h>
 
-/* The stacks that routines leave are reused: AddressSanitizer must forget what stood on them. */
+/* Stacks of finished routines are reused: AddressSanitizer has to discard the poisoning of their old
+ * frames. */
 #ifdef __SANITIZE_ADDRESS__
 #include <sanitizer/asan_interface.h>
 #else
@@ -15,14 +16,16 @@
 
 typedef void *fcontext_t;
 typedef struct {
-  fcontext_t fctx; /* the context that was left */
-  void *data;
+  fcontext_t fctx; /* the context that was switched away from */
+  void *data;      /* passed by it as `vp` */
 } transfer_t;
 
-/* The names are boost_context's. */
+/* Switches to `to`, which receives `vp`; returns when another context switches back to this one. The names
+ * are those of Boost.Context. */
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern transfer_t jump_fcontext(fcontext_t to, void *vp);
-/* `sp`: the end of the stack, which grows down from there. */
+/* Makes a context that runs `fn` when it is first switched to. `sp` is the upper end of its stack, which grows
+ * down; `size` is the stack's size in bytes. */
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(transfer_t));
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -1,4 +1,4 @@
-/* The HTTP client: a pool of connections to one server. */
+/* HTTP client with a pool of keep-alive connections to one server. */
 #include <http_parser.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,13 +6,13 @@
 #include "transport/http.h"
 #include "transport/routine.h"
 
-#define POOL_MAX 4u
+#define POOL_CONNECTIONS_MAX 4u
 #define POOL_IDLE_S 20.0
-#define POOL_FRESH_S 0.5 /* a connection idle for less is taken to be open without a check */
-#define HEADER_NAME_MAX 1024u
-#define HEADER_VALUE_MAX 8192u
+#define POOL_FRESH_S 0.5 /* a connection idle for less is reused without checking that it is open */
+#define HEADER_NAME_MAX_BYTES 1024u
+#define HEADER_VALUE_MAX_BYTES 8192u
 #define RETRY_AFTER_MAX_S 3600
-#define REQUEST_HEAD_SIZE 256u
+#define REQUEST_HEAD_BYTES 256u /* estimate, to allocate the buffer once */
 
 typedef struct pooled_conn {
   fc_conn *conn;
@@ -22,20 +22,21 @@
 struct fc_http_client {
   fc_endpoint to;
   char host[FC_ENDPOINT_SIZE];
-  size_t most_body;
-  pooled_conn pool[POOL_MAX]; /* the most recently used last */
+  size_t max_body_bytes;
+  pooled_conn pool[POOL_CONNECTIONS_MAX]; /* the most recently used last */
   size_t pool_count;
 };
 
-/* What the parser has found of an answer. */
+/* The part of an answer that has been parsed. */
 typedef struct answer {
   GString *body;
-  size_t most_body;
-  GString *header_name, *header_value; /* of the header that is being parsed */
+  size_t max_body_bytes;
+  GString *header_name, *header_value; /* of the header being parsed */
   bool in_value, complete, too_large;
   int retry_after_s;
 } answer;
 
+/* Evaluates a header whose name and value are complete. */
 static void end_header(answer *answer) {
   if (g_ascii_strcasecmp(answer->header_name->str, "Retry-After") == 0) {
     long seconds = strtol(answer->header_value->str, NULL, 10);
@@ -51,7 +52,7 @@
     end_header(answer);
     answer->in_value = false;
   }
-  if (answer->header_name->len + length > HEADER_NAME_MAX) return 1;
+  if (answer->header_name->len + length > HEADER_NAME_MAX_BYTES) return 1;
   g_string_append_len(answer->header_name, text, (gssize)length);
   return 0;
 }
@@ -59,7 +60,7 @@
 static int on_header_value(http_parser *parser, const char *text, size_t length) {
   answer *answer = parser->data;
   answer->in_value = true;
-  if (answer->header_value->len + length > HEADER_VALUE_MAX) return 1;
+  if (answer->header_value->len + length > HEADER_VALUE_MAX_BYTES) return 1;
   g_string_append_len(answer->header_value, text, (gssize)length);
   return 0;
 }
@@ -71,7 +72,7 @@
 
 static int on_body(http_parser *parser, const char *bytes, size_t length) {
   answer *answer = parser->data;
-  answer->too_large = answer->body->len + length > answer->most_body;
+  answer->too_large = answer->body->len + length > answer->max_body_bytes;
   if (answer->too_large) return 1;
   g_string_append_len(answer->body, bytes, (gssize)length);
   return 0;
@@ -92,10 +93,10 @@
     .on_message_complete = on_complete,
 };
 
-fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t most_body) {
+fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t max_body_bytes) {
   fc_http_client *client = g_new0(fc_http_client, 1);
   client->to = *to;
-  client->most_body = most_body;
+  client->max_body_bytes = max_body_bytes;
   const unsigned char *ip = (const unsigned char *)&to->ip;
   g_snprintf(client->host, sizeof client->host, "%u.%u.%u.%u:%u", ip[0], ip[1], ip[2], ip[3], to->port);
   return client;
@@ -107,7 +108,7 @@
   g_free(client);
 }
 
-/* A connection of the pool that is still open, or a new one; NULL: there is none. */
+/* Returns an open connection of the pool or a new one; NULL when the server cannot be reached. */
 static fc_conn *acquire_conn(fc_http_client *client, double deadline) {
   double now = fc_now();
   while (client->pool_count > 0) {
@@ -120,7 +121,7 @@
 }
 
 static void release_conn(fc_http_client *client, fc_conn *conn) {
-  if (client->pool_count == POOL_MAX) {
+  if (client->pool_count == POOL_CONNECTIONS_MAX) {
     fc_conn_close(conn);
     return;
   }
@@ -129,7 +130,7 @@
 
 static GString *encode_request(const fc_http_client *client, const char *method, const char *path, const char *body,
                                size_t body_len) {
-  GString *out = g_string_sized_new(REQUEST_HEAD_SIZE + body_len);
+  GString *out = g_string_sized_new(REQUEST_HEAD_BYTES + body_len);
   g_string_append_printf(out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, client->host);
   if (body) {
     g_string_append_printf(out, "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n", body_len);
@@ -140,16 +141,17 @@
   return out;
 }
 
-/* Shared by all routines: none is suspended between filling it and parsing what is in it. */
+/* Shared by all routines: none is suspended between filling and parsing it. */
 static char g_input[16u * 1024u];
 
-/* Reads one whole answer; true when it is complete. */
+/* Reads one answer; false when it is not complete at the deadline, on an error or at the end of the stream. */
 static bool read_answer(fc_conn *conn, http_parser *parser, double deadline) {
   const answer *answer = parser->data;
   while (!answer->complete) {
     ssize_t received = fc_conn_read(conn, g_input, sizeof g_input, deadline);
     if (received < 0) return false;
-    http_parser_execute(parser, &k_settings, g_input, (size_t)received); /* 0 bytes: the end of the stream */
+    /* 0 bytes tell the parser that the stream has ended. */
+    http_parser_execute(parser, &k_settings, g_input, (size_t)received);
     enum http_errno error = HTTP_PARSER_ERRNO(parser);
     if (error != HPE_OK && error != HPE_PAUSED) return false;
     if (received == 0) break;
@@ -167,8 +169,10 @@
   }
   g_autoptr(GString) header_name = g_string_new(NULL);
   g_autoptr(GString) header_value = g_string_new(NULL);
-  answer answer = {
-      .body = reply->body, .most_body = client->most_body, .header_name = header_name, .header_value = header_value};
+  answer answer = {.body = reply->body,
+                   .max_body_bytes = client->max_body_bytes,
+                   .header_name = header_name,
+                   .header_value = header_value};
   http_parser parser;
   http_parser_init(&parser, HTTP_RESPONSE);
   parser.data = &answer;
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -1,60 +1,63 @@
-/* The HTTP server: one request after the other on each connection. */
+/* HTTP server: serves the requests of a connection one after the other; no pipelining. */
 #include <http_parser.h>
 #include <string.h>
 
 #include "transport/http.h"
 #include "transport/routine.h"
 
-#define URL_LENGTH_MAX 2048u
-#define HEADERS_LENGTH_MAX ((size_t)16 * 1024) /* also bounds http-parser's own header count */
-#define RESPONSE_HEAD_SIZE 256u
+#define URL_MAX_BYTES 2048u
+/* Names and values of all headers; also bounds the header bytes that http-parser counts. */
+#define HEADERS_MAX_BYTES ((size_t)16 * 1024)
+#define RESPONSE_HEAD_BYTES 256u /* estimate, to allocate the buffer once */
 
 typedef struct server {
   fc_http_server_options opt;
   fc_http_handler handler;
   void *arg;
-  const char *first; /* bytes that were read before the connection was handed to this server */
+  const char *first; /* bytes that were read before this server took over the connection */
   size_t first_len;
 } server;
 
-/* What the parser has found of a request. */
-typedef struct incoming {
+/* The part of a request that has been parsed. */
+typedef struct parsed_request {
   GString *url;
   GString *body;
-  size_t headers_length;
+  size_t headers_bytes;
   bool complete, too_large;
-} incoming;
+} parsed_request;
 
-/* Appends bytes up to a bound; the result is the parser's: not 0 ends it. */
-static int append_bounded(incoming *incoming, GString *out, const char *bytes, size_t length, size_t most) {
-  incoming->too_large = out->len + length > most;
-  if (incoming->too_large) return 1;
+/* Appends bytes unless `out` would exceed `max_bytes`. Returns a result for http-parser: other than 0 is an
+ * error, which ends parsing. */
+static int append_bounded(parsed_request *parsed, GString *out, const char *bytes, size_t length, size_t max_bytes) {
+  parsed->too_large = out->len + length > max_bytes;
+  if (parsed->too_large) return 1;
   g_string_append_len(out, bytes, (gssize)length);
   return 0;
 }
 
 static int on_url(http_parser *parser, const char *text, size_t length) {
-  incoming *incoming = parser->data;
-  return append_bounded(incoming, incoming->url, text, length, URL_LENGTH_MAX);
+  parsed_request *parsed = parser->data;
+  return append_bounded(parsed, parsed->url, text, length, URL_MAX_BYTES);
 }
 
 static int on_header(http_parser *parser, const char *text, size_t length) {
   (void)text;
-  incoming *incoming = parser->data;
-  incoming->headers_length += length;
-  incoming->too_large = incoming->headers_length > HEADERS_LENGTH_MAX;
-  return incoming->too_large ? 1 : 0;
+  parsed_request *parsed = parser->data;
+  parsed->headers_bytes += length;
+  parsed->too_large = parsed->headers_bytes > HEADERS_MAX_BYTES;
+  return parsed->too_large ? 1 : 0;
 }
 
 static int on_body(http_parser *parser, const char *bytes, size_t length) {
-  incoming *incoming = parser->data;
-  return append_bounded(incoming, incoming->body, bytes, length, FC_HTTP_BODY_MAX);
+  parsed_request *parsed = parser->data;
+  return append_bounded(parsed, parsed->body, bytes, length, FC_HTTP_BODY_MAX);
 }
 
 static int on_complete(http_parser *parser) {
-  incoming *incoming = parser->data;
-  incoming->complete = true;
-  /* Requests are never pipelined: the parser stops here, so that no other is parsed into this one. */
+  parsed_request *parsed = parser->data;
+  parsed->complete = true;
+  /* The parser stops here, so that bytes after this request are not parsed into it. Clients do not
+   * pipeline requests. */
   http_parser_pause(parser, 1);
   return 0;
 }
@@ -80,7 +83,7 @@
 }
 
 static bool send_response(fc_conn *conn, const fc_http_response *res, bool keep_alive, double deadline) {
-  g_autoptr(GString) out = g_string_sized_new(RESPONSE_HEAD_SIZE + res->body->len);
+  g_autoptr(GString) out = g_string_sized_new(RESPONSE_HEAD_BYTES + res->body->len);
   g_string_append_printf(out, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n", res->status,
                          reason_of(res->status), res->content_type ? res->content_type : "application/json",
                          res->body->len);
@@ -92,7 +95,7 @@
   return fc_conn_write(conn, out->str, out->len, deadline);
 }
 
-/* Answers a request that cannot be parsed; the connection is closed after it. */
+/* Answers a request that cannot be parsed; the caller closes the connection. */
 static void send_bad_request(fc_conn *conn, const char *reason, double deadline) {
   g_autoptr(GString) body = g_string_new(NULL);
   g_string_append_printf(body, "{\"error\":\"%s\"}", reason);
@@ -100,11 +103,12 @@
   (void)send_response(conn, &res, false, deadline);
 }
 
-/* Shared by all routines: none is suspended between filling it and parsing what is in it. On each
- * connection's stack it would use a page of memory for as long as the connection is open. */
+/* Shared by all routines: none is suspended between filling and parsing it. On the stacks of the
+ * routines it would take at least a page of memory for each open connection. */
 static char g_input[16u * 1024u];
 
-/* Fills g_input with the bytes that were read before, or else from the connection. */
+/* Fills g_input with the bytes that were read before the server took over, or else from the connection.
+ * Returns as fc_conn_read() does. */
 static ssize_t read_input(server *server, fc_conn *conn, double deadline) {
   size_t length = server->first_len;
   if (length == 0) return fc_conn_read(conn, g_input, sizeof g_input, deadline);
@@ -115,20 +119,20 @@
 
 /* Reads one request; false: the connection is to be closed. */
 static bool read_request(server *server, fc_conn *conn, http_parser *parser) {
-  const incoming *incoming = parser->data;
+  const parsed_request *parsed = parser->data;
   double deadline = fc_now() + server->opt.idle_s;
-  bool arriving = false;
-  while (!incoming->complete) {
+  bool started = false; /* its first bytes are here */
+  while (!parsed->complete) {
     ssize_t received = read_input(server, conn, deadline);
     if (received <= 0) return false;
-    if (!arriving) {
-      arriving = true;
+    if (!started) {
+      started = true;
       deadline = fc_now() + server->opt.request_s;
     }
     http_parser_execute(parser, &k_settings, g_input, (size_t)received);
     enum http_errno error = HTTP_PARSER_ERRNO(parser);
     if (error != HPE_OK && error != HPE_PAUSED) {
-      send_bad_request(conn, incoming->too_large ? "request too large" : "malformed HTTP", deadline);
+      send_bad_request(conn, parsed->too_large ? "request too large" : "malformed HTTP", deadline);
       return false;
     }
   }
@@ -137,15 +141,15 @@
 
 /* Calls the handler and sends its answer; false: the connection is to be closed. */
 static bool answer_request(const server *server, fc_conn *conn, const http_parser *parser, bool keep_alive) {
-  const incoming *incoming = parser->data;
-  char *query = strchr(incoming->url->str, '?');
+  const parsed_request *parsed = parser->data;
+  char *query = strchr(parsed->url->str, '?');
   if (query) *query++ = '\0';
   const fc_http_request req = {
       .method = http_method_str((enum http_method)parser->method),
-      .path = incoming->url->str,
+      .path = parsed->url->str,
       .query = query ? query : "",
-      .body = incoming->body->str,
-      .body_len = incoming->body->len,
+      .body = parsed->body->str,
+      .body_len = parsed->body->len,
       .connection = fc_conn_number(conn),
       .crowded = fc_conn_crowded(conn),
   };
@@ -160,10 +164,10 @@
 static bool serve_request(server *server, fc_conn *conn) {
   g_autoptr(GString) url = g_string_new(NULL);
   g_autoptr(GString) body = g_string_new(NULL);
-  incoming incoming = {.url = url, .body = body};
+  parsed_request parsed = {.url = url, .body = body};
   http_parser parser;
   http_parser_init(&parser, HTTP_REQUEST);
-  parser.data = &incoming;
+  parser.data = &parsed;
   if (!read_request(server, conn, &parser)) return false;
   bool keep_alive = http_should_keep_alive(&parser);
   return answer_request(server, conn, &parser, keep_alive);
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -9,13 +9,15 @@
 
 #include "transport/fcontext.h"
 
-/* Of address space: memory is used only for the pages that a routine touches. */
+/* Address space of a stack with its guard page; only the pages that a routine touches take memory. */
 #define STACK_BYTES ((size_t)96 * 1024)
 #define GUARD_BYTES 4096u
-/* Stacks of finished routines that are reused. */
+/* How many stacks of finished routines are held for reuse. */
 #define SPARE_STACKS_MAX 16u
+/* Passes over the run queue between two polls of the sockets. */
 #define QUEUE_PASSES_MAX 4u
 #define LAG_HALF_LIFE_S 1.0
+/* A running timer serves a later wait if it fires after at least this share of it. */
 #define TIMER_REUSE_SHARE_MIN 0.5
 
 struct fc_routine {
@@ -25,17 +27,17 @@
   char *stack;
   fc_usage *usage;
   ev_timer timer;
-  double fires_at; /* of the timer, if it is active */
-  double deadline; /* of the present wait */
-  fc_wake reason;
+  double fires_at; /* when the timer fires, if it is active */
+  double deadline; /* of the current wait */
+  fc_wake wake_reason;
   bool parked; /* suspended until it is woken */
   bool queued; /* in the run queue */
   bool cancelled;
   bool finished;
-  fc_routine *next; /* run queue */
+  fc_routine *next; /* in the run queue */
 };
 
-/* One wait on a condition, on the stack of its routine. */
+/* One wait for a condition; lives on the stack of the waiting routine. */
 struct fc_waiter {
   fc_routine *routine;
   struct fc_waiter *next;
@@ -51,9 +53,9 @@
 static char *g_spare_stacks[SPARE_STACKS_MAX];
 static size_t g_spare_stack_count;
 static size_t g_routine_count;
-static fc_usage g_unaccounted; /* of routines that never called fc_routine_account() */
-static double g_slice_start;   /* processor time before this is accounted already */
-static double g_lag_s, g_lag_at;
+static fc_usage g_unaccounted;   /* of routines that never called fc_routine_account() */
+static double g_accounted_until; /* the running routine's busy time is accounted up to here */
+static double g_lag_s, g_lag_at; /* the lag last recorded, and when */
 
 static double read_clock(clockid_t clock) {
   struct timespec now;
@@ -89,19 +91,19 @@
   return ev_iteration(g_loop);
 }
 
-/* Accounts the time since the last call to the running routine. */
-static void account_slice(double now) {
-  g_self->usage->busy_s += now - g_slice_start;
-  g_slice_start = now;
+/* Adds the time since the last call to the running routine's busy time. */
+static void account_busy_time(double now) {
+  g_self->usage->busy_s += now - g_accounted_until;
+  g_accounted_until = now;
 }
 
 void fc_routine_account(fc_usage *usage) {
   if (!g_self || g_self->usage == usage) return;
-  account_slice(fc_now());
+  account_busy_time(fc_now());
   g_self->usage = usage;
 }
 
-/* The recorded lag, decayed since. */
+/* The recorded lag with its decay until `now`. */
 static double lag_at(double now) {
   return g_lag_s * exp2((g_lag_at - now) / LAG_HALF_LIFE_S);
 }
@@ -118,13 +120,13 @@
 static char *stack_acquire(void) {
   if (g_spare_stack_count > 0) {
     char *spare = g_spare_stacks[--g_spare_stack_count];
-    /* Its last functions never returned, so the sanitizer still guards their frames. */
+    /* The last functions on it never returned, so AddressSanitizer still has their frames poisoned. */
     ASAN_UNPOISON_MEMORY_REGION(spare + GUARD_BYTES, STACK_BYTES - GUARD_BYTES);
     return spare;
   }
   char *stack = mmap(NULL, STACK_BYTES, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
   if (stack == MAP_FAILED) return NULL;
-  /* A guard page turns an overflow into a crash instead of corrupted memory. */
+  /* With the guard page a stack overflow crashes instead of corrupting memory. */
   if (mprotect(stack, GUARD_BYTES, PROT_NONE) != 0) {
     munmap(stack, STACK_BYTES);
     return NULL;
@@ -140,13 +142,13 @@
   }
 }
 
-/* The first function on each routine's stack. */
+/* The first function on every routine's stack. */
 static void routine_entry(transfer_t from) {
   g_main_context = from.fctx;
   fc_routine *routine = from.data;
   routine->body(routine->arg);
   routine->finished = true;
-  account_slice(fc_now());
+  account_busy_time(fc_now());
   jump_fcontext(g_main_context, routine);
   abort(); /* a finished routine is never entered again */
 }
@@ -166,7 +168,7 @@
 /* Ends the wait of a parked routine. */
 static void resume(fc_routine *routine, fc_wake reason) {
   routine->parked = false;
-  routine->reason = reason;
+  routine->wake_reason = reason;
   enqueue(routine);
 }
 
@@ -185,7 +187,7 @@
   g_routine_count--;
 }
 
-/* Runs a routine until it waits or ends. */
+/* Runs a routine until it waits or finishes, then frees it if it has finished. */
 static void switch_to(fc_routine *routine) {
   fc_routine *previous = g_self;
   g_self = routine;
@@ -196,7 +198,7 @@
   if (routine->finished) routine_free(routine);
 }
 
-/* Runs the routines that are ready now, not those that these make ready. */
+/* Runs the routines that are queued now; those that they wake wait for the next pass. */
 static void run_queue_once(void) {
   const fc_routine *last = g_queue_tail;
   while (g_queue_head) {
@@ -207,10 +209,10 @@
   }
 }
 
-/* Routines that wake each other must not starve the sockets. But each poll of those is a system
- * call, so several passes are made before the next one. */
+/* The number of passes is limited, as routines that wake each other must not starve the sockets. It is
+ * more than one, as each poll of the sockets is a system call. */
 static void run_queue(void) {
-  if (g_queue_head) g_slice_start = fc_now();
+  if (g_queue_head) g_accounted_until = fc_now();
   for (unsigned pass = 0; pass < QUEUE_PASSES_MAX && g_queue_head; pass++) run_queue_once();
 }
 
@@ -226,6 +228,7 @@
   }
 }
 
+/* The idle watcher matters only by being active. */
 static void on_idle(struct ev_loop *loop, ev_idle *watcher, int events) {
   (void)loop;
   (void)watcher;
@@ -254,8 +257,8 @@
   routine->fires_at = routine->deadline;
 }
 
-/* Whether the timer of an earlier wait also serves this one: it fires no later, and not so early
- * that it mostly fires in vain. */
+/* Whether the timer of an earlier wait also serves this one: it fires no later than the deadline, and
+ * not so early that it mostly has to be armed again. Saves restarting the timer for each wait. */
 static bool timer_suffices(const fc_routine *routine, double now) {
   if (!ev_is_active(&routine->timer) || routine->fires_at > routine->deadline) return false;
   return routine->fires_at - now >= (routine->deadline - now) * TIMER_REUSE_SHARE_MIN;
@@ -267,7 +270,7 @@
   fc_routine *routine = watcher->data;
   if (!routine->parked) return;
   double now = fc_now();
-  if (now < routine->deadline) {
+  if (now < routine->deadline) { /* it was armed for an earlier wait */
     arm_timer(routine, now);
     return;
   }
@@ -300,13 +303,13 @@
   double now = fc_now();
   if (deadline <= now) return FC_WAKE_TIMEOUT;
   routine->parked = true;
-  routine->reason = FC_WAKE_OK;
+  routine->wake_reason = FC_WAKE_OK;
   routine->deadline = deadline;
-  account_slice(now);
+  account_busy_time(now);
   if (!timer_suffices(routine, now)) arm_timer(routine, now);
   transfer_t from = jump_fcontext(g_main_context, routine);
   g_main_context = from.fctx;
-  return routine->reason;
+  return routine->wake_reason;
 }
 
 void fc_routine_wake(fc_routine *routine) {
@@ -339,7 +342,7 @@
   for (;;) {
     fc_wake wake = fc_routine_park(deadline);
     if (self.signalled) return FC_WAKE_OK;
-    if (wake == FC_WAKE_OK) continue; /* woken for another reason */
+    if (wake == FC_WAKE_OK) continue; /* woken by something other than the broadcast */
     cond_remove(cond, &self);
     return wake;
   }
@@ -349,7 +352,7 @@
   struct fc_waiter *waiter = cond->first;
   cond->first = NULL;
   while (waiter) {
-    struct fc_waiter *next = waiter->next; /* on the stack of a routine that may end once it runs */
+    struct fc_waiter *next = waiter->next; /* the waiter is on the stack of the routine that is woken */
     waiter->signalled = true;
     fc_routine_wake(waiter->routine);
     waiter = next;
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -1,7 +1,7 @@
 /* Routines: stackful coroutines on one libev loop and one thread, one for each connection and each
  * long-lived task. A routine is suspended only inside the functions that say "May suspend the calling
- * routine": between them it sees no change made by others. Every such wait has a deadline and ends
- * early when the routine is cancelled. */
+ * routine": between them no other routine runs, so state that they share does not change. Every such
+ * wait has a deadline and ends early when the routine is cancelled. */
 #ifndef FC_TRANSPORT_ROUTINE_H
 #define FC_TRANSPORT_ROUTINE_H
 
@@ -15,24 +15,25 @@
 
 typedef enum { FC_WAKE_OK = 0, FC_WAKE_TIMEOUT = -1, FC_WAKE_CANCELLED = -2 } fc_wake;
 
-/* Prepares the loop; to be called once, before anything else here. False when libev offers none. */
+/* Creates the loop; to be called once, before any other function here but the clocks. False when libev
+ * has no usable backend. */
 bool fc_loop_init(void);
 struct ev_loop *fc_loop(void);
-/* Runs the loop; does not return while it has watchers. */
+/* Runs the loop; returns only when it has no watchers left. */
 void fc_loop_run(void);
 
-/* The monotonic clock, in seconds; all deadlines are times of it. */
+/* The monotonic clock, in seconds; all deadlines refer to it. */
 double fc_now(void);
-/* The time of day, in seconds. It may be wrong by as much as the platform states, so nothing that
- * has to be safe depends on it. */
+/* The time of day, in seconds since 1970. It may be wrong by the clock error that the platform states,
+ * so nothing that safety relies on uses it. */
 double fc_time_of_day(void);
 
-/* Starts a routine, which first runs once the caller is suspended or returns to the loop, and is freed
- * when `body` returns. NULL when memory is short. */
+/* Starts a routine. It first runs once the caller is suspended or returns to the loop; it is freed when
+ * `body` returns. NULL when memory is short. */
 fc_routine *fc_routine_spawn(fc_routine_fn body, void *arg);
-/* The calling routine; NULL outside of routines. */
+/* The calling routine; NULL outside routines. */
 fc_routine *fc_routine_self(void);
-/* Ends the present wait of a routine, and every later one, with FC_WAKE_CANCELLED. */
+/* Cancels a routine: its current wait and every later one end with FC_WAKE_CANCELLED. */
 void fc_routine_cancel(fc_routine *routine);
 /* Whether the calling routine was cancelled. */
 bool fc_routine_cancelled(void);
@@ -40,38 +41,38 @@
 
 /* What a group of routines has used since the process started. */
 typedef struct fc_usage {
-  uint64_t switches;     /* to one of them */
+  uint64_t switches;     /* context switches to one of them */
   uint64_t system_calls; /* on sockets */
   uint64_t bytes_in, bytes_out;
-  double busy_s; /* time that they ran, by the monotonic clock */
+  double busy_s; /* for which they ran, by the monotonic clock */
 } fc_usage;
 
-/* Accounts what the calling routine uses from now on to `usage`, which has to outlive it. Routines
- * that it starts inherit this. */
+/* Adds what the calling routine uses from now on to `usage`, which has to outlive the routine. Routines
+ * that it starts inherit `usage`. */
 void fc_routine_account(fc_usage *usage);
-/* Where the calling routine's use is accounted; never NULL. */
+/* Where the calling routine's usage is counted; never NULL. */
 fc_usage *fc_routine_usage(void);
 
-/* How many iterations the loop has made. */
+/* How many iterations the loop has run; wraps around. */
 unsigned fc_loop_iterations(void);
-/* How late timers fire, in seconds: the recent maximum, which halves every second. It grows when the
- * process gets less processor time than it needs. */
+/* How late timers fire, in seconds: the recent maximum, which decays with a half-life of one second. It
+ * grows when the process gets less processor time than it needs. */
 double fc_loop_lag(void);
 
-/* Waits until woken, cancelled or the deadline. May suspend the calling routine. */
+/* Waits until fc_routine_wake(), cancellation or the deadline. May suspend the calling routine. */
 fc_wake fc_routine_park(double deadline);
-/* Ends the wait of a routine in fc_routine_park(); without effect when it is not waiting. */
+/* Ends the wait of a routine in fc_routine_park(); no effect when it is not waiting. */
 void fc_routine_wake(fc_routine *routine);
-/* FC_WAKE_OK after that time. May suspend the calling routine. */
+/* Returns FC_WAKE_OK after `seconds`, FC_WAKE_CANCELLED on cancellation. May suspend the calling routine. */
 fc_wake fc_routine_sleep(double seconds);
 
-/* A condition variable of routines; zeroed: nobody waits. */
+/* A condition variable for routines; zeroed, it has no waiters. */
 typedef struct fc_cond {
   struct fc_waiter *first;
 } fc_cond;
 /* Waits for the next broadcast. May suspend the calling routine. */
 fc_wake fc_cond_wait(fc_cond *cond, double deadline);
-/* Wakes all routines that wait now. */
+/* Wakes all routines that are waiting for the condition now. */
 void fc_cond_broadcast(fc_cond *cond);
 
 #endif
