--- a/src/controller/client_server.c
+++ b/src/controller/client_server.c
@@ -56,7 +56,7 @@
   metrics->counters.requests++;
   fc_route route = fc_route_of(request->method, request->path, id, &allow);
   /* The last connections are for workers: users can come back for the next. */
-  response->close = request->crowded && route != FC_ROUTE_HEARTBEAT;
+  response->close = request->near_connection_limit && route != FC_ROUTE_HEARTBEAT;
   switch (route) {
     case FC_ROUTE_HEARTBEAT:
       fc_metrics_enter_duty(metrics, FC_DUTY_HEARTBEATS);
@@ -90,9 +90,9 @@
 bool fc_client_server_start(fc_client_server *server) {
   const fc_settings *settings = server->deps.settings;
   fc_http_server_options options = {
-      .most_connections = CLIENT_SOCKETS_SHARE(settings->fd_limit),
-      .idle_s = MAX(settings->lease_s * IDLE_LEASES, IDLE_MIN_S),
-      .request_s = settings->heartbeat_s * REQUEST_TIMEOUT_HEARTBEATS,
+      .max_connections = CLIENT_SOCKETS_SHARE(settings->fd_limit),
+      .idle_timeout_s = MAX(settings->lease_s * IDLE_LEASES, IDLE_MIN_S),
+      .request_timeout_s = settings->heartbeat_s * REQUEST_TIMEOUT_HEARTBEATS,
   };
   return fc_http_serve(&settings->client_at, &options, serve, server);
 }
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -181,7 +181,7 @@
 /* Serves HTTP on a connection whose first bytes were read as a frame's head. */
 static void serve_http(fc_view_receiver *receiver, fc_frame_reader *reader, const uint8_t *head) {
   const fc_settings *settings = receiver->deps.cluster->settings;
-  fc_http_server_options options = {.idle_s = settings->lease_s, .request_s = settings->heartbeat_s};
+  fc_http_server_options options = {.idle_timeout_s = settings->lease_s, .request_timeout_s = settings->heartbeat_s};
   uint8_t first[FC_FRAME_HEAD + sizeof reader->bytes];
   memcpy(first, head, FC_FRAME_HEAD);
   size_t more = fc_frame_reader_take_buffered(reader, first + FC_FRAME_HEAD, sizeof reader->bytes);
--- a/src/protocol/worker_api.c
+++ b/src/protocol/worker_api.c
@@ -211,7 +211,7 @@
                                      fc_heartbeat *heartbeat) {
   g_autoptr(GString) body = g_string_new(NULL);
   append_commands_body(body, fencing_token, epoch, commands, count);
-  fc_http_client *http = fc_http_client_new(at, FC_HTTP_BODY_MAX);
+  fc_http_client *http = fc_http_client_new(at, FC_HTTP_BODY_MAX_BYTES);
   fc_http_reply reply;
   bool answered = fc_http_call(http, "POST", CALL_PATH, body->str, body->len, deadline, &reply);
   fc_worker_call_result result = reply.unsent ? FC_WORKER_CALL_UNSENT : FC_WORKER_CALL_UNKNOWN;
--- a/src/transport/conn.c
+++ b/src/transport/conn.c
@@ -181,7 +181,7 @@
   size_t open_count, max_open; /* connections */
 };
 
-bool fc_conn_crowded(const fc_conn *conn) {
+bool fc_conn_near_limit(const fc_conn *conn) {
   const listener *listener = conn->accepted_by;
   return listener && listener->open_count * 5 >= listener->max_open * 4;
 }
--- a/src/transport/conn.h
+++ b/src/transport/conn.h
@@ -36,7 +36,7 @@
 uint64_t fc_conn_number(const fc_conn *conn);
 /* Whether the listener that accepted the connection has 80 % or more of its connections open. False
  * for a connection made by fc_conn_connect(). */
-bool fc_conn_crowded(const fc_conn *conn);
+bool fc_conn_near_limit(const fc_conn *conn);
 /* Closes and frees the connection; does nothing for NULL. */
 void fc_conn_close(fc_conn *conn);
 
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -11,7 +11,7 @@
 #include "transport/conn.h"
 
 /* The largest body of a request that the server accepts. */
-#define FC_HTTP_BODY_MAX ((size_t)64 * 1024)
+#define FC_HTTP_BODY_MAX_BYTES ((size_t)64 * 1024)
 
 /* A request to the server; valid only while the handler runs. */
 typedef struct fc_http_request {
@@ -20,9 +20,9 @@
   const char *query; /* after the "?"; "" when there is none */
   const char *body;  /* followed by a NUL that body_len does not count */
   size_t body_len;
-  uint64_t connection; /* fc_conn_number(); 0: unknown. The next request of a connection is read only
-                          after the answer to the last one was sent */
-  bool crowded;        /* fc_conn_crowded(): the handler should close connections that it can spare */
+  uint64_t connection;        /* fc_conn_number(); 0: unknown. The next request of a connection is read only
+                                 after the answer to the last one was sent */
+  bool near_connection_limit; /* fc_conn_near_limit(): the handler should close connections that it can spare */
 } fc_http_request;
 
 typedef struct fc_http_response {
@@ -38,9 +38,9 @@
 typedef void (*fc_http_handler)(const fc_http_request *req, fc_http_response *res, void *arg);
 
 typedef struct fc_http_server_options {
-  size_t most_connections;
-  double idle_s;    /* a connection without a request is closed after this time */
-  double request_s; /* limit for receiving a request after its first bytes, and for sending its answer */
+  size_t max_connections;
+  double idle_timeout_s;    /* a connection without a request is closed after this time */
+  double request_timeout_s; /* limit for receiving a request after its first bytes, and for sending its answer */
 } fc_http_server_options;
 
 /* Serves requests until the process ends. False when the address cannot be listened on. */
@@ -61,9 +61,9 @@
   int retry_after_s;
 } fc_http_reply;
 
-/* Creates a client of one server; it reads answers with bodies of up to `most_body` bytes. The caller frees
+/* Creates a client of one server; it reads answers with bodies of up to `max_body_bytes` bytes. The caller frees
  * it. */
-fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t most_body);
+fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t max_body_bytes);
 void fc_http_client_free(fc_http_client *client);
 /* Sends a request and waits for its answer until the deadline; a NULL body: none. True when a complete
  * answer was received, whatever its status. In any case the caller frees the reply with
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -50,7 +50,7 @@
 
 static int on_body(http_parser *parser, const char *bytes, size_t length) {
   parsed_request *parsed = parser->data;
-  return append_bounded(parsed, parsed->body, bytes, length, FC_HTTP_BODY_MAX);
+  return append_bounded(parsed, parsed->body, bytes, length, FC_HTTP_BODY_MAX_BYTES);
 }
 
 static int on_complete(http_parser *parser) {
@@ -120,14 +120,14 @@
 /* Reads one request; false: the connection is to be closed. */
 static bool read_request(server *server, fc_conn *conn, http_parser *parser) {
   const parsed_request *parsed = parser->data;
-  double deadline = fc_now() + server->opt.idle_s;
+  double deadline = fc_now() + server->opt.idle_timeout_s;
   bool started = false; /* its first bytes are here */
   while (!parsed->complete) {
     ssize_t received = read_input(server, conn, deadline);
     if (received <= 0) return false;
     if (!started) {
       started = true;
-      deadline = fc_now() + server->opt.request_s;
+      deadline = fc_now() + server->opt.request_timeout_s;
     }
     http_parser_execute(parser, &k_settings, g_input, (size_t)received);
     enum http_errno error = HTTP_PARSER_ERRNO(parser);
@@ -151,13 +151,13 @@
       .body = parsed->body->str,
       .body_len = parsed->body->len,
       .connection = fc_conn_number(conn),
-      .crowded = fc_conn_crowded(conn),
+      .near_connection_limit = fc_conn_near_limit(conn),
   };
   g_autoptr(GString) body = g_string_new(NULL);
   fc_http_response res = {.status = HTTP_STATUS_INTERNAL_SERVER_ERROR, .body = body};
   server->handler(&req, &res, server->arg);
   keep_alive = keep_alive && !res.close && !fc_routine_cancelled();
-  return send_response(conn, &res, keep_alive, fc_now() + server->opt.request_s) && keep_alive;
+  return send_response(conn, &res, keep_alive, fc_now() + server->opt.request_timeout_s) && keep_alive;
 }
 
 /* Serves one request; false: the connection is to be closed. */
@@ -189,7 +189,7 @@
   server->opt = *opt;
   server->handler = handler;
   server->arg = arg;
-  if (fc_listen(at, opt->most_connections, serve_conn, server)) return true;
+  if (fc_listen(at, opt->max_connections, serve_conn, server)) return true;
   g_free(server);
   return false;
 }
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -259,8 +259,8 @@
   fc_endpoint to;
 };
 
-fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t most_body) {
-  (void)most_body;
+fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t max_body_bytes) {
+  (void)max_body_bytes;
   fc_http_client *client = g_new0(fc_http_client, 1);
   client->to = *to;
   return client;
--- a/tests/test_cost.c
+++ b/tests/test_cost.c
@@ -40,7 +40,8 @@
 static int listen_somewhere(void **state) {
   (void)state;
   if (!fc_loop_init()) return -1;
-  const fc_http_server_options options = {.most_connections = 64, .idle_s = LIMIT_S, .request_s = LIMIT_S};
+  const fc_http_server_options options = {
+      .max_connections = 64, .idle_timeout_s = LIMIT_S, .request_timeout_s = LIMIT_S};
   for (g_port = 28280; g_port < 28380; g_port++) {
     const fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
     if (fc_http_serve(&at, &options, handle, NULL)) return 0;
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -105,7 +105,7 @@
 static void clients(void **state) {
   (void)state;
   assert_true(fc_loop_init());
-  fc_http_server_options opt = {.most_connections = MOST, .idle_s = 0.3, .request_s = 0.2};
+  fc_http_server_options opt = {.max_connections = MOST, .idle_timeout_s = 0.3, .request_timeout_s = 0.2};
   bool listening = false;
   for (g_port = 28080; g_port < 28180 && !listening; g_port++) {
     fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
@@ -127,7 +127,7 @@
 
 typedef struct bounded {
   const char *name;
-  size_t most_body; /* the answer has two bytes */
+  size_t max_body_bytes; /* the answer has two bytes */
   bool ok, too_large;
 } bounded;
 
@@ -136,7 +136,7 @@
   fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
   uint64_t before = 0;
   for (int i = 0; i < 3; i++) {
-    fc_http_client *client = fc_http_client_new(&at, rows[i].most_body);
+    fc_http_client *client = fc_http_client_new(&at, rows[i].max_body_bytes);
     uint64_t first = 0;
     for (int k = 0; k < 2; k++) {
       fc_http_reply reply;
