--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -38,7 +38,7 @@
 typedef void (*fc_http_handler)(const fc_http_request *req, fc_http_response *res, void *arg);
 
 typedef struct fc_http_server_options {
-  size_t max_connections;
+  size_t max_connections;   /* open at a time; not used by fc_http_serve_conn() */
   double idle_timeout_s;    /* a connection without a request is closed after this time */
   double request_timeout_s; /* limit for receiving a request after its first bytes, and for sending its answer */
 } fc_http_server_options;
@@ -61,7 +61,7 @@
   int retry_after_s;
 } fc_http_reply;
 
-/* Creates a client of one server; it reads answers with bodies of up to `max_body_bytes` bytes. The caller frees
+/* Creates a client of one server, which reads answers with bodies of up to `max_body_bytes`. The caller frees
  * it. */
 fc_http_client *fc_http_client_new(const fc_endpoint *to, size_t max_body_bytes);
 void fc_http_client_free(fc_http_client *client);
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# The command line and the settings' errors: output and exit codes.
+# Output and exit codes of the command line and of errors in the settings.
 set -u
 bin=$1
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 failed=0
-expect() { # name, exit code, text that the output must hold, command...
+expect() { # name, exit code, text that the output must contain, command...
   local name=$1 code=$2 text=$3
   shift 3
   local out got
   out=$("$@" 2>&1)
   got=$?
   if [ "$got" != "$code" ] || [[ "$out" != *"$text"* ]]; then
-    echo "not so: $name: exit $got, output: $out"
+    echo "failed: $name: exit code $got instead of $code, output: $out"
     failed=1
   fi
 }
@@ -58,7 +58,7 @@
 too small later transactions|"txn_ops":8|"txn_ops":8,"next":{"txn_ops":1}|settings.state.next.txn_ops
 no zones|"zones":\["z1"\]|"zones":[]|settings.zones
 R
-# Tight limits are told, and no more: the settings are good.
+# Tight limits only cause a warning: the settings are accepted.
 while IFS='|' read -r name from to text; do
   sed "s/$from/$to/" "$dir/good.json" > "$dir/tight.json"
   expect "$name" 0 "warning: $text" "$bin" --check --config "$dir/tight.json"
@@ -68,7 +68,7 @@
 tight memory|"memory_mb":56.0|"memory_mb":6|settings.limits.memory_mb
 tight sockets|"fd_limit":900|"fd_limit":48|settings.limits.fd_limit
 R
-# Limits that the key-value store will have: all of them, some, none, and unknown ones.
+# Announced limits of the key-value store (state.next): all of them, some, none, and unknown ones.
 while IFS='|' read -r name to; do
   sed "s/\"txn_ops\":8/\"txn_ops\":8,\"next\":$to/" "$dir/good.json" > "$dir/next.json"
   expect "$name" 0 "settings are good" "$bin" --check --config "$dir/next.json"
@@ -80,8 +80,8 @@
 a later limit that is null|{"value_kb":null,"txn_ops":4}
 unknown later limits|{"new":"x"}
 R
-roomy=$("$bin" --check --config "$dir/good.json" 2>&1)
-[ "$roomy" = "settings are good" ] || { echo "not so: no warning with roomy limits: $roomy"; failed=1; }
+ample=$("$bin" --check --config "$dir/good.json" 2>&1)
+[ "$ample" = "settings are good" ] || { echo "failed: no warning with ample limits: $ample"; failed=1; }
 printf '[scheduler]\nround_s = 1.0\n[machines]\nrent = false\n' > "$dir/op.toml"
 expect "operators' settings" 0 good "$bin" --check --operator "$dir/op.toml" --config "$dir/good.json"
 printf '[scheduler]\nround = 1.0\n' > "$dir/op.toml"
--- a/tests/no_leak_check.c
+++ b/tests/no_leak_check.c
@@ -1,7 +1,7 @@
-/* Linked with the tests whose processes end without freeing anything: simulated ones,
- * which are killed in the middle of their work, and children that are forked. */
+/* Turns off leak detection. Linked with tests whose processes end without freeing their memory: simulated
+ * processes, which are killed in the middle of their work, and forked children. */
 
-/* The name is the sanitizer's. */
+/* AddressSanitizer defines the name. */
 // NOLINTNEXTLINE(bugprone-reserved-identifier,readability-identifier-naming)
 const char *__asan_default_options(void);
 // NOLINTNEXTLINE(bugprone-reserved-identifier,readability-identifier-naming)
--- a/tests/test_cost.c
+++ b/tests/test_cost.c
@@ -1,5 +1,5 @@
-/* What the transport costs, counted in system calls on loopback. On a small share of a
- * processor they are most of what a message costs, so each is asked for. */
+/* The cost of the transport in system calls, over loopback sockets. With a small share of a processor they
+ * are most of what a message costs, so every additional one has to be justified. */
 #include "check.h"
 
 #include <arpa/inet.h>
@@ -10,10 +10,10 @@
 #include "transport/http.h"
 #include "transport/routine.h"
 
-#define CALLS 100u
+#define REQUESTS 100u
 #define LIMIT_S 20.0
 
-/* These stand in for the C library's, so that libev's calls are counted too. */
+/* Replace those of the C library, so that libev's calls are counted, too. */
 static unsigned g_epoll_controls, g_epoll_waits;
 
 int epoll_ctl(int epfd, int op, int fd, struct epoll_event *event) {
@@ -37,7 +37,7 @@
   g_string_append(res->body, "{}");
 }
 
-static int listen_somewhere(void **state) {
+static int start_server(void **state) {
   (void)state;
   if (!fc_loop_init()) return -1;
   const fc_http_server_options options = {
@@ -49,21 +49,21 @@
   return -1;
 }
 
-typedef struct calls {
-  bool keep;           /* one connection for all of them */
+typedef struct client_run {
+  bool reuse;          /* one connection for all requests */
   unsigned unanswered; /* out */
-} calls;
+} client_run;
 
 static void call_main(void *arg) {
-  calls *c = arg;
+  client_run *run = arg;
   const fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
   fc_routine_account(&g_client);
   fc_http_client *client = fc_http_client_new(&at, 1024);
-  for (unsigned i = 0; i < CALLS; i++) {
+  for (unsigned i = 0; i < REQUESTS; i++) {
     fc_http_reply reply;
-    if (!fc_http_call(client, "POST", "/checkin", "{}", 2, fc_now() + LIMIT_S, &reply)) c->unanswered++;
+    if (!fc_http_call(client, "POST", "/checkin", "{}", 2, fc_now() + LIMIT_S, &reply)) run->unanswered++;
     fc_http_reply_clear(&reply);
-    if (c->keep) continue;
+    if (run->reuse) continue;
     fc_http_client_free(client);
     client = fc_http_client_new(&at, 1024);
   }
@@ -71,29 +71,29 @@
   ev_break(fc_loop(), EVBREAK_ALL);
 }
 
-/* System calls for each request, on the side that answers and on the one that asks. */
-static void system_calls_for_a_request(void **state) {
+/* System calls per request, of the server and of the client, stay below their limits. */
+static void system_calls_per_request(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    bool keep;
-    double server, client;  /* on sockets */
-    double controls, waits; /* of epoll, both sides together */
+    bool reuse;
+    double server, client;  /* limit of system calls on sockets */
+    double controls, waits; /* limit of epoll_ctl() and epoll_wait(), both sides together */
   } rows[] = {
-      {"on a kept connection: one to read, one to write", true, 2.1, 2.1, 0.1, 2.2},
-      {"on a connection of its own", false, 5, 7, 4.1, 4.2},
+      {"on a reused connection: one read, one write", true, 2.1, 2.1, 0.1, 2.2},
+      {"on a new connection", false, 5, 7, 4.1, 4.2},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-    calls c = {.keep = rows[i].keep};
+    client_run run = {.reuse = rows[i].reuse};
     g_server = g_client = (fc_usage){0};
     g_epoll_controls = g_epoll_waits = 0;
-    assert_non_null(fc_routine_spawn(call_main, &c));
+    assert_non_null(fc_routine_spawn(call_main, &run));
     fc_loop_run();
-    const double server = (double)g_server.system_calls / CALLS, client = (double)g_client.system_calls / CALLS;
-    const double controls = (double)g_epoll_controls / CALLS, waits = (double)g_epoll_waits / CALLS;
+    const double server = (double)g_server.system_calls / REQUESTS, client = (double)g_client.system_calls / REQUESTS;
+    const double controls = (double)g_epoll_controls / REQUESTS, waits = (double)g_epoll_waits / REQUESTS;
     print_message("%s: %.2f and %.2f on sockets, %.2f epoll_ctl, %.2f epoll_wait\n", rows[i].name, server, client,
                   controls, waits);
-    check_row(rows[i].name, c.unanswered == 0);
+    check_row(rows[i].name, run.unanswered == 0);
     check_row(rows[i].name, server > 0 && server <= rows[i].server);
     check_row(rows[i].name, client > 0 && client <= rows[i].client);
     check_row(rows[i].name, controls <= rows[i].controls);
@@ -101,16 +101,17 @@
   }
 }
 
-enum { LINKS = 3, CHAINS = 50 };
+/* A chain: routines that wait for conditions and wake each other in turn. */
+enum { CHAIN_LENGTH = 3, CHAINS = 50 };
 
-static fc_cond g_links[LINKS + 1];
-static unsigned g_arrived;
+static fc_cond g_links[CHAIN_LENGTH + 1];
+static unsigned g_wakes;
 
 static void link_main(void *arg) {
   const unsigned at = GPOINTER_TO_UINT(arg);
   for (unsigned i = 0; i < CHAINS; i++) {
     if (fc_cond_wait(&g_links[at], fc_now() + LIMIT_S) != FC_WAKE_OK) return;
-    g_arrived++;
+    g_wakes++;
     fc_cond_broadcast(&g_links[at + 1]);
   }
 }
@@ -124,59 +125,59 @@
   ev_break(fc_loop(), EVBREAK_ALL);
 }
 
-/* A routine that wakes another that wakes another: they run without a look at the
- * sockets between them. */
-static void turns_for_a_chain_of_wakes(void **state) {
+/* Routines that wake each other in turn all run before the sockets are polled again. */
+static void polls_per_chain_of_wakes(void **state) {
   (void)state;
-  for (unsigned at = 0; at < LINKS; at++) assert_non_null(fc_routine_spawn(link_main, GUINT_TO_POINTER(at)));
+  for (unsigned at = 0; at < CHAIN_LENGTH; at++) assert_non_null(fc_routine_spawn(link_main, GUINT_TO_POINTER(at)));
   assert_non_null(fc_routine_spawn(chain_main, NULL));
-  g_arrived = g_epoll_waits = 0;
+  g_wakes = g_epoll_waits = 0;
   fc_loop_run();
-  print_message("%u epoll_wait for %u chains of %u\n", g_epoll_waits, CHAINS, LINKS);
-  assert_int_equal(g_arrived, CHAINS * LINKS);
+  print_message("%u epoll_wait for %u chains of %u\n", g_epoll_waits, CHAINS, CHAIN_LENGTH);
+  assert_int_equal(g_wakes, CHAINS * CHAIN_LENGTH);
   assert_true(g_epoll_waits <= CHAINS * 2);
 }
 
-typedef struct duty {
+typedef struct usage_run {
   fc_usage *usage;
-  bool child, parent; /* out: it ran, and with the parent's account */
-} duty;
+  bool child_ran, child_inherited; /* out: the child ran, and its usage was counted with the parent's */
+} usage_run;
 
 static void child_main(void *arg) {
-  duty *d = arg;
-  d->child = true;
-  d->parent = fc_routine_usage() == d->usage;
+  usage_run *run = arg;
+  run->child_ran = true;
+  run->child_inherited = fc_routine_usage() == run->usage;
   ev_break(fc_loop(), EVBREAK_ALL);
 }
 
-static void duty_main(void *arg) {
-  duty *d = arg;
-  fc_routine_account(d->usage);
+static void parent_main(void *arg) {
+  usage_run *run = arg;
+  fc_routine_account(run->usage);
   for (unsigned i = 0; i < CHAINS; i++) (void)fc_routine_sleep(0.001);
-  (void)fc_routine_spawn(child_main, d);
+  (void)fc_routine_spawn(child_main, run);
 }
 
-/* Use is counted where the routine says, and what it starts begins there. */
-static void use_is_counted_by_duty(void **state) {
+/* Usage is counted where the routine chooses with fc_routine_account(), and the routines that it starts inherit
+ * the choice. */
+static void usage_is_accounted(void **state) {
   (void)state;
   fc_usage usage = {0};
-  duty d = {.usage = &usage};
-  unsigned turns = fc_loop_iterations();
-  assert_non_null(fc_routine_spawn(duty_main, &d));
+  usage_run run = {.usage = &usage};
+  unsigned iterations = fc_loop_iterations();
+  assert_non_null(fc_routine_spawn(parent_main, &run));
   fc_loop_run();
-  assert_true(d.child && d.parent);
-  /* Its first switch came before it had named the duty; the child's counts, too. */
+  assert_true(run.child_ran && run.child_inherited);
+  /* The parent's first switch came before fc_routine_account(); the child's one is counted. */
   assert_int_equal(usage.switches, CHAINS + 1);
   assert_true(usage.busy_s > 0);
   assert_int_equal(usage.system_calls, 0);
-  assert_true(fc_loop_iterations() - turns >= CHAINS);
+  assert_true(fc_loop_iterations() - iterations >= CHAINS);
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(system_calls_for_a_request),
-      cmocka_unit_test(turns_for_a_chain_of_wakes),
-      cmocka_unit_test(use_is_counted_by_duty),
+      cmocka_unit_test(system_calls_per_request),
+      cmocka_unit_test(polls_per_chain_of_wakes),
+      cmocka_unit_test(usage_is_accounted),
   };
-  return cmocka_run_group_tests(tests, listen_somewhere, NULL);
+  return cmocka_run_group_tests(tests, start_server, NULL);
 }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,5 +1,5 @@
-/* The bytes of requests and answers, as recorded in fixtures/golden.txt: what users, workers,
- * the cloud and the key-value store see must not change with names inside the program. */
+/* Compares the bytes of requests, answers and stored records with fixtures/golden.txt: what users, workers,
+ * the cloud and the key-value store see must not change when names inside the program change. */
 #include "golden.h"
 
 #include <arpa/inet.h>
@@ -28,30 +28,33 @@
   const char *method, *path, *body;
 } exchange;
 
-static void check_reply(const char *name, const world_reply *r) {
-  char *bytes = r->retry_after ? g_strdup_printf("%d Retry-After: %d %s", r->status, r->retry_after, r->body)
-                               : g_strdup_printf("%d %s", r->status, r->body);
+static void check_reply(const char *name, const world_reply *reply) {
+  char *bytes = reply->retry_after
+                    ? g_strdup_printf("%d Retry-After: %d %s", reply->status, reply->retry_after, reply->body)
+                    : g_strdup_printf("%d %s", reply->status, reply->body);
   golden_check(name, bytes);
   g_free(bytes);
 }
 
-static void exchange_all(const exchange *rows, size_t count) {
+/* Sends the requests of all rows and compares their answers. */
+static void check_exchanges(const exchange *rows, size_t count) {
   for (size_t i = 0; i < count; i++) {
-    world_reply r = world_request(rows[i].node, rows[i].method, rows[i].path, rows[i].body);
-    check_reply(rows[i].name, &r);
+    world_reply reply = world_request(rows[i].node, rows[i].method, rows[i].path, rows[i].body);
+    check_reply(rows[i].name, &reply);
   }
 }
 
-/* Three controllers that hold the leases they need, with two machines. */
-static void set_up(void) {
+/* Three controllers that hold their leases, and two machines. */
+static void start_scene(void) {
   scene_begin(&(scene_setup){.seed = 1, .capacity = 4, .keep_idle = true, .images_cached = true, .machines = {2, 0}});
   sim_run_until(sim_now() + 10);
 }
 
-static void wait_until_told(const char *path, const char *text) {
-  double patience = sim_now() + 60;
+/* Repeats a GET request until the answer contains `text`. */
+static void wait_for_answer(const char *path, const char *text) {
+  double deadline = sim_now() + 60;
   while (!strstr(world_request(0, "GET", path, "").body, text)) {
-    if (sim_now() > patience) fail_msg("%s: never %s", path, text);
+    if (sim_now() > deadline) fail_msg("%s: no answer contained %s", path, text);
     sim_run_until(sim_now() + 0.25);
   }
 }
@@ -91,13 +94,13 @@
       {"user: awaits a cancelled job", 0, "POST", "/api/jobs",
        JOB("job-000004", "red", "1", ",\"awaits\":[\"job-000003\"]")},
   };
-  set_up();
+  start_scene();
   world_add_job("job-000001", "sweep", 2, 1, 8);
-  exchange_all(before, G_N_ELEMENTS(before));
-  wait_until_told("/api/jobs/job-000001", "\"running\":2");
-  exchange_all(&(exchange){"user: running", 0, "GET", "/api/jobs/job-000001", ""}, 1);
-  wait_until_told("/api/jobs/job-000001", "\"done\":2");
-  exchange_all(after, G_N_ELEMENTS(after));
+  check_exchanges(before, G_N_ELEMENTS(before));
+  wait_for_answer("/api/jobs/job-000001", "\"running\":2");
+  check_exchanges(&(exchange){"user: running", 0, "GET", "/api/jobs/job-000001", ""}, 1);
+  wait_for_answer("/api/jobs/job-000001", "\"done\":2");
+  check_exchanges(after, G_N_ELEMENTS(after));
 }
 
 static void refusals_in_an_outage(void **state) {
@@ -108,12 +111,12 @@
       {"user: outage, asked", 0, "GET", "/api/jobs/job-000001", ""},
       {"user: outage, withdrawn", 0, "POST", "/api/jobs/job-000001/withdraw", ""},
   };
-  set_up();
+  start_scene();
   assert_int_equal(world_request(0, "POST", "/api/jobs", JOB("job-000001", "red", "4", "")).status, 201);
   sim_run_until(sim_now() + 2);
   kv_set_down(true);
   sim_run_until(sim_now() + 6);
-  exchange_all(rows, G_N_ELEMENTS(rows));
+  check_exchanges(rows, G_N_ELEMENTS(rows));
 }
 
 static void refusals_before_types_are_known(void **state) {
@@ -126,15 +129,15 @@
   world_cloud_down(true);
   world_start_nodes();
   sim_run_until(sim_now() + 6);
-  exchange_all(rows, G_N_ELEMENTS(rows));
+  check_exchanges(rows, G_N_ELEMENTS(rows));
 }
 
 static void refusal_of_too_many(void **state) {
   (void)state;
-  enum { MANY = 400 };
-  static world_reply replies[MANY];
-  set_up();
-  for (unsigned i = 0; i < MANY; i++) {
+  enum { SUBMISSIONS = 400 };
+  static world_reply replies[SUBMISSIONS];
+  start_scene();
+  for (unsigned i = 0; i < SUBMISSIONS; i++) {
     char **parts = g_strsplit(JOB("job-ID", "red", "1", ""), "ID", 2);
     char *id = g_strdup_printf("%06u", i + 1), *body = g_strjoinv(id, parts);
     world_send(&replies[i], 0, "POST", "/api/jobs", body);
@@ -144,8 +147,8 @@
   }
   sim_run_until(sim_now() + 10);
   unsigned i = 0;
-  while (i < MANY && replies[i].status != 429) i++;
-  assert_true(i < MANY);
+  while (i < SUBMISSIONS && replies[i].status != 429) i++;
+  assert_true(i < SUBMISSIONS);
   check_reply("user: too many", &replies[i]);
 }
 
@@ -164,14 +167,14 @@
       {"worker: unknown machine", 0, "POST", "/checkin", CHECKIN("vm-999999", "0")},
       {"worker: wrong method", 0, "GET", "/checkin", ""},
   };
-  set_up();
-  exchange_all(rows, G_N_ELEMENTS(rows));
-  /* One of the three is responsible for the machine, and the others name it. */
+  start_scene();
+  check_exchanges(rows, G_N_ELEMENTS(rows));
+  /* The owner of the machine answers its report; the other two controllers redirect it to the owner. */
   world_reply answered = {0}, redirected = {0};
   for (unsigned n = 0; n < WORLD_NODES; n++) {
-    world_reply r = world_request(n, "POST", "/checkin", CHECKIN("vm-000000", "0"));
-    if (r.status == 200) answered = r;
-    if (r.status == 421) redirected = r;
+    world_reply reply = world_request(n, "POST", "/checkin", CHECKIN("vm-000000", "0"));
+    if (reply.status == 200) answered = reply;
+    if (reply.status == 421) redirected = reply;
   }
   check_reply("worker: answered", &answered);
   check_reply("worker: redirected", &redirected);
@@ -194,7 +197,7 @@
   g_string_free(out, TRUE);
 }
 
-/* Takes the reference. */
+/* Compares the JSON text of a stored value; takes over the caller's reference to it. */
 static void check_stored(const char *name, json_t *value) {
   GString *out = g_string_new(NULL);
   fc_json_append(out, value);
@@ -202,7 +205,7 @@
   g_string_free(out, TRUE);
 }
 
-/* What test_compat.c doesn't hold: keys, and the records that are newer than its fixtures. */
+/* What test_compat.c does not cover: the keys, and records that are newer than its fixtures. */
 static void stored_records(void **state) {
   (void)state;
   static const char submission[] = JOB("job-000007", "red", "1", ",\"awaits\":[\"job-000398\",\"job-000405\"]");
@@ -227,86 +230,87 @@
   fc_job_spec_clear(&record.spec);
 }
 
-/* What the server at one address is asked: each request goes on as the next name says. */
+/* The requests that a server receives: each is compared with the line recorded as g_request_name. */
 #define SERVER_IP IP(10, 9, 0, 1)
 #define CALLER_IP IP(10, 9, 0, 2)
 
-static const char *g_asked_as;
+static const char *g_request_name;
 
-static void record_request(const sim_request *r, void *arg) {
+static void check_request(const sim_request *request, void *arg) {
   (void)arg;
-  char *bytes = g_strdup_printf("%s %s %s", r->method, r->path, r->body);
-  golden_check(g_asked_as, bytes);
+  char *bytes = g_strdup_printf("%s %s %s", request->method, request->path, request->body);
+  golden_check(g_request_name, bytes);
   g_free(bytes);
-  sim_answer(r->exchange, 503, "{}");
+  sim_answer(request->exchange, 503, "{}");
 }
 
-#define ASK(name, call) (g_asked_as = (name), (void)(call))
+/* Makes a call whose request has to be as recorded under `name`. */
+#define CHECK_REQUEST(name, call) (g_request_name = (name), (void)(call))
 
-static void ask_cloud(fc_cloud *cloud, double until) {
+static void call_cloud(fc_cloud *cloud, double until) {
   static const char *const ids[] = {"vm-000231", "vm-000232"};
   GPtrArray *out = g_ptr_array_new();
   bool more;
-  ASK("cloud: types", fc_cloud_types(cloud, until, out));
-  ASK("cloud: rent", fc_cloud_rent(cloud, "r-17", "g8", "a", true, 12, until, out));
-  ASK("cloud: rent ordinary", fc_cloud_rent(cloud, "r-18", "g8", "b", false, 1, until, out));
-  ASK("cloud: release", fc_cloud_release(cloud, ids, G_N_ELEMENTS(ids), until));
-  ASK("cloud: first page", fc_cloud_list(cloud, NULL, 500, until, out, &more));
-  ASK("cloud: next page", fc_cloud_list(cloud, "vm-000230", 500, until, out, &more));
+  CHECK_REQUEST("cloud: types", fc_cloud_types(cloud, until, out));
+  CHECK_REQUEST("cloud: rent", fc_cloud_rent(cloud, "r-17", "g8", "a", true, 12, until, out));
+  CHECK_REQUEST("cloud: rent ordinary", fc_cloud_rent(cloud, "r-18", "g8", "b", false, 1, until, out));
+  CHECK_REQUEST("cloud: release", fc_cloud_release(cloud, ids, G_N_ELEMENTS(ids), until));
+  CHECK_REQUEST("cloud: first page", fc_cloud_list(cloud, NULL, 500, until, out, &more));
+  CHECK_REQUEST("cloud: next page", fc_cloud_list(cloud, "vm-000230", 500, until, out, &more));
   g_ptr_array_free(out, TRUE);
 }
 
-static void ask_state(fc_kv *service, double until) {
+static void call_kv_store(fc_kv *kv, double until) {
   GPtrArray *out = g_ptr_array_new();
   bool more;
   uint64_t number;
   json_t *value;
   fc_txn *txn = fc_txn_new();
-  ASK("state: empty commit", fc_kv_commit(service, txn, until, &number, NULL));
+  CHECK_REQUEST("state: empty commit", fc_kv_commit(kv, txn, until, &number, NULL));
   fc_txn_compare(txn, "a/b", 0);
   fc_txn_compare(txn, "c/d", 412);
   fc_txn_put(txn, "a/b", json_pack("{si}", "f", 1));
   fc_txn_put_leased(txn, "a/c", json_pack("{si}", "f", 1), 7);
   fc_txn_delete(txn, "c/d");
-  ASK("state: commit", fc_kv_commit(service, txn, until, &number, NULL));
+  CHECK_REQUEST("state: commit", fc_kv_commit(kv, txn, until, &number, NULL));
   fc_txn_free(txn);
-  ASK("state: key", fc_kv_get(service, "a/b", until, &value));
-  ASK("state: first page", fc_kv_list(service, "c/", NULL, 200, until, out, &more, &number));
-  ASK("state: next page", fc_kv_list(service, "c/", "c/7", 200, until, out, &more, &number));
-  ASK("state: changes", fc_kv_changes(service, "c/", 431, 10, until, out, &number));
-  ASK("state: lease", fc_kv_lease_open(service, 5, until, &number));
-  ASK("state: renewal", fc_kv_lease_renew(service, 7, until));
+  CHECK_REQUEST("state: key", fc_kv_get(kv, "a/b", until, &value));
+  CHECK_REQUEST("state: first page", fc_kv_list(kv, "c/", NULL, 200, until, out, &more, &number));
+  CHECK_REQUEST("state: next page", fc_kv_list(kv, "c/", "c/7", 200, until, out, &more, &number));
+  CHECK_REQUEST("state: changes", fc_kv_changes(kv, "c/", 431, 10, until, out, &number));
+  CHECK_REQUEST("state: lease", fc_kv_lease_open(kv, 5, until, &number));
+  CHECK_REQUEST("state: renewal", fc_kv_lease_renew(kv, 7, until));
   g_ptr_array_free(out, TRUE);
 }
 
-static void ask_main(void *arg) {
+static void caller_main(void *arg) {
   const fc_endpoint at = {.ip = htonl(SERVER_IP), .port = 9000};
   double until = fc_now() + 20;
   fc_cloud *cloud = fc_cloud_new(&at);
-  ask_cloud(cloud, until);
+  call_cloud(cloud, until);
   fc_cloud_free(cloud);
-  fc_kv *service = fc_kv_new(&at);
-  ask_state(service, until);
-  fc_kv_free(service);
+  fc_kv *kv = fc_kv_new(&at);
+  call_kv_store(kv, until);
+  fc_kv_free(kv);
   fc_heartbeat report;
-  ASK("worker: orders", fc_worker_call(&at, 41, 3, k_commands, G_N_ELEMENTS(k_commands), until, &report));
-  ASK("worker: asked", fc_worker_call(&at, 41, 3, NULL, 0, until, &report));
+  CHECK_REQUEST("worker: orders", fc_worker_call(&at, 41, 3, k_commands, G_N_ELEMENTS(k_commands), until, &report));
+  CHECK_REQUEST("worker: asked", fc_worker_call(&at, 41, 3, NULL, 0, until, &report));
   *(bool *)arg = true;
 }
 
 static void caller_start(void *arg) {
-  assert_true(fc_routine_spawn(ask_main, arg) != NULL);
+  assert_true(fc_routine_spawn(caller_main, arg) != NULL);
 }
 
 static void requests_to_others(void **state) {
   (void)state;
-  bool asked = false;
+  bool finished = false;
   sim_init(1);
   sim_set_links(NULL, 0, 0);
-  sim_serve(SERVER_IP, record_request, NULL);
-  sim_process_start(CALLER_IP, caller_start, &asked);
+  sim_serve(SERVER_IP, check_request, NULL);
+  sim_process_start(CALLER_IP, caller_start, &finished);
   sim_run_until(sim_now() + 20);
-  assert_true(asked);
+  assert_true(finished);
 }
 
 static void all_as_recorded(void **state) {
--- a/tests/test_golden_process.c
+++ b/tests/test_golden_process.c
@@ -1,5 +1,6 @@
-/* Whole messages and log lines of the program itself, over sockets, as recorded in
- * fixtures/golden.txt. The key-value store and the cloud are a thread with fixed answers. */
+/* Compares complete messages and log lines of the program, run as a process of its own and asked over
+ * sockets, with fixtures/golden.txt. A thread with fixed answers stands in for the key-value store and the
+ * cloud. */
 #include "golden.h"
 
 #include <arpa/inet.h>
@@ -11,11 +12,11 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define PATIENCE_S 20
-#define MESSAGE_MOST 65536u
-#define CHANGES_PAUSE_US 20000 /* nothing ever changes: a little of the time that the program would wait */
+#define TIMEOUT_S 20
+#define MESSAGE_MAX_BYTES 65536u
+#define CHANGES_DELAY_US 20000 /* of the empty answer to a long poll; much less than it allows */
 
-/* ---- the services that the program asks ---- */
+/* ---- the key-value store and the cloud ---- */
 
 #define SPEC(id)                                                                                           \
   "{\"id\":\"" id                                                                                          \
@@ -28,7 +29,7 @@
                                                                                 "\",\"slices\":1,\"term\":1}}"
 
 static const struct {
-  const char *asked, *answer;
+  const char *request_prefix, *body;
 } k_answers[] = {
     {"GET /flavors",
      "{\"builds\":[{\"name\":\"g4\",\"cpus\":40,\"gpus\":4,\"memGb\":400,\"cacheGb\":100,\"pullGbPerS\":1,"
@@ -44,38 +45,38 @@
     {"GET /changes?", "{\"round\":5,\"events\":[]}"},
 };
 
-static char *g_asked[G_N_ELEMENTS(k_answers)]; /* the first of each, once it has come */
-static GMutex g_asked_lock;
+static char *g_first_requests[G_N_ELEMENTS(k_answers)]; /* the first one that matched the row; NULL: none yet */
+static GMutex g_first_requests_lock;
 
-static void answer(int fd, const char *request) {
+static void answer_request(int fd, const char *request) {
   for (size_t i = 0; i < G_N_ELEMENTS(k_answers); i++) {
-    if (!g_str_has_prefix(request, k_answers[i].asked)) continue;
-    g_mutex_lock(&g_asked_lock);
-    if (!g_asked[i]) g_asked[i] = g_strdup(request);
-    g_mutex_unlock(&g_asked_lock);
-    if (g_str_has_prefix(request, "GET /changes?")) g_usleep(CHANGES_PAUSE_US);
-    char *text = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen(k_answers[i].answer),
-                                 k_answers[i].answer);
+    if (!g_str_has_prefix(request, k_answers[i].request_prefix)) continue;
+    g_mutex_lock(&g_first_requests_lock);
+    if (!g_first_requests[i]) g_first_requests[i] = g_strdup(request);
+    g_mutex_unlock(&g_first_requests_lock);
+    if (g_str_has_prefix(request, "GET /changes?")) g_usleep(CHANGES_DELAY_US);
+    char *text = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen(k_answers[i].body),
+                                 k_answers[i].body);
     (void)!write(fd, text, strlen(text));
     g_free(text);
     return;
   }
-  static const char missing[] = "HTTP/1.1 404 Not Found\r\nContent-Length: 11\r\n\r\n{\"round\":5}";
-  (void)!write(fd, missing, sizeof missing - 1);
+  static const char not_found[] = "HTTP/1.1 404 Not Found\r\nContent-Length: 11\r\n\r\n{\"round\":5}";
+  (void)!write(fd, not_found, sizeof not_found - 1);
 }
 
-/* Each request is small and arrives in one piece. */
+/* Answers requests until the process ends. Relies on requests being small and arriving in one piece. */
 static void *serve(void *arg) {
   struct pollfd fds[64] = {{.fd = *(int *)arg, .events = POLLIN}};
   nfds_t count = 1;
-  char *request = g_malloc(MESSAGE_MOST);
+  char *request = g_malloc(MESSAGE_MAX_BYTES);
   while (poll(fds, count, -1) >= 0) {
     for (nfds_t i = count; i-- > 1;) {
       if (!fds[i].revents) continue;
-      ssize_t n = read(fds[i].fd, request, MESSAGE_MOST - 1);
+      ssize_t n = read(fds[i].fd, request, MESSAGE_MAX_BYTES - 1);
       if (n > 0) {
         request[n] = '\0';
-        answer(fds[i].fd, request);
+        answer_request(fds[i].fd, request);
       } else {
         close(fds[i].fd);
         fds[i] = fds[--count];
@@ -93,9 +94,10 @@
 static uint16_t g_service_port, g_client_port, g_peer_port;
 static int g_reserved[2]; /* sockets bound to the client and the peer port */
 static pid_t g_program;
-static char *g_folder, *g_settings_path, *g_log_path;
+static char *g_directory, *g_settings_path, *g_log_path;
 
-static int bound(uint16_t *port) {
+/* Binds a socket to a free port on loopback. */
+static int bind_free_port(uint16_t *port) {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
   struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
   socklen_t len = sizeof sa;
@@ -106,22 +108,22 @@
   return fd;
 }
 
-/* The bytes of the program's whole answer, "" for none; the caller frees them. */
-static char *ask(uint16_t port, const char *request) {
+/* Sends a request to the program. Returns the bytes of its answer, "" for none; the caller frees them. */
+static char *request_answer(uint16_t port, const char *request) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(port), .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-  struct timeval patience = {.tv_sec = PATIENCE_S};
-  assert_int_equal(setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience), 0);
+  struct timeval timeout = {.tv_sec = TIMEOUT_S};
+  assert_int_equal(setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout), 0);
   GString *out = g_string_new(NULL);
   if (connect(fd, (struct sockaddr *)&sa, sizeof sa) == 0 && write(fd, request, strlen(request)) > 0) {
-    char some[4096];
+    char buffer[4096];
     ssize_t n;
-    size_t whole = SIZE_MAX;
-    while (out->len < whole && (n = read(fd, some, sizeof some)) > 0) {
-      g_string_append_len(out, some, n);
+    size_t answer_length = SIZE_MAX; /* not known yet */
+    while (out->len < answer_length && (n = read(fd, buffer, sizeof buffer)) > 0) {
+      g_string_append_len(out, buffer, n);
       const char *length = strstr(out->str, "Content-Length: "), *body = strstr(out->str, "\r\n\r\n");
       if (length && body)
-        whole = (size_t)(body + 4 - out->str) + strtoul(length + strlen("Content-Length: "), NULL, 10);
+        answer_length = (size_t)(body + 4 - out->str) + strtoul(length + strlen("Content-Length: "), NULL, 10);
     }
   }
   close(fd);
@@ -129,7 +131,7 @@
 }
 
 static void check_answer(const char *name, uint16_t port, const char *request) {
-  char *bytes = ask(port, request);
+  char *bytes = request_answer(port, request);
   golden_check(name, bytes);
   g_free(bytes);
 }
@@ -150,18 +152,18 @@
 
 static int start_program(void **state) {
   (void)state;
-  static int services;
-  services = bound(&g_service_port);
-  assert_int_equal(listen(services, 64), 0);
-  /* Kept bound, so that no connection on this machine is given the program's ports; it may listen
-   * there all the same, as it too sets SO_REUSEADDR. */
-  g_reserved[0] = bound(&g_client_port);
-  g_reserved[1] = bound(&g_peer_port);
-  g_thread_unref(g_thread_new("services", serve, &services));
-  g_folder = g_dir_make_tmp("golden-XXXXXX", NULL);
-  assert_non_null(g_folder);
-  g_settings_path = g_build_filename(g_folder, "settings.json", NULL);
-  g_log_path = g_build_filename(g_folder, "log", NULL);
+  static int service_socket;
+  service_socket = bind_free_port(&g_service_port);
+  assert_int_equal(listen(service_socket, 64), 0);
+  /* These sockets stay bound, so that the system gives the program's ports to no other connection. The
+   * program can listen on them all the same, as it sets SO_REUSEADDR, too. */
+  g_reserved[0] = bind_free_port(&g_client_port);
+  g_reserved[1] = bind_free_port(&g_peer_port);
+  g_thread_unref(g_thread_new("services", serve, &service_socket));
+  g_directory = g_dir_make_tmp("golden-XXXXXX", NULL);
+  assert_non_null(g_directory);
+  g_settings_path = g_build_filename(g_directory, "settings.json", NULL);
+  g_log_path = g_build_filename(g_directory, "log", NULL);
   write_settings(g_settings_path);
   g_program = fork();
   if (g_program == 0) {
@@ -182,28 +184,28 @@
   (void)close(g_reserved[1]);
   (void)unlink(g_log_path);
   (void)unlink(g_settings_path);
-  (void)rmdir(g_folder);
+  (void)rmdir(g_directory);
   return 0;
 }
 
-/* ---- what it says ---- */
+/* ---- the program's answers, requests and log lines ---- */
 
 /* Repeats the request until it is answered with 200. */
-static void wait_for(const char *request) {
-  bool fits = false;
-  for (unsigned tenths = 0; !fits && tenths < PATIENCE_S * 10; tenths++) {
-    char *bytes = ask(g_client_port, request);
-    fits = g_str_has_prefix(bytes, "HTTP/1.1 200 ");
+static void wait_for_ok(const char *request) {
+  bool ok = false;
+  for (unsigned tenths = 0; !ok && tenths < TIMEOUT_S * 10; tenths++) {
+    char *bytes = request_answer(g_client_port, request);
+    ok = g_str_has_prefix(bytes, "HTTP/1.1 200 ");
     g_free(bytes);
-    if (!fits) g_usleep(100000);
+    if (!ok) g_usleep(100000);
   }
-  assert_true(fits);
+  assert_true(ok);
 }
 
 static void answers(void **state) {
   (void)state;
   static const struct {
-    const char *name, *line, *body;
+    const char *name, *line, *body; /* line: NULL for a path that the peer port does not serve */
   } rows[] = {
       {"program: ready", "GET /ready", ""},
       {"program: new", "POST /api/jobs", SPEC("job-000009")},
@@ -217,8 +219,8 @@
       {"program: malformed report", "POST /checkin", "{}"},
       {"program: operator's wrong path", NULL, ""},
   };
-  wait_for("GET /ready HTTP/1.1\r\n\r\n");
-  wait_for("GET /api/jobs/job-000001 HTTP/1.1\r\n\r\n");
+  wait_for_ok("GET /ready HTTP/1.1\r\n\r\n");
+  wait_for_ok("GET /api/jobs/job-000001 HTTP/1.1\r\n\r\n");
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     char *request = g_strdup_printf("%s HTTP/1.1\r\nContent-Length: %zu\r\n\r\n%s",
                                     rows[i].line ? rows[i].line : "GET /", strlen(rows[i].body), rows[i].body);
@@ -229,42 +231,44 @@
   check_answer("program: not HTTP", g_client_port, "hello there\r\n\r\n");
 }
 
-static char *without(const char *text, const char *pattern, const char *instead) {
+/* The text with `replacement` for each match of `pattern`; the caller frees it. */
+static char *replace_matches(const char *text, const char *pattern, const char *replacement) {
   GRegex *regex = g_regex_new(pattern, G_REGEX_MULTILINE, 0, NULL);
   assert_non_null(regex);
-  char *out = g_regex_replace_literal(regex, text, -1, 0, instead, 0, NULL);
+  char *out = g_regex_replace_literal(regex, text, -1, 0, replacement, 0, NULL);
   g_regex_unref(regex);
   return out;
 }
 
-/* The page without its figures. */
+/* The metrics page without the values. */
 static void metrics(void **state) {
   (void)state;
-  char *page = ask(g_peer_port, "GET /metrics HTTP/1.1\r\n\r\n");
-  char *names = without(page, " [-+0-9.einaf]+$", "");
+  char *page = request_answer(g_peer_port, "GET /metrics HTTP/1.1\r\n\r\n");
+  char *names = replace_matches(page, " [-+0-9.einaf]+$", "");
   golden_check("program: metrics", names);
   g_free(names);
   g_free(page);
 }
 
-static char *first_request(size_t which) {
-  g_mutex_lock(&g_asked_lock);
-  char *copy = g_strdup(g_asked[which]);
-  g_mutex_unlock(&g_asked_lock);
+/* The first request that matched row `i` of k_answers, NULL for none yet; the caller frees it. */
+static char *first_request(size_t i) {
+  g_mutex_lock(&g_first_requests_lock);
+  char *copy = g_strdup(g_first_requests[i]);
+  g_mutex_unlock(&g_first_requests_lock);
   return copy;
 }
 
 static void requests(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_answers); i++) {
-    if (g_str_has_prefix(k_answers[i].asked, "POST /commit")) continue; /* holds random numbers */
+    if (g_str_has_prefix(k_answers[i].request_prefix, "POST /commit")) continue; /* contains random numbers */
     char *bytes = NULL;
-    for (unsigned tenths = 0; !bytes && tenths < PATIENCE_S * 10; tenths++) {
+    for (unsigned tenths = 0; !bytes && tenths < TIMEOUT_S * 10; tenths++) {
       bytes = first_request(i);
       if (!bytes) g_usleep(100000);
     }
-    char *no_port = without(bytes ? bytes : "", "127\\.0\\.0\\.1:[0-9]+", "HOST"), *name = NULL;
-    name = g_strconcat("program: asks ", k_answers[i].asked, NULL);
+    char *no_port = replace_matches(bytes ? bytes : "", "127\\.0\\.0\\.1:[0-9]+", "HOST"), *name = NULL;
+    name = g_strconcat("program: asks ", k_answers[i].request_prefix, NULL);
     golden_check(g_strchomp(name), no_port);
     g_free(name);
     g_free(no_port);
@@ -272,7 +276,7 @@
   }
 }
 
-/* The first line of each level. */
+/* The first line of each log level without its time. */
 static void log_lines(void **state) {
   (void)state;
   static const char *const levels[] = {"error ", "warning ", "info ", "debug "};
@@ -282,7 +286,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS(levels); i++) {
     char **line = lines;
     while (*line && !g_str_has_prefix(*line, levels[i])) line++;
-    char *no_time = without(*line ? *line : "", "^([a-z]+) [0-9]+\\.[0-9]{3} ", "TIME ");
+    char *no_time = replace_matches(*line ? *line : "", "^([a-z]+) [0-9]+\\.[0-9]{3} ", "TIME ");
     char *name = g_strconcat("program: log ", levels[i], NULL), *whole = g_strconcat(levels[i], no_time, NULL);
     golden_check(g_strchomp(name), whole);
     g_free(whole);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,6 +1,6 @@
-/* The real transport on loopback: clients that misbehave. The client is a child
- * process; what it sees is its exit code. Nothing depends on how long things
- * take, only on that they end. */
+/* The HTTP server and client over loopback sockets: malformed, oversized and stalled requests, too many
+ * connections, and answers at the client's size limit. Each test client is a child process that reports by
+ * its exit code. The result depends on no duration, only on each case coming to an end. */
 #include "check.h"
 
 #include <arpa/inet.h>
@@ -13,76 +13,96 @@
 #include "transport/http.h"
 #include "transport/routine.h"
 
-#define MOST 8u
+#define MAX_CONNECTIONS 8u
+#define EXIT_NO_CONNECTION 99
+#define OVERSIZED_BYTES 80000u /* beyond each limit of the server; also the Content-Length below */
 
 static uint16_t g_port;
 
-static int dial(void) {
+static int connect_to_server(void) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
-  struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(g_port), .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-  if (fd < 0 || connect(fd, (struct sockaddr *)&sa, sizeof sa) != 0) _exit(99);
+  struct sockaddr_in address = {
+      .sin_family = AF_INET, .sin_port = htons(g_port), .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+  if (fd < 0 || connect(fd, (struct sockaddr *)&address, sizeof address) != 0) _exit(EXIT_NO_CONNECTION);
   return fd;
 }
 
-/* Reads until the server closes, or the first answer is whole (ends in '}'). */
-static void talk(int fd, const char *text, size_t len, char *out, size_t size) {
+/* Sends a request and reads until the server closes the connection or the first answer is complete, which
+ * then ends in '}'. */
+static void exchange(int fd, const char *request, size_t len, char *out, size_t size) {
   (void)signal(SIGPIPE, SIG_IGN);
-  (void)!write(fd, text, len);
-  size_t got = 0;
+  (void)!write(fd, request, len);
+  size_t received = 0;
   ssize_t n;
-  while (got + 1 < size && (n = read(fd, out + got, size - 1 - got)) > 0) {
-    got += (size_t)n;
-    if (out[got - 1] == '}') break;
+  while (received + 1 < size && (n = read(fd, out + received, size - 1 - received)) > 0) {
+    received += (size_t)n;
+    if (out[received - 1] == '}') break;
   }
-  out[got] = '\0';
+  out[received] = '\0';
 }
 
-static bool ends(int fd) {
-  char c;
-  return read(fd, &c, 1) <= 0;
+/* Waits for more input; whether the server closes the connection instead. */
+static bool closed_by_server(int fd) {
+  char byte;
+  return read(fd, &byte, 1) <= 0;
 }
 
-static bool answers(const char *text, size_t len, const char *status, bool closed) {
+/* Whether the answer to a request starts with `status`, and the server then closes the connection if it should. */
+static bool answered_with(const char *request, size_t len, const char *status, bool closes) {
   char out[2048];
-  int fd = dial();
-  talk(fd, text, len, out, sizeof out);
-  bool ok = g_str_has_prefix(out, status) && (!closed || ends(fd));
+  int fd = connect_to_server();
+  exchange(fd, request, len, out, sizeof out);
+  bool ok = g_str_has_prefix(out, status) && (!closes || closed_by_server(fd));
   close(fd);
   return ok;
 }
 
-#define IS(text, status, closed) answers(text, strlen(text), status, closed)
-
-static int client(int scene) {
-  char *huge = g_strnfill(80000, 'a');
-  char *large = g_strdup_printf("POST / HTTP/1.1\r\nContent-Length: 80000\r\n\r\n%s", huge);
-  char *head = g_strdup_printf("GET / HTTP/1.1\r\nX: %s\r\n\r\n", huge);
-  char *path = g_strdup_printf("GET /%s HTTP/1.1\r\n\r\n", huge);
-  switch (scene) {
-    case 0:
-      return IS("GET / HTTP/1.1\r\n\r\n", "HTTP/1.1 200", false) ? 0 : 1;
-    case 1:
-      return IS("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", "HTTP/1.1 200", true) ? 0 : 1;
-    case 2:
-      return IS("hello there\r\n\r\n", "HTTP/1.1 400", true) ? 0 : 1;
-    case 3:
-      return IS(large, "HTTP/1.1 400", true) || IS(large, "", true) ? 0 : 1;
-    case 4:
-      return IS(head, "HTTP/1.1 400", true) || IS(head, "", true) ? 0 : 1;
-    case 5:
-      return IS(path, "HTTP/1.1 400", true) || IS(path, "", true) ? 0 : 1;
-    case 6: { /* half a request, and then nothing */
-      int fd = dial();
+#define ANSWERED_WITH(request, status, closes) answered_with(request, strlen(request), status, closes)
+
+enum {
+  CASE_KEEP_ALIVE,
+  CASE_CLOSE,
+  CASE_NOT_HTTP,
+  CASE_OVERSIZED_BODY,
+  CASE_OVERSIZED_HEADER,
+  CASE_OVERSIZED_URL,
+  CASE_STALLED_REQUEST,
+  CASE_IDLE,
+  CASE_TOO_MANY_CONNECTIONS
+};
+
+/* The exit code of a client: 0 when the server did as expected. */
+static int run_client(int test_case) {
+  char *oversized = g_strnfill(OVERSIZED_BYTES, 'a');
+  char *body = g_strdup_printf("POST / HTTP/1.1\r\nContent-Length: 80000\r\n\r\n%s", oversized);
+  char *header = g_strdup_printf("GET / HTTP/1.1\r\nX: %s\r\n\r\n", oversized);
+  char *url = g_strdup_printf("GET /%s HTTP/1.1\r\n\r\n", oversized);
+  switch (test_case) {
+    case CASE_KEEP_ALIVE:
+      return ANSWERED_WITH("GET / HTTP/1.1\r\n\r\n", "HTTP/1.1 200", false) ? 0 : 1;
+    case CASE_CLOSE:
+      return ANSWERED_WITH("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", "HTTP/1.1 200", true) ? 0 : 1;
+    case CASE_NOT_HTTP:
+      return ANSWERED_WITH("hello there\r\n\r\n", "HTTP/1.1 400", true) ? 0 : 1;
+    case CASE_OVERSIZED_BODY: /* the answer may be lost, as the server closes with unread input */
+      return ANSWERED_WITH(body, "HTTP/1.1 400", true) || ANSWERED_WITH(body, "", true) ? 0 : 1;
+    case CASE_OVERSIZED_HEADER:
+      return ANSWERED_WITH(header, "HTTP/1.1 400", true) || ANSWERED_WITH(header, "", true) ? 0 : 1;
+    case CASE_OVERSIZED_URL:
+      return ANSWERED_WITH(url, "HTTP/1.1 400", true) || ANSWERED_WITH(url, "", true) ? 0 : 1;
+    case CASE_STALLED_REQUEST: { /* the client sends a part of a request, then nothing more */
+      int fd = connect_to_server();
       (void)!write(fd, "POST / HTTP/1.1\r\nContent-Le", 27);
-      return ends(fd) ? 0 : 1;
+      return closed_by_server(fd) ? 0 : 1;
     }
-    case 7:
-      return ends(dial()) ? 0 : 1; /* idle */
-    default: {                     /* more connections than there are: the last is closed, none is lost after */
-      int fds[MOST + 1];
-      for (unsigned i = 0; i <= MOST; i++) fds[i] = dial();
-      bool closed = ends(fds[MOST]);
-      for (unsigned i = 0; i <= MOST; i++) close(fds[i]);
+    case CASE_IDLE:
+      return closed_by_server(connect_to_server()) ? 0 : 1;
+    default: { /* CASE_TOO_MANY_CONNECTIONS: the server closes the one beyond its limit; the others are free
+                  again for the next test */
+      int fds[MAX_CONNECTIONS + 1];
+      for (unsigned i = 0; i <= MAX_CONNECTIONS; i++) fds[i] = connect_to_server();
+      bool closed = closed_by_server(fds[MAX_CONNECTIONS]);
+      for (unsigned i = 0; i <= MAX_CONNECTIONS; i++) close(fds[i]);
       return closed ? 0 : 1;
     }
   }
@@ -93,7 +113,7 @@
   ev_break(loop, EVBREAK_ALL);
 }
 
-static uint64_t g_connection; /* that the last request came on */
+static uint64_t g_connection; /* number of the connection of the last request */
 
 static void handle(const fc_http_request *req, fc_http_response *res, void *arg) {
   (void)arg;
@@ -102,10 +122,10 @@
   g_string_append(res->body, "{}");
 }
 
-static void clients(void **state) {
+static void server_handles_bad_clients(void **state) {
   (void)state;
   assert_true(fc_loop_init());
-  fc_http_server_options opt = {.max_connections = MOST, .idle_timeout_s = 0.3, .request_timeout_s = 0.2};
+  fc_http_server_options opt = {.max_connections = MAX_CONNECTIONS, .idle_timeout_s = 0.3, .request_timeout_s = 0.2};
   bool listening = false;
   for (g_port = 28080; g_port < 28180 && !listening; g_port++) {
     fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
@@ -113,31 +133,32 @@
     if (listening) break;
   }
   assert_true(listening);
-  for (int scene = 0; scene <= 8; scene++) {
+  for (int test_case = 0; test_case <= CASE_TOO_MANY_CONNECTIONS; test_case++) {
     pid_t pid = fork();
-    if (pid == 0) _exit(client(scene));
+    if (pid == 0) _exit(run_client(test_case));
     ev_child child;
     ev_child_init(&child, on_child, pid, 0);
     ev_child_start(fc_loop(), &child);
     fc_loop_run();
     ev_child_stop(fc_loop(), &child);
-    if (!WIFEXITED(child.rstatus) || WEXITSTATUS(child.rstatus) != 0) fail_msg("scene %d: not as it should be", scene);
+    if (!WIFEXITED(child.rstatus) || WEXITSTATUS(child.rstatus) != 0)
+      fail_msg("case %d: the client saw unexpected behaviour", test_case);
   }
 }
 
-typedef struct bounded {
+typedef struct size_limit_row {
   const char *name;
-  size_t max_body_bytes; /* the answer has two bytes */
+  size_t max_body_bytes; /* of the client; the answer's body has two bytes */
   bool ok, too_large;
-} bounded;
+} size_limit_row;
 
 static void call_main(void *arg) {
-  const bounded *rows = arg;
+  const size_limit_row *rows = arg;
   fc_endpoint at = {.ip = htonl(INADDR_LOOPBACK), .port = g_port};
-  uint64_t before = 0;
+  uint64_t previous = 0; /* connection of the client before */
   for (int i = 0; i < 3; i++) {
     fc_http_client *client = fc_http_client_new(&at, rows[i].max_body_bytes);
-    uint64_t first = 0;
+    uint64_t first = 0; /* connection of this client's first request */
     for (int k = 0; k < 2; k++) {
       fc_http_reply reply;
       bool ok = fc_http_call(client, "GET", "/ready", NULL, 0, fc_now() + 5, &reply);
@@ -145,23 +166,25 @@
       fc_http_reply_clear(&reply);
       if (k == 0) first = g_connection;
     }
-    /* Requests on one connection name it, those on another another. */
-    check_row(rows[i].name, first != before && (g_connection == first) == rows[i].ok);
-    before = g_connection;
+    /* Each connection has a number of its own. A client keeps using its connection only if the answer fitted. */
+    check_row(rows[i].name, first != previous && (g_connection == first) == rows[i].ok);
+    previous = g_connection;
     fc_http_client_free(client);
   }
   ev_break(fc_loop(), EVBREAK_ALL);
 }
 
-static void answers_at_their_bound(void **state) {
+static void client_limits_answer_size(void **state) {
   (void)state;
-  static bounded rows[] = {
-      {"one over", 1, false, true}, {"at the bound", 2, true, false}, {"one under", 3, true, false}};
+  static size_limit_row rows[] = {{"answer one byte over the limit", 1, false, true},
+                                  {"answer at the limit", 2, true, false},
+                                  {"answer one byte under the limit", 3, true, false}};
   assert_true(fc_routine_spawn(call_main, rows) != NULL);
   fc_loop_run();
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(clients), cmocka_unit_test(answers_at_their_bound)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(server_handles_bad_clients),
+                                     cmocka_unit_test(client_limits_answer_size)};
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
