--- a/src/transport/conn.h
+++ b/src/transport/conn.h
@@ -11,8 +11,8 @@
 typedef struct fc_conn fc_conn;
 
 typedef struct fc_endpoint {
-  uint32_t ip; /* IPv4, network byte order */
-  uint16_t port;
+  uint32_t ip;   /* IPv4, network byte order */
+  uint16_t port; /* host byte order */
 } fc_endpoint;
 
 /* Size in bytes of a buffer for an endpoint as text, with the terminating NUL. */
@@ -24,8 +24,9 @@
 /* Connects to an endpoint. The caller closes the connection. NULL when it is refused, at the deadline
  * or when the routine is cancelled. May suspend the calling routine. */
 fc_conn *fc_conn_connect(const fc_endpoint *to, double deadline);
-/* Reads what has arrived, at least one byte: the number of bytes read; 0 at the end of the stream; -1 on an error, at
- * the deadline or when the routine is cancelled. May suspend the calling routine. */
+/* Reads up to `size` bytes, after waiting for at least one. Returns their number; 0 at the end of the
+ * stream; -1 on an error, at the deadline or when the routine is cancelled. May suspend the calling
+ * routine. */
 ssize_t fc_conn_read(fc_conn *conn, void *buffer, size_t size, double deadline);
 /* Writes all bytes. False on an error, at the deadline or when the routine is cancelled; a part of
  * them may have been sent by then. May suspend the calling routine. */
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -1,7 +1,7 @@
 /* Routines: stackful coroutines on one libev loop and one thread, one for each connection and each
  * long-lived task. A routine is suspended only inside the functions that say "May suspend the calling
- * routine": between them no other routine runs, so state that they share does not change. Every such
- * wait has a deadline and ends early when the routine is cancelled. */
+ * routine": between them no other routine runs, so shared state does not change. Every such wait has a
+ * deadline and ends early when the routine is cancelled. */
 #ifndef FC_TRANSPORT_ROUTINE_H
 #define FC_TRANSPORT_ROUTINE_H
 
@@ -25,7 +25,7 @@
 /* The monotonic clock, in seconds; all deadlines refer to it. */
 double fc_now(void);
 /* The time of day, in seconds since 1970. It may be wrong by the clock error that the platform states,
- * so nothing that safety relies on uses it. */
+ * so nothing relies on it for safety. */
 double fc_time_of_day(void);
 
 /* Starts a routine. It first runs once the caller is suspended or returns to the loop; it is freed when
