--- a/tests/heap.c
+++ b/tests/heap.c
@@ -29,7 +29,7 @@
 
 static void taken(const void *at, size_t bytes) {
   if (!g_on || !at) return;
-  uint32_t ip = sim_allocates();
+  uint32_t ip = sim_allocating_ip();
   if (!ip || ip < WORLD_NODE_IP(0) || ip >= WORLD_NODE_IP(WORLD_NODES)) return;
   unsigned node = ip - WORLD_NODE_IP(0);
   g_use[node].calls++;
--- a/tests/sim/controllers.c
+++ b/tests/sim/controllers.c
@@ -50,7 +50,7 @@
 }
 
 void world_pause_node(unsigned node, double for_s) {
-  sim_process_still(WORLD_NODE_IP(node), for_s);
+  sim_process_pause(WORLD_NODE_IP(node), for_s);
 }
 
 typedef struct planned_crash {
@@ -119,8 +119,8 @@
 }
 
 void world_slow_node(unsigned node, double of_processor, double timers_late_s) {
-  sim_process_share(WORLD_NODE_IP(node), of_processor, timers_late_s);
-  sim_set_work(round_cost);
+  sim_process_set_cpu_share(WORLD_NODE_IP(node), of_processor, timers_late_s);
+  sim_set_work_cost(round_cost);
 }
 
 fc_counters world_counts(unsigned node) {
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -194,5 +194,5 @@
 /* By the version that sent it, not by the one that runs there as it arrives: transactions of the former
  * version that came after its upgrade were judged by limits that it does not know. */
 bool world_sent_by_former(const struct sim_exchange *exchange) {
-  return sim_sender_then(exchange) == FORMER_VERSION;
+  return sim_sender_tag(exchange) == FORMER_VERSION;
 }
--- a/tests/sim/deployment.h
+++ b/tests/sim/deployment.h
@@ -14,7 +14,7 @@
 fc_settings *deployment_settings(unsigned node);
 /* The controller's version from its next start on. */
 void deployment_set_former(unsigned node, bool former);
-/* A sim_sender_fn: which version runs at the address now. */
+/* A sim_sender_tag_fn: which version runs at the address now. */
 unsigned deployment_version_at(uint32_t ip);
 
 /* ---- controllers.c: processes ---- */
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -14,7 +14,7 @@
 static GHashTable *g_stand_ins; /* ip -> stub */
 static GHashTable *g_servers;   /* "ip:port" -> server */
 static sim_link_fn g_link_state;
-static sim_sender_fn g_sender_now;
+static sim_sender_tag_fn g_sender_now;
 static double g_lose_request, g_lose_reply;
 static double g_slow_until, g_slow_most_s;
 
@@ -33,7 +33,7 @@
   g_lose_reply = lose_reply;
 }
 
-void sim_set_senders(sim_sender_fn fn) {
+void sim_set_sender_tags(sim_sender_tag_fn fn) {
   g_sender_now = fn;
 }
 
@@ -115,7 +115,7 @@
   hand_over_reply(exchange);
 }
 
-unsigned sim_sender_then(const sim_exchange *exchange) {
+unsigned sim_sender_tag(const sim_exchange *exchange) {
   return exchange->sender;
 }
 
@@ -231,7 +231,7 @@
   if (fn) fn(0, "", exchange->fn_arg);
 }
 
-uint64_t sim_connection(void) {
+uint64_t sim_connection_number(void) {
   static uint64_t last;
   return ++last;
 }
@@ -274,14 +274,14 @@
                   double deadline, fc_http_reply *reply) {
   *reply = (fc_http_reply){.body = g_string_new(NULL)};
   uint32_t to = ntohl(client->to.ip);
-  if (sim_link_now(sim_here(), to) != SIM_CLEAR && sim_chance(0.5)) {
+  if (sim_link_now(sim_running_ip(), to) != SIM_CLEAR && sim_chance(0.5)) {
     /* No connection: certainly not delivered. */
     while (fc_routine_park(deadline) == FC_WAKE_OK) {
     }
     reply->unsent = true;
     return false;
   }
-  sim_exchange *exchange = send_request(sim_here(), to, client->to.port, method, path, body, body_len);
+  sim_exchange *exchange = send_request(sim_running_ip(), to, client->to.port, method, path, body, body_len);
   exchange->waiter = fc_routine_self();
   while (!exchange->answered)
     if (fc_routine_park(deadline) == FC_WAKE_TIMEOUT) break;
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -148,7 +148,7 @@
   worker->status_changed = false;
   worker->next_heartbeat_at = sim_now() + HEARTBEAT_S * sim_draw(0.75, 1.25);
   char *body = status_message(worker);
-  if (!worker->connection) worker->connection = sim_connection();
+  if (!worker->connection) worker->connection = sim_connection_number();
   uint32_t to = worker->outbound_lost_until > sim_now() ? NOBODY_IP : WORLD_NODE_IP(worker->node);
   sim_call_on(worker->connection, worker->ip, to, "/checkin", body, HEARTBEAT_TIMEOUT_S, on_heartbeat_reply, worker);
   if (sim_chance(g_duplicate_share)) {
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -11,7 +11,7 @@
 
 static GHashTable *g_shares; /* address -> cpu_share: outlives the process */
 static GHashTable *g_loads;  /* address -> sim_load: since the start of the simulation */
-static sim_work_fn g_work;
+static sim_work_cost_fn g_work;
 static unsigned g_own_work; /* depth of sim_own_work_begin() */
 static const sim_costs k_costs = {.wake_s = 20e-6, .message_s = 30e-6, .byte_s = 0.1e-6};
 
@@ -29,8 +29,8 @@
   g_own_work--;
 }
 
-uint32_t sim_allocates(void) {
-  return g_own_work == 0 ? sim_here() : 0;
+uint32_t sim_allocating_ip(void) {
+  return g_own_work == 0 ? sim_running_ip() : 0;
 }
 
 static sim_load *load_of(uint32_t ip) {
@@ -75,8 +75,8 @@
   sim_load *load = load_of(ip);
   bool peer = other >> 16 == ip >> 16; /* the other controllers are in its network */
   bool worker = other >> 16 == WORKER_NETWORK;
-  sim_way *way = peer ? &load->peers : worker ? &load->workers : &load->others;
-  return sent ? &way->sent : &way->got;
+  sim_two_way_traffic *way = peer ? &load->peers : worker ? &load->workers : &load->others;
+  return sent ? &way->sent : &way->received;
 }
 
 void sim_count_message(uint32_t from, uint32_t to, size_t bytes) {
@@ -87,7 +87,7 @@
   }
 }
 
-void sim_process_share(uint32_t ip, double of_processor, double timers_late_s) {
+void sim_process_set_cpu_share(uint32_t ip, double of_processor, double timers_late_s) {
   cpu_share *settings = g_new(cpu_share, 1);
   *settings = (cpu_share){of_processor, timers_late_s};
   g_hash_table_insert(g_shares, GUINT_TO_POINTER(ip), settings);
@@ -100,6 +100,6 @@
   process->timer_delay_s = settings->timers_late_s;
 }
 
-void sim_set_work(sim_work_fn fn) {
+void sim_set_work_cost(sim_work_cost_fn fn) {
   g_work = fn;
 }
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -56,7 +56,7 @@
 /* The process is busy for so much longer; nothing where it has no share. NULL: nobody. */
 void sim_charge(sim_process *process, double cost_s);
 void sim_charge_wake(sim_process *process);
-/* For what it did while it ran, as sim_set_work() says. */
+/* For what it did while it ran, as sim_set_work_cost() says. */
 void sim_charge_work(sim_process *process);
 /* What it sends now leaves it in so many seconds: once all before has been paid for. */
 double sim_departs_in(const sim_process *process);
--- a/tests/sim/processes.c
+++ b/tests/sim/processes.c
@@ -44,17 +44,17 @@
   while (process->routines->len > 0) sim_routine_release(process->routines->pdata[0]);
 }
 
-void sim_process_still(uint32_t ip, double for_s) {
+void sim_process_pause(uint32_t ip, double for_s) {
   sim_process *process = newest_at(ip);
   if (process) process->paused_until = sim_now() + for_s;
 }
 
-size_t sim_process_routines(uint32_t ip) {
+size_t sim_process_routine_count(uint32_t ip) {
   const sim_process *process = newest_at(ip);
   return process ? process->routines->len : 0;
 }
 
-uint32_t sim_here(void) {
+uint32_t sim_running_ip(void) {
   return g_running_process ? g_running_process->ip : 0;
 }
 
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -30,15 +30,15 @@
 /* Ends the process with all its routines, wherever they wait. */
 void sim_process_kill(uint32_t ip);
 /* Pauses it while its clock runs on; what it is sent meanwhile stays queued. */
-void sim_process_still(uint32_t ip, double for_s);
+void sim_process_pause(uint32_t ip, double for_s);
 /* From its next start on it has that share of a processor: whatever wakes it, and each message
  * and byte that it reads or sends, costs it time, in which nothing else of it runs; its clock
  * runs on. Its timers fire up to timers_late_s late besides. */
-void sim_process_share(uint32_t ip, double of_processor, double timers_late_s);
+void sim_process_set_cpu_share(uint32_t ip, double of_processor, double timers_late_s);
 bool sim_process_alive(uint32_t ip);
-size_t sim_process_routines(uint32_t ip); /* now */
-uint32_t sim_allocates(void);             /* the process on whose behalf memory is taken now; 0: none */
-uint32_t sim_here(void);                  /* the process that runs now; 0: none */
+size_t sim_process_routine_count(uint32_t ip); /* now */
+uint32_t sim_allocating_ip(void);              /* the process on whose behalf memory is taken now; 0: none */
+uint32_t sim_running_ip(void);                 /* the process that runs now; 0: none */
 
 /* ---- what processes cost ---- */
 
@@ -48,20 +48,20 @@
 } sim_costs;
 
 /* What the routine that has just run has cost besides, of a whole processor. */
-typedef double (*sim_work_fn)(uint32_t ip);
-void sim_set_work(sim_work_fn fn);
+typedef double (*sim_work_cost_fn)(uint32_t ip);
+void sim_set_work_cost(sim_work_cost_fn fn);
 
 /* What a process has sent and got since sim_init, its earlier incarnations included. */
 typedef struct sim_traffic {
   uint64_t messages, bytes;
 } sim_traffic;
-typedef struct sim_way {
-  sim_traffic sent, got;
-} sim_way;
+typedef struct sim_two_way_traffic {
+  sim_traffic sent, received;
+} sim_two_way_traffic;
 typedef struct sim_load {
   uint64_t wakes; /* of its routines */
   double busy_s;  /* of a whole processor; counted of one that has a share */
-  sim_way peers, workers, others;
+  sim_two_way_traffic peers, workers, others;
 } sim_load;
 sim_load sim_load_of(uint32_t ip);
 
@@ -74,8 +74,8 @@
 /* lose_request, lose_reply: the shares that are lost. */
 void sim_set_links(sim_link_fn fn, double lose_request, double lose_reply);
 /* What the sender at an address is at the moment, a number that its requests keep on their way. */
-typedef unsigned (*sim_sender_fn)(uint32_t ip);
-void sim_set_senders(sim_sender_fn fn);
+typedef unsigned (*sim_sender_tag_fn)(uint32_t ip);
+void sim_set_sender_tags(sim_sender_tag_fn fn);
 /* Until then everything that is sent takes up to so much longer. */
 void sim_slow_links(double until, double most_s);
 
@@ -88,8 +88,8 @@
 /* It answers by sim_answer(), at once or later. */
 typedef void (*sim_server_fn)(const sim_request *request, void *arg);
 void sim_serve(uint32_t ip, sim_server_fn fn, void *arg);
-/* What the request's sender was when it sent it; 0 without sim_set_senders(). */
-unsigned sim_sender_then(const struct sim_exchange *exchange);
+/* What the request's sender was when it sent it; 0 without sim_set_sender_tags(). */
+unsigned sim_sender_tag(const struct sim_exchange *exchange);
 /* The first answer counts, others are ignored. */
 void sim_answer(struct sim_exchange *exchange, int status, const char *body);
 
@@ -102,7 +102,7 @@
 void sim_call(uint32_t from, uint32_t to, const char *method, const char *path, const char *body, double timeout,
               sim_reply_fn fn, void *arg);
 /* A number for a connection that calls go on as long as they are answered. */
-uint64_t sim_connection(void);
+uint64_t sim_connection_number(void);
 /* A POST on that connection. */
 void sim_call_on(uint64_t connection, uint32_t from, uint32_t to, const char *path, const char *body, double timeout,
                  sim_reply_fn fn, void *arg);
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -74,13 +74,13 @@
   sim_listener *listener = g_hash_table_lookup(g_listeners, key);
   g_free(key);
   (void)fc_routine_sleep(CONNECT_S);
-  if (!listener || !listener->process->alive || sim_link_now(sim_here(), ip) != SIM_CLEAR) {
+  if (!listener || !listener->process->alive || sim_link_now(sim_running_ip(), ip) != SIM_CLEAR) {
     while (fc_routine_park(deadline) == FC_WAKE_OK) {
     }
     return NULL;
   }
-  fc_conn *mine = conn_new(sim_process_here(), sim_here(), ip);
-  fc_conn *theirs = conn_new(listener->process, ip, sim_here());
+  fc_conn *mine = conn_new(sim_process_here(), sim_running_ip(), ip);
+  fc_conn *theirs = conn_new(listener->process, ip, sim_running_ip());
   mine->other = theirs;
   theirs->other = mine;
   accepted_conn *accepted = g_new(accepted_conn, 1);
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -51,7 +51,7 @@
   (void)data;
   for (gsize i = 0; i < count; i++)
     if (strcmp(fields[i].key, "MESSAGE") == 0)
-      g_printerr("%.2f p%d %s\n", sim_now(), links_controller_at(sim_here()), (const char *)fields[i].value);
+      g_printerr("%.2f p%d %s\n", sim_now(), links_controller_at(sim_running_ip()), (const char *)fields[i].value);
   return G_LOG_WRITER_HANDLED;
 }
 
@@ -75,7 +75,7 @@
   links_init();
   sim_init(seed);
   sim_set_links(links_state, lose, lose);
-  sim_set_senders(deployment_version_at);
+  sim_set_sender_tags(deployment_version_at);
   kv_init();
   cloud_init();
   deployment_init();
--- a/tests/small.h
+++ b/tests/small.h
@@ -1,5 +1,5 @@
 /* Fleets on controllers with a fortieth of a core: whatever wakes them, and each message and
- * byte that they read or send, costs them virtual time (sim_process_share). */
+ * byte that they read or send, costs them virtual time (sim_process_set_cpu_share). */
 #ifndef FC_TESTS_SMALL_H
 #define FC_TESTS_SMALL_H
 
--- a/tests/test_repeat.c
+++ b/tests/test_repeat.c
@@ -63,11 +63,11 @@
   assert_int_equal(a->status_refusals, b->status_refusals);
 }
 
-static void assert_same_way(const sim_way *a, const sim_way *b) {
+static void assert_same_way(const sim_two_way_traffic *a, const sim_two_way_traffic *b) {
   assert_int_equal(a->sent.messages, b->sent.messages);
   assert_int_equal(a->sent.bytes, b->sent.bytes);
-  assert_int_equal(a->got.messages, b->got.messages);
-  assert_int_equal(a->got.bytes, b->got.bytes);
+  assert_int_equal(a->received.messages, b->received.messages);
+  assert_int_equal(a->received.bytes, b->received.bytes);
 }
 
 static void assert_same_load(const sim_load *a, const sim_load *b) {
--- a/tests/test_small_costs.c
+++ b/tests/test_small_costs.c
@@ -36,11 +36,11 @@
 } figure;
 
 static void figures_between(const sample *a, const sample *b, double out[FIGURES]) {
-  const sim_way *w0 = &a->load.workers, *w1 = &b->load.workers;
-  const sim_way *p0 = &a->load.peers, *p1 = &b->load.peers;
+  const sim_two_way_traffic *w0 = &a->load.workers, *w1 = &b->load.workers;
+  const sim_two_way_traffic *p0 = &a->load.peers, *p1 = &b->load.peers;
   double reports = (double)(b->counts.heartbeats - a->counts.heartbeats);
   out[REPORT_MESSAGES] =
-      (double)(w1->got.messages - w0->got.messages + w1->sent.messages - w0->sent.messages) / reports;
+      (double)(w1->received.messages - w0->received.messages + w1->sent.messages - w0->sent.messages) / reports;
   out[ANSWER_BYTES] = (double)(w1->sent.bytes - w0->sent.bytes) / reports;
   out[REPORT_CALLS] = (double)(b->heap.calls - a->heap.calls) / WATCHED_S;
   out[PEER_MESSAGES] = (double)(p1->sent.messages - p0->sent.messages) / WATCHED_S;
--- a/tests/test_small_requests.c
+++ b/tests/test_small_requests.c
@@ -102,7 +102,7 @@
   size_t most_routines = 0;
   while (sim_now() < g.until + 10) {
     sim_run_until(sim_now() + 0.5);
-    most_routines = MAX(most_routines, sim_process_routines(WORLD_NODE_IP(0)));
+    most_routines = MAX(most_routines, sim_process_routine_count(WORLD_NODE_IP(0)));
   }
   print_since(f->name, "flood", &m);
   print_message("%s: %u of %u answered within %.2f s, %u refused within %.2f s, up to %zu routines\n", f->name,
