--- a/tests/sim/kv_commits.c
+++ b/tests/sim/kv_commits.c
@@ -1,14 +1,14 @@
 /* Compare-and-swap transactions of the simulated key-value store. */
 #include "kv.h"
 
-/* The former version says nothing of the formats that it reads. */
-static void remove_formats(const json_t *changes) {
+/* The former version does not record which job format it reads. */
+static void remove_job_formats(const json_t *changes) {
   json_t *item;
   size_t i;
   json_array_foreach(changes, i, item) json_object_del(json_object_get(item, "v"), "jobFormat");
 }
 
-/* The keys whose conditions don't hold; the caller's to drop. */
+/* The keys whose conditions do not hold. The caller owns the result. */
 static json_t *failed_conditions(const json_t *conditions) {
   json_t *failed = json_array(), *item;
   size_t i;
@@ -47,13 +47,13 @@
   }
 }
 
-/* Answers a transaction beyond the limits; false: it is within them. */
+/* Whether a transaction exceeds the limits; if so, it has been answered with an error. */
 static bool refused_by_limits(const sim_request *request, const json_t *conditions, const json_t *changes) {
   if (kv_too_large(request, conditions, changes)) {
     sim_answer(request->exchange, 400, "{}");
     return true;
   }
-  if (!kv_within_rate(json_array_size(changes))) {
+  if (!kv_acquire_write_rate(json_array_size(changes))) {
     g_result.over_rate++;
     sim_answer(request->exchange, 429, "{}");
     return true;
@@ -73,17 +73,17 @@
   }
   json_decref(failed);
   apply_changes(request, changes);
-  kv_watches_note_write(request->body);
+  kv_watches_on_commit(request->body);
   kv_answer(request->exchange, 200, json_pack("{sI}", "round", kv_revision()));
   kv_watches_answer();
 }
 
-void kv_commit(const sim_request *request, bool former) {
+void kv_commit(const sim_request *request, bool sender_is_former) {
   json_t *body = json_loads(request->body, 0, NULL);
   const json_t *changes = json_object_get(body, "then");
   const json_t *conditions = json_object_get(body, "when");
-  if (former) {
-    remove_formats(changes);
+  if (sender_is_former) {
+    remove_job_formats(changes);
   } else {
     kv_check_announced_limits(request, conditions, changes);
   }
--- a/tests/sim/kv_server.c
+++ b/tests/sim/kv_server.c
@@ -1,8 +1,8 @@
-/* Requests to the simulated key-value store, and its clock. */
+/* Requests to the simulated key-value store, and its periodic work. */
 #include "kv.h"
 
-#define TICK_S 0.05
-#define USUAL_PAGE_ROWS 1000
+#define TICK_INTERVAL_S 0.05
+#define DEFAULT_PAGE_ROWS 1000
 
 /* ---- helpers ---- */
 
@@ -14,14 +14,14 @@
 }
 
 char *kv_query_value(const char *path, const char *name) {
-  char *mark = g_strconcat(name, "=", NULL);
-  const char *value_start = strstr(path, mark);
+  char *assignment = g_strconcat(name, "=", NULL);
+  const char *value_start = strstr(path, assignment);
   char *out = NULL;
   if (value_start) {
-    value_start += strlen(mark);
+    value_start += strlen(assignment);
     out = g_strndup(value_start, strcspn(value_start, "&"));
   }
-  g_free(mark);
+  g_free(assignment);
   return out;
 }
 
@@ -50,36 +50,36 @@
   }
 }
 
-/* A page of keys. */
+/* A page of keys with a prefix. */
 typedef struct kv_listing {
-  const char *prefix, *after; /* after: NULL: from the first */
+  const char *prefix, *after; /* after: the last key of the previous page; NULL: none */
   json_t *rows;
-  size_t most;
-  bool more, by_former;
+  size_t page_rows;
+  bool more, reader_is_former;
 } kv_listing;
 
-static gboolean list_one(gpointer key, gpointer value, gpointer data) {
+static gboolean add_row(gpointer key, gpointer value, gpointer data) {
   kv_listing *listing = data;
   const kv_entry *entry = value;
   if (!g_str_has_prefix(key, listing->prefix) || (listing->after && strcmp(key, listing->after) <= 0)) return FALSE;
-  if (json_array_size(listing->rows) == listing->most) {
+  if (json_array_size(listing->rows) == listing->page_rows) {
     listing->more = true;
     return TRUE;
   }
-  json_array_append_new(listing->rows,
-                        json_pack("{ss so sI}", "key", key, "v", kv_value_as_read(entry->value, listing->by_former),
-                                  "edition", entry->version));
+  json_array_append_new(
+      listing->rows, json_pack("{ss so sI}", "key", key, "v", kv_value_as_read(entry->value, listing->reader_is_former),
+                               "edition", entry->version));
   return FALSE;
 }
 
-static void list_keys(const sim_request *request, bool former) {
-  kv_listing listing = {.rows = json_array(), .by_former = former};
+static void list_keys(const sim_request *request, bool sender_is_former) {
+  kv_listing listing = {.rows = json_array(), .reader_is_former = sender_is_former};
   char *prefix = kv_query_value(request->path, "prefix"), *after = kv_query_value(request->path, "from"),
        *page = kv_query_value(request->path, "page");
   listing.prefix = prefix;
   listing.after = after;
-  listing.most = page ? strtoul(page, NULL, 10) : USUAL_PAGE_ROWS;
-  kv_each(list_one, &listing);
+  listing.page_rows = page ? strtoul(page, NULL, 10) : DEFAULT_PAGE_ROWS;
+  kv_each(add_row, &listing);
   kv_answer(request->exchange, 200,
             json_pack("{so sb sI}", "rows", listing.rows, "more", (int)listing.more, "round", kv_revision()));
   g_free(prefix);
@@ -87,12 +87,12 @@
   g_free(page);
 }
 
-/* former: whoever sent it was of that version then. */
-static void serve_now(const sim_request *request, bool former) {
+/* sender_is_former: the sender ran the former version when it sent the request. */
+static void serve_now(const sim_request *request, bool sender_is_former) {
   if (kv_is_down() || world_kv_refuses(request->exchange)) {
     sim_answer(request->exchange, 503, "{}");
   } else if (strcmp(request->path, "/commit") == 0) {
-    kv_commit(request, former);
+    kv_commit(request, sender_is_former);
   } else if (strcmp(request->path, "/holds") == 0) {
     grant_lease(request);
   } else if (g_str_has_prefix(request->path, "/holds/")) {
@@ -100,45 +100,45 @@
   } else if (g_str_has_prefix(request->path, "/keys/")) {
     get_key(request);
   } else if (g_str_has_prefix(request->path, "/changes?")) {
-    kv_watch_open(request, former);
+    kv_watch_open(request, sender_is_former);
   } else {
-    list_keys(request, former);
+    list_keys(request, sender_is_former);
   }
 }
 
 /* ---- delayed requests ---- */
 
 typedef struct delayed_request {
-  sim_request request; /* what it points to stays with the exchange */
-  bool former;
+  sim_request request; /* its texts live as long as the exchange */
+  bool sender_is_former;
 } delayed_request;
 
 static void serve_delayed(void *arg) {
   const delayed_request *delayed = arg;
-  serve_now(&delayed->request, delayed->former);
+  serve_now(&delayed->request, delayed->sender_is_former);
   g_free(arg);
 }
 
 static void serve(const sim_request *request, void *arg) {
   (void)arg;
-  bool former = world_sent_by_former(request->exchange);
-  double delay_s = kv_delay_of(request);
+  bool sender_is_former = world_sent_by_former(request->exchange);
+  double delay_s = kv_request_delay(request);
   if (delay_s <= 0) {
-    serve_now(request, former);
+    serve_now(request, sender_is_former);
     return;
   }
   delayed_request *delayed = g_new(delayed_request, 1);
-  *delayed = (delayed_request){*request, former};
+  *delayed = (delayed_request){*request, sender_is_former};
   sim_after(delay_s, serve_delayed, delayed);
 }
 
-/* ---- clock ---- */
+/* ---- periodic work ---- */
 
 static void tick(void *arg) {
   (void)arg;
   if (!kv_is_down()) kv_leases_expire();
   kv_watches_answer();
-  sim_after(TICK_S, tick, NULL);
+  sim_after(TICK_INTERVAL_S, tick, NULL);
 }
 
 void kv_init(void) {
--- a/tests/sim/kv_store.c
+++ b/tests/sim/kv_store.c
@@ -1,9 +1,8 @@
-/* Keys of the simulated key-value store with their history of changes, and its leases. */
+/* Keys of the simulated key-value store with the history of their changes, and its leases. */
 #include "kv.h"
 
-/* A record format that no version knows. */
-#define UNKNOWN_FORMAT 99
-#define PLAIN_FORMAT 1
+#define UNKNOWN_FORMAT 99   /* a record format that no version reads */
+#define FORMER_MAX_FORMAT 1 /* the newest record format that the former version reads */
 
 typedef struct kv_change {
   uint64_t version;
@@ -72,27 +71,28 @@
   g_tree_replace(g_keys, g_strdup(key), entry);
 }
 
-/* What the former version can't read has a format that it doesn't know. */
-json_t *kv_value_as_read(json_t *value, bool by_former) {
-  if (!by_former || json_integer_value(json_object_get(value, "f")) <= PLAIN_FORMAT) return json_incref(value);
-  json_t *unread = json_copy(value);
-  json_object_set_new(unread, "f", json_integer(UNKNOWN_FORMAT));
-  return unread;
+/* For the former version, a value in a newer format gets one that is unknown to it. */
+json_t *kv_value_as_read(json_t *value, bool reader_is_former) {
+  if (!reader_is_former || json_integer_value(json_object_get(value, "f")) <= FORMER_MAX_FORMAT)
+    return json_incref(value);
+  json_t *unreadable = json_copy(value);
+  json_object_set_new(unreadable, "f", json_integer(UNKNOWN_FORMAT));
+  return unreadable;
 }
 
-static json_t *change_event(const kv_change *change, bool by_former) {
+static json_t *change_event(const kv_change *change, bool reader_is_former) {
   if (!change->value) return json_pack("{ss sI}", "remove", change->key, "edition", change->version);
-  return json_pack("{ss so sI}", "set", change->key, "v", kv_value_as_read(change->value, by_former), "edition",
+  return json_pack("{ss so sI}", "set", change->key, "v", kv_value_as_read(change->value, reader_is_former), "edition",
                    change->version);
 }
 
-/* The protocol guarantees no order: newest first is the hardest. */
-json_t *kv_changes_after(const char *prefix, uint64_t revision, bool by_former) {
+/* The protocol guarantees no order of changes; newest first is the hardest case for controllers. */
+json_t *kv_changes_after(const char *prefix, uint64_t revision, bool reader_is_former) {
   json_t *events = json_array();
   for (guint i = g_history->len; i-- > 0;) {
     const kv_change *change = g_history->pdata[i];
     if (change->version <= revision) break;
-    if (g_str_has_prefix(change->key, prefix)) json_array_append_new(events, change_event(change, by_former));
+    if (g_str_has_prefix(change->key, prefix)) json_array_append_new(events, change_event(change, reader_is_former));
   }
   return events;
 }
@@ -127,20 +127,20 @@
   }
 }
 
-typedef struct lease_keys {
+typedef struct lease_key_search {
   uint64_t lease;
   GPtrArray *keys;
-} lease_keys;
+} lease_key_search;
 
-static gboolean collect_key(gpointer key, gpointer value, gpointer data) {
-  const lease_keys *search = data;
+static gboolean collect_lease_key(gpointer key, gpointer value, gpointer data) {
+  const lease_key_search *search = data;
   if (((const kv_entry *)value)->lease == search->lease) g_ptr_array_add(search->keys, g_strdup(key));
   return FALSE;
 }
 
-static void end_lease(uint64_t lease) {
-  lease_keys search = {lease, g_ptr_array_new_with_free_func(g_free)};
-  g_tree_foreach(g_keys, collect_key, &search);
+static void remove_lease(uint64_t lease) {
+  lease_key_search search = {lease, g_ptr_array_new_with_free_func(g_free)};
+  g_tree_foreach(g_keys, collect_lease_key, &search);
   if (search.keys->len > 0) g_revision++;
   for (guint i = 0; i < search.keys->len; i++) kv_put(search.keys->pdata[i], NULL, 0);
   g_ptr_array_free(search.keys, TRUE);
@@ -156,11 +156,11 @@
     uint64_t lease = GPOINTER_TO_SIZE(id);
     if (sim_now() > ((const kv_lease *)value)->expires_at) g_array_append_val(expired, lease);
   }
-  for (guint i = 0; i < expired->len; i++) end_lease(g_array_index(expired, uint64_t, i));
+  for (guint i = 0; i < expired->len; i++) remove_lease(g_array_index(expired, uint64_t, i));
   g_array_free(expired, TRUE);
 }
 
-/* ---- questions of scenes ---- */
+/* ---- queries by scenes ---- */
 
 bool kv_has_key(const char *key) {
   return kv_lookup(key) != NULL;
@@ -170,9 +170,9 @@
   const kv_entry *entry = kv_lookup(key);
   if (!entry) return false;
   char *value = json_dumps(entry->value, JSON_COMPACT);
-  bool says = strstr(value, text) != NULL;
+  bool contains = strstr(value, text) != NULL;
   free(value);
-  return says;
+  return contains;
 }
 
 typedef struct job_visit {
