--- a/tests/sim/events.c
+++ b/tests/sim/events.c
@@ -1,4 +1,4 @@
-/* Virtual time: events in the order of their times, and random draws from the seed. */
+/* Virtual time as a queue of events, and random draws from the seed. */
 #include "network.h"
 #include "sim.h"
 
@@ -6,7 +6,7 @@
 
 typedef struct sim_event {
   double at;
-  uint64_t order; /* of sim_at() calls */
+  uint64_t order; /* number of its sim_at() call */
   sim_fn fn;
   void *arg;
 } sim_event;
@@ -44,8 +44,8 @@
   return g_rand;
 }
 
-double sim_draw(double least, double most) {
-  return g_rand_double_range(g_rand, least, most);
+double sim_draw(double min, double max) {
+  return g_rand_double_range(g_rand, min, max);
 }
 
 bool sim_chance(double probability) {
@@ -53,11 +53,11 @@
 }
 
 void sim_at(double time, sim_fn fn, void *arg) {
-  sim_own_work_begin();
+  sim_internal_alloc_begin();
   sim_event *event = g_new(sim_event, 1);
   *event = (sim_event){.at = time, .order = g_next_order++, .fn = fn, .arg = arg};
   g_sequence_insert_sorted(g_events, event, compare_events, NULL);
-  sim_own_work_end();
+  sim_internal_alloc_end();
 }
 
 void sim_after(double delay_s, sim_fn fn, void *arg) {
--- a/tests/sim/links.c
+++ b/tests/sim/links.c
@@ -1,5 +1,5 @@
-/* Links of the simulated network: which traffic waits or is reset, by the faults that scenes
- * and random days have added. */
+/* State of the links of the simulated network, from the link faults that scenes and random days have
+ * added and from the state of machines. */
 #include "deployment.h"
 #include "stand_ins.h"
 
@@ -18,17 +18,18 @@
 }
 
 int links_sender(const struct sim_exchange *exchange) {
-  return links_controller_at(*(const uint32_t *)exchange); /* its first field: the sender */
+  return links_controller_at(*(const uint32_t *)exchange); /* its first field: the sender's address */
 }
 
-/* -1: it belongs to no zone. The second controller is in the second zone. */
+/* The zone of the address, -1: none. The second controller is in the second zone. */
 static int zone_at(uint32_t ip) {
   if (ip >> 16 == CONTROLLER_NETWORK) return links_controller_at(ip) == 1 ? 1 : 0;
   const sim_worker *worker = g_hash_table_lookup(g_workers_by_ip, GUINT_TO_POINTER(ip));
   return worker ? worker->zone : -1;
 }
 
-/* Does the fault concern traffic between the two? To be asked both ways round. */
+/* Whether the fault covers traffic from one address to the other. Links fail both ways, so callers check
+ * both directions. */
 static bool fault_matches(const link_fault *fault, uint32_t from, uint32_t to) {
   bool from_controller = links_controller_at(from) == fault->node && fault->node >= 0;
   switch (fault->scope) {
@@ -76,7 +77,7 @@
   return node >= 0 && sim_now() < g_kv_refuses_until[node];
 }
 
-/* ---- scenes' commands ---- */
+/* ---- fault functions for scenes ---- */
 
 static void add_controller_fault(link_scope scope, unsigned node, double for_s, sim_link mode) {
   links_add_fault(&(link_fault){.scope = scope, .node = (int)node, .ends_at = sim_now() + for_s, .mode = mode});
--- a/tests/sim/routines.c
+++ b/tests/sim/routines.c
@@ -1,5 +1,5 @@
-/* src/transport/routine.h over virtual time: routines of simulated processes, the clocks that
- * they see, and their turns on a processor that they share. */
+/* src/transport/routine.h over virtual time: the routines of simulated processes, the clocks that they
+ * read, and their scheduling on a share of a processor. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,10 +12,10 @@
 
 #define STACK_BYTES ((size_t)512 * 1024)
 #define LAG_HALF_LIFE_S 1.0
-#define MOST_DRIFT 0.0005 /* steady clocks run up to so much fast, each at its own rate */
-#define DRIFT_STEPS 7     /* different rates */
+#define MAX_CLOCK_DRIFT 0.0005 /* monotonic clocks are fast by up to this share, at a rate per address */
+#define CLOCK_DRIFT_RATES 7
 #define CLOCK_ROUNDING_S 1e-9
-#define SIM_TIME_OF_DAY 1.8e9 /* when the simulation starts */
+#define TIME_OF_DAY_OFFSET_S 1.8e9 /* Unix time at virtual time 0 */
 
 struct fc_routine {
   fcontext_t context;
@@ -24,9 +24,9 @@
   char *stack;
   sim_process *process;
   fc_wake reason;
-  uint64_t waits;       /* tells a timer of an earlier wait from the present one */
-  double unpaid_cost_s; /* of a whole processor: for what it reads next */
-  double deadline;      /* of its present or last wait */
+  uint64_t waits;        /* so far; distinguishes timers of earlier waits from the present one's */
+  double pending_cost_s; /* of a whole processor, charged before it runs next */
+  double deadline;       /* of its present or last wait, in virtual time */
   bool parked, queued, finished, dead;
 };
 
@@ -38,49 +38,49 @@
 
 static fcontext_t g_scheduler_context;
 static fc_routine *g_running;
-static GPtrArray *g_spare_stacks;
+static GPtrArray *g_free_stacks;
 
 void sim_routines_init(void) {
-  if (!g_spare_stacks) g_spare_stacks = g_ptr_array_new();
+  if (!g_free_stacks) g_free_stacks = g_ptr_array_new();
   g_running = NULL;
 }
 
 /* ---- clocks ---- */
 
 double fc_time_of_day(void) {
-  return SIM_TIME_OF_DAY + sim_now();
+  return TIME_OF_DAY_OFFSET_S + sim_now();
 }
 
-/* How much faster than virtual time the running process's clock is. */
+/* By what share the running process's clock is faster than virtual time. */
 static double clock_drift(void) {
-  const sim_process *process = sim_process_here();
-  return process ? MOST_DRIFT * (process->ip % DRIFT_STEPS) / (DRIFT_STEPS - 1.0) : 0;
+  const sim_process *process = sim_running_process();
+  return process ? MAX_CLOCK_DRIFT * (process->ip % CLOCK_DRIFT_RATES) / (CLOCK_DRIFT_RATES - 1.0) : 0;
 }
 
 double fc_now(void) {
   return sim_now() * (1 + clock_drift());
 }
 
-static double virtual_time(double local) {
-  return local / (1 + clock_drift());
+static double to_virtual_time(double clock_time) {
+  return clock_time / (1 + clock_drift());
 }
 
-/* As the real loop's: how late timers were, lately. */
+/* Recent timer lateness, which decays as in the real event loop. */
 static double current_lag(const sim_process *process) {
-  return process->lag_s * exp2((process->lag_at - sim_now()) / LAG_HALF_LIFE_S);
+  return process->lag_s * exp2((process->lag_measured_at - sim_now()) / LAG_HALF_LIFE_S);
 }
 
 double fc_loop_lag(void) {
-  const sim_process *process = sim_process_here();
+  const sim_process *process = sim_running_process();
   return process ? current_lag(process) : 0;
 }
 
-static void note_lag(sim_process *process, double late_s) {
+static void record_lag(sim_process *process, double late_s) {
   process->lag_s = MAX(late_s, current_lag(process));
-  process->lag_at = sim_now();
+  process->lag_measured_at = sim_now();
 }
 
-/* ---- what the loop has besides, and the simulation does without ---- */
+/* ---- functions of the event loop that the simulation does not need ---- */
 
 bool fc_loop_init(void) {
   return true;
@@ -104,7 +104,7 @@
   (void)routine;
 }
 
-/* Nothing here takes time or makes system calls, so there is nothing to account for. */
+/* Simulated routines make no system calls and take no real time, so there is no usage to account. */
 void fc_routine_account(fc_usage *usage) {
   (void)usage;
 }
@@ -121,12 +121,12 @@
 }
 
 size_t fc_routine_count(void) {
-  const sim_process *process = sim_process_here();
+  const sim_process *process = sim_running_process();
   return process ? process->routines->len : 0;
 }
 
 void sim_routine_add_cost(fc_routine *routine, double cost_s) {
-  routine->unpaid_cost_s += cost_s;
+  routine->pending_cost_s += cost_s;
 }
 
 static void routine_main(transfer_t transfer) {
@@ -140,9 +140,9 @@
 
 void sim_routine_release(fc_routine *routine) {
   g_ptr_array_remove_fast(routine->process->routines, routine);
-  g_ptr_array_add(g_spare_stacks, routine->stack);
+  g_ptr_array_add(g_free_stacks, routine->stack);
   routine->stack = NULL;
-  routine->dead = true; /* not freed: events may still name it */
+  routine->dead = true; /* not freed: events may still refer to it */
 }
 
 static void run(void *arg) {
@@ -154,7 +154,7 @@
   }
   routine->queued = false;
   if (routine->dead) return;
-  if (routine->waits > 0 && routine->reason == FC_WAKE_TIMEOUT) note_lag(process, sim_now() - routine->deadline);
+  if (routine->waits > 0 && routine->reason == FC_WAKE_TIMEOUT) record_lag(process, sim_now() - routine->deadline);
   sim_charge_wake(process);
   fc_routine *running_before = g_running;
   g_running = routine;
@@ -167,24 +167,24 @@
   if (routine->finished) sim_routine_release(routine);
 }
 
-/* ---- a processor that routines share ---- */
+/* ---- scheduling on a share of a processor ---- */
 
 static void run_next(void *arg);
 
 static void schedule_next(sim_process *process) {
-  if (process->next_scheduled || g_queue_is_empty(&process->ready)) return;
-  process->next_scheduled = true;
+  if (process->run_scheduled || g_queue_is_empty(&process->ready)) return;
+  process->run_scheduled = true;
   sim_at(MAX(sim_now(), MAX(process->busy_until, process->paused_until)), run_next, process);
 }
 
-/* The first that is ready runs once all before it, and what it reads, has been paid for. */
+/* Runs the first ready routine, but not before all earlier cost and that of what it reads is worked off. */
 static void run_next(void *arg) {
   sim_process *process = arg;
-  process->next_scheduled = false;
+  process->run_scheduled = false;
   fc_routine *routine = g_queue_peek_head(&process->ready);
   if (sim_now() >= process->busy_until && sim_now() >= process->paused_until && process->alive && routine) {
-    sim_charge(process, routine->unpaid_cost_s);
-    routine->unpaid_cost_s = 0;
+    sim_charge(process, routine->pending_cost_s);
+    routine->pending_cost_s = 0;
     if (process->busy_until <= sim_now() || routine->dead) {
       (void)g_queue_pop_head(&process->ready);
       run(routine);
@@ -196,7 +196,7 @@
 static void enqueue(fc_routine *routine) {
   if (routine->queued) return;
   routine->queued = true;
-  if (routine->process->share > 0) {
+  if (routine->process->cpu_share > 0) {
     g_queue_push_tail(&routine->process->ready, routine);
     schedule_next(routine->process);
   } else {
@@ -206,40 +206,40 @@
 
 /* ---- start ---- */
 
-static char *take_stack(void) {
-  if (g_spare_stacks->len > 0) return g_ptr_array_steal_index_fast(g_spare_stacks, g_spare_stacks->len - 1);
+static char *stack_acquire(void) {
+  if (g_free_stacks->len > 0) return g_ptr_array_steal_index_fast(g_free_stacks, g_free_stacks->len - 1);
   char *stack = mmap(NULL, STACK_BYTES, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
   if (stack == MAP_FAILED) abort();
   return stack;
 }
 
 fc_routine *sim_spawn_in(sim_process *process, fc_routine_fn fn, void *arg) {
-  sim_own_work_begin();
+  sim_internal_alloc_begin();
   fc_routine *routine = g_new0(fc_routine, 1);
   routine->fn = fn;
   routine->arg = arg;
   routine->process = process;
-  routine->stack = take_stack();
-  ASAN_UNPOISON_MEMORY_REGION(routine->stack, STACK_BYTES); /* frames of one that was killed */
+  routine->stack = stack_acquire();
+  ASAN_UNPOISON_MEMORY_REGION(routine->stack, STACK_BYTES); /* a killed routine's frames left it poisoned */
   routine->context = make_fcontext(routine->stack + STACK_BYTES, STACK_BYTES, routine_main);
   g_ptr_array_add(process->routines, routine);
   enqueue(routine);
-  sim_own_work_end();
+  sim_internal_alloc_end();
   return routine;
 }
 
 fc_routine *fc_routine_spawn(fc_routine_fn fn, void *arg) {
-  return sim_spawn_in(sim_process_here(), fn, arg);
+  return sim_spawn_in(sim_running_process(), fn, arg);
 }
 
 /* ---- waiting ---- */
 
 typedef struct park_timer {
   fc_routine *routine;
-  uint64_t wait; /* fc_routine.waits as it was set */
+  uint64_t wait; /* fc_routine.waits when the timer was set */
 } park_timer;
 
-static void on_timer(void *arg) {
+static void on_park_timeout(void *arg) {
   park_timer *timer = arg;
   fc_routine *routine = timer->routine;
   if (!routine->dead && routine->parked && routine->waits == timer->wait) {
@@ -252,17 +252,17 @@
 
 fc_wake fc_routine_park(double deadline) {
   fc_routine *routine = g_running;
-  double when = virtual_time(deadline);
-  if (when <= sim_now()) return FC_WAKE_TIMEOUT;
+  double expires_at = to_virtual_time(deadline);
+  if (expires_at <= sim_now()) return FC_WAKE_TIMEOUT;
   routine->parked = true;
   routine->reason = FC_WAKE_OK;
-  sim_own_work_begin();
+  sim_internal_alloc_begin();
   park_timer *timer = g_new(park_timer, 1);
   *timer = (park_timer){.routine = routine, .wait = ++routine->waits};
-  routine->deadline = when;
-  if (routine->process->timer_delay_s > 0) when += sim_draw(0, routine->process->timer_delay_s);
-  sim_at(when, on_timer, timer);
-  sim_own_work_end();
+  routine->deadline = expires_at;
+  if (routine->process->timer_delay_max_s > 0) expires_at += sim_draw(0, routine->process->timer_delay_max_s);
+  sim_at(expires_at, on_park_timeout, timer);
+  sim_internal_alloc_end();
   transfer_t transfer = jump_fcontext(g_scheduler_context, NULL);
   g_scheduler_context = transfer.fctx;
   return routine->reason;
