--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -41,7 +41,7 @@
 static void begin_with_former_version(void) {
   world_kv_announce_limits(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
   world_former_version();
-  world_lateness(2, 90);
+  world_late_writes_delay(2, 90);
   sim_after(sim_draw(15, 60), upgrade_next, GUINT_TO_POINTER(0));
 }
 
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -99,7 +99,7 @@
 /* The key-value store refuses one controller, users cancel, and a moment later nobody is
  * served. */
 static void refuse_one_then_outage(void) {
-  world_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
+  world_kv_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
   while (at < in_s) {
@@ -110,7 +110,7 @@
 }
 
 static void refuse_one(void) {
-  world_refuse(any_node(), random_length());
+  world_kv_refuse(any_node(), random_length());
   if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, OVERLAP_S));
 }
 
@@ -140,7 +140,7 @@
   } else if (choice < 3) {
     world_partition_node(any_node(), sim_draw(5, 11));
   } else if (choice < 4) {
-    world_refuse(any_node(), sim_draw(5, 11));
+    world_kv_refuse(any_node(), sim_draw(5, 11));
   } else {
     world_pause_node(any_node(), sim_draw(5, 11));
   }
--- a/tests/sim/kv_faults.c
+++ b/tests/sim/kv_faults.c
@@ -14,8 +14,8 @@
 void kv_faults_init(void) {
   g_down = false;
   g_slow_until = g_delayed_commit_share = 0;
-  world_lateness(DEFAULT_COMMIT_DELAY_MIN_S, DEFAULT_COMMIT_DELAY_MAX_S);
-  world_late_only(NULL);
+  world_late_writes_delay(DEFAULT_COMMIT_DELAY_MIN_S, DEFAULT_COMMIT_DELAY_MAX_S);
+  world_late_writes_only(NULL);
 }
 
 /* ---- outages ---- */
@@ -71,11 +71,11 @@
   sim_after(in_s, end_commit_delays, NULL);
 }
 
-void world_late_only(const char *text) {
+void world_late_writes_only(const char *text) {
   g_delayed_commit_text = text;
 }
 
-void world_lateness(double least_s, double most_s) {
+void world_late_writes_delay(double least_s, double most_s) {
   g_commit_delay_min_s = least_s;
   g_commit_delay_max_s = most_s;
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -156,7 +156,7 @@
 
 /* ---- the key-value store ---- */
 
-void world_refuse(unsigned node, double for_s); /* it refuses that controller alone */
+void world_kv_refuse(unsigned node, double for_s); /* it refuses that controller alone */
 void world_kv_down(double for_s);
 void world_kv_down_in(double in_s, double for_s);
 void world_kv_slow(double for_s, double most_s); /* each answer takes up to so long */
@@ -170,8 +170,8 @@
 /* That share of transactions gets no answer in time and is applied 2 to 12 s late. */
 void world_late_writes(double share);
 void world_late_writes_end(double in_s);
-void world_lateness(double least_s, double most_s); /* of those; instead of 2 to 12 s */
-void world_late_only(const char *text);             /* of those whose body holds that; NULL: all */
+void world_late_writes_delay(double least_s, double most_s); /* of those; instead of 2 to 12 s */
+void world_late_writes_only(const char *text);               /* of those whose body holds that; NULL: all */
 void kv_set_down(bool down);
 bool kv_has_key(const char *key);
 bool kv_value_contains(const char *key, const char *text);        /* its value, as compact JSON, holds that */
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -261,7 +261,7 @@
   sim_run_until(sim_now() + 4);
   double at = sim_now();
   submit_jobs_of_every_kind();
-  world_lateness(row->least_s, row->most_s);
+  world_late_writes_delay(row->least_s, row->most_s);
   world_late_writes(row->share);
   world_cancel_at_end(0.3);
   if (row->crash >= 0) {
@@ -336,8 +336,8 @@
   world_start_nodes();
   sim_run_until(sim_now() + 6);
   double at = sim_now();
-  world_lateness(45, 60);
-  world_late_only(row->of);
+  world_late_writes_delay(45, 60);
+  world_late_writes_only(row->of);
   submit_four_jobs();
   sim_run_until(at + row->from_s);
   world_late_writes(1);
@@ -399,8 +399,8 @@
     scene_begin(&(scene_setup){.seed = (uint32_t)(500 + i), .capacity = 6, .keep_idle = true, .machines = {4, 4}});
     sim_run_until(sim_now() + 6);
     double at = sim_now();
-    world_lateness(2, rows[i].most_s);
-    world_late_only(rows[i].of);
+    world_late_writes_delay(2, rows[i].most_s);
+    world_late_writes_only(rows[i].of);
     world_late_writes(rows[i].share);
     for (unsigned k = 0; k < 60; k++) {
       const char *id = world_id(k * 37 % 1000);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -61,7 +61,7 @@
   if (row->trouble == STATE_DOWN) world_kv_down(22);
   if (row->trouble == FIRST_ENDS) world_crash(0, 4);
   if (row->trouble == SECOND_ENDS) world_crash(1, 4);
-  if (row->trouble == REFUSED || row->trouble == CANCELLED) world_refuse(0, 20);
+  if (row->trouble == REFUSED || row->trouble == CANCELLED) world_kv_refuse(0, 20);
   if (row->trouble == ALONE) world_partition_node(0, 12);
   if (row->trouble == LATE_WRITES) world_late_writes(0.3);
   if (row->trouble != CANCELLED) return;
@@ -162,7 +162,7 @@
   static const bool none_new[WORLD_NODES] = {false, false, false};
   for (uint32_t seed = 0; seed < 6; seed++) {
     start_mixed_fleet(70 + seed, none_new);
-    world_lateness(30, 200);
+    world_late_writes_delay(30, 200);
     world_late_writes(0.25);
     for (unsigned k = 1; k <= 30; k++) world_submit(world_id(k), "sweep", "standard", 4, 0.5, 4, 0.4 * k);
     sim_run_until(sim_now() + 10);
