--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -69,7 +69,7 @@
   uint16_t port;
   uint64_t connection; /* 0: one of its own */
   char *method, *path, *body;
-  unsigned sender_tag; /* when the request was sent */
+  unsigned sender_tag; /* of the sender, when it sent the request */
   bool answered, timed_out;
   int status;
   char *reply;
--- a/tests/sim/kv_watches.c
+++ b/tests/sim/kv_watches.c
@@ -10,8 +10,8 @@
 } kv_watch;
 
 static GPtrArray *g_watches;
-static double g_stalled_until; /* no watch is answered before */
-/* A commit whose body contains the text stalls watches for that time; g_stall_s 0: none does. */
+static double g_stalled_until; /* no watch is answered before then */
+/* The next commit whose body contains the text stalls watches for g_stall_s; 0: none does. */
 static char g_stall_trigger[48];
 static double g_stall_s;
 
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -15,14 +15,14 @@
 }
 
 struct fc_conn {
-  uint32_t local, remote;
-  struct fc_conn *other; /* the other end; NULL: it was closed, or the connection reset */
-  GByteArray *inbox;     /* delivered, not yet read */
-  GQueue in_transit;     /* sim_segment to this end */
+  uint32_t local, remote; /* addresses */
+  struct fc_conn *other;  /* the other end; NULL: it was closed, or the connection reset */
+  GByteArray *inbox;      /* delivered, not yet read */
+  GQueue in_transit;      /* sim_segment to this end */
   fc_routine *waiter;
   sim_process *process;
   bool closed;
-  double last_arrival_at; /* of the segments sent so far: no later one arrives before it */
+  double last_arrival_at; /* of the segments sent from this end: later ones do not arrive before it */
   double unread_cost_s;   /* of receiving what is in the inbox, not charged yet */
 };
 
