--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -1,5 +1,5 @@
-/* Rules about what users are answered: no job is forgotten, invented or taken back to an earlier
- * state, and a cancellation reaches the jobs that need the cancelled one in time. */
+/* Rules for answers to users: no terminal state is reported that is wrong or is taken back later, and
+ * jobs that depend on a cancelled job are cancelled in time. */
 #include "users.h"
 
 job_question *question_new(sim_job *job) {
@@ -8,7 +8,7 @@
   return question;
 }
 
-/* When its user first saw that a job is cancelled which this one needs; INFINITY: never. */
+/* When its user first saw one of its direct or indirect dependencies cancelled; INFINITY: never. */
 static double dependency_seen_cancelled_at(const sim_job *job) {
   double at = INFINITY;
   for (guint i = 0; i < job->needs->len; i++) {
--- a/tests/sim/cancellations.c
+++ b/tests/sim/cancellations.c
@@ -1,8 +1,8 @@
-/* When users cancel: one job, some of those that run, those of a machine, or a job at the very
- * moment at which it completes. */
+/* Cancellations by users: of one job, of some running jobs, of the jobs on a machine, and of jobs that
+ * are just completing. */
 #include "users.h"
 
-#define SAME_MOMENT_S 0.2 /* cancellations of several jobs are sent within */
+#define BURST_WINDOW_S 0.2 /* the cancellations of a burst are sent within it */
 
 double g_cancel_on_completion_share;
 
@@ -21,7 +21,7 @@
   g_free(planned);
 }
 
-/* Cancels the job later by that controller first; -1: by any. */
+/* Cancels the job after in_s, through that controller first; -1: any. */
 static void cancel_in(sim_job *job, int node, double in_s) {
   planned_cancellation *planned = g_new(planned_cancellation, 1);
   *planned = (planned_cancellation){job, node};
@@ -35,7 +35,7 @@
 void users_job_completed(sim_job *job) {
   job->completed_at = sim_now();
   if (g_cancel_on_completion_share <= 0 || !sim_chance(g_cancel_on_completion_share)) return;
-  /* Its user cancels it, asks for it and submits it again. */
+  /* The user cancels it, requests its status and submits it again at about the same time. */
   cancel_in(job, -1, sim_draw(0, 0.6));
   user_ask_status(job, users_pick_node());
   user_repeat_submission(job, users_pick_node());
@@ -53,7 +53,7 @@
          !task->job->cancel_requested;
 }
 
-/* Of the jobs with tasks on the machine, up to so many; returns how many. */
+/* Cancels up to `most` jobs with tasks on the machine; returns how many. */
 static unsigned cancel_on_machine(sim_worker *worker, unsigned most, double within_s, double hang_s) {
   unsigned count = 0;
   for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < most; i++) {
@@ -84,9 +84,9 @@
 static void cancel_burst(void *arg) {
   planned_burst *planned = arg;
   if (planned->on) {
-    (void)cancel_on_machine(planned->on, planned->count, SAME_MOMENT_S, 0);
+    (void)cancel_on_machine(planned->on, planned->count, BURST_WINDOW_S, 0);
   } else {
-    users_cancel_running(planned->count, SAME_MOMENT_S, 0);
+    users_cancel_running(planned->count, BURST_WINDOW_S, 0);
   }
   g_free(planned);
 }
--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -1,17 +1,18 @@
-/* Rules about whole days: none of the jobs that could run is starved once the faults are over,
- * and in the end every job is known, the largest have begun, and every class and team is served. */
+/* Rules for whole days: once the faults are over no job that could run stays pending for too long, and
+ * at the end every job is known, the largest have begun, and at least half the jobs of each kind and
+ * team have begun. */
 #include "stand_ins.h"
 
 #define SAMPLE_INTERVAL_S 3.0
-#define STARVATION_LIMIT_S 90.0      /* a job that could run is pending no longer */
-#define LARGEST_BEGIN_WITHIN_S 240.0 /* of the largest jobs, once the faults are over */
-#define LARGEST_SHARE 5u             /* the largest: one job in so many of its class */
+#define STARVATION_LIMIT_S 90.0      /* the longest that a job that could run may be pending */
+#define LARGEST_BEGIN_WITHIN_S 240.0 /* for the largest jobs, once the faults are over */
+#define LARGEST_ONE_IN 5u            /* the largest: one job in 5 of each kind */
 
 static bool is_active(const sim_task *task) {
   return task->state != TASK_EXITED;
 }
 
-/* As controllers may use it: reachable, and not about to end. */
+/* Whether controllers can use it: it is reachable and not about to be preempted. */
 static bool is_usable(const sim_worker *worker) {
   double now = sim_now();
   return worker->up && !worker->terminated && worker->preemption_notice_at <= 0 && now >= worker->hung_until &&
@@ -36,8 +37,8 @@
 typedef struct job_progress {
   unsigned missing; /* tasks that are neither done nor on a machine */
   unsigned running;
-  unsigned in_zone[ZONES]; /* its tasks that are on machines */
-  unsigned room[ZONES];    /* for more of them */
+  unsigned in_zone[ZONES]; /* its tasks on machines, by zone */
+  unsigned room[ZONES];    /* how many more of them fit, by zone */
 } job_progress;
 
 static job_progress progress_of(const sim_job *job) {
@@ -55,7 +56,8 @@
     }
     progress.room[worker->zone] += tasks_that_fit(worker, job);
   }
-  /* Done, and no controller knows of it: it takes another start. */
+  /* If all tasks are done but the job is not reported as done, the controllers have lost a result and
+   * have to start the task again. */
   bool all = job->done_count == job->tasks;
   for (unsigned i = 0; i < job->tasks; i++) progress.missing += !there[i] && (all || !job->done[i]);
   g_free(there);
@@ -74,7 +76,7 @@
   return gpus;
 }
 
-/* Is there room for all of a gang, or for one more task, where the job may run? */
+/* Whether `need` more tasks of the job fit where it may run, within the quota of its team. */
 static bool has_room(const sim_job *job, const job_progress *progress, unsigned need) {
   if (strcmp(job->team, "blue") == 0 && gpus_of_team("blue") + need * job->gpus > BLUE_GPUS_MAX + ROUNDING)
     return false;
@@ -88,7 +90,7 @@
   return (job->one_zone ? one : all) >= need;
 }
 
-/* Since when tasks of the job have been pending although they fit; 0: none are. */
+/* Since when tasks of the job have been pending although they fit; 0: not the case. */
 static double starved_since(const sim_job *job) {
   if (!job->seen_accepted || job->terminal || job->cancel_requested || job_dependency_cancelled(job) ||
       isinf(job_ready_at(job)))
@@ -119,7 +121,7 @@
   job->starved_since = starved_since(job);
   if (job->starved_since <= 0 || sim_now() <= job->starved_since + STARVATION_LIMIT_S) return;
   broke_for_job("starved: pending although it fits", job, job->starved_since);
-  job->starved_since = sim_now(); /* once in each limit */
+  job->starved_since = sim_now(); /* report it once per limit */
 }
 
 static void check_all_starvation(void *arg) {
@@ -145,7 +147,7 @@
   return left_size > right_size ? -1 : left_size < right_size;
 }
 
-/* A job that is cancelled before it was pending for long isn't counted as unserved. */
+/* A job that was cancelled before it was pending for long doesn't count as unserved. */
 static bool counts_as_waiting(const sim_job *job) {
   if (job->began_at <= 0 && (job_dependency_cancelled(job) || isinf(job_ready_at(job)))) return false;
   return job->began_at > 0 || !job->cancel_requested ||
@@ -179,9 +181,9 @@
   return out;
 }
 
-/* How many are the largest; every job as large as the last of the share is one of them. */
+/* How many of the sorted jobs are the largest, those as large as the smallest of them included. */
 static guint count_largest(const GPtrArray *jobs) {
-  guint count = (jobs->len + LARGEST_SHARE - 1) / LARGEST_SHARE;
+  guint count = (jobs->len + LARGEST_ONE_IN - 1) / LARGEST_ONE_IN;
   while (count < jobs->len && count > 0 && size_of(jobs->pdata[count]) >= size_of(jobs->pdata[count - 1])) count++;
   return count;
 }
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -1,11 +1,11 @@
-/* A stand-in for the cloud: rents machines out while it has capacity; some of them never boot. */
+/* The simulated cloud: rents out machines while it has capacity; some of them never boot. */
 #include "stand_ins.h"
 
-#define NEVER_S 1e9
+#define NEVER_BOOTS_S 1e9
 #define NEVER_BOOTS_SHARE 0.05
-#define LIST_DELAY_S 10 /* a new machine is on the list so much later */
+#define LIST_DELAY_S 10 /* after its creation a machine is missing from the list for so long */
 
-static GHashTable *g_rentals; /* name of the request -> its reply */
+static GHashTable *g_rentals; /* name of the request -> reply (json_t), which is repeated for the same name */
 static bool g_down;
 
 void world_cloud_down(bool down) {
@@ -32,7 +32,7 @@
     unsigned most = spot ? g_zone_spot_capacity : g_zone_capacity;
     json_t *ids = json_array();
     while (count-- > 0 && rented(zone, spot) < most) {
-      double boot = sim_chance(NEVER_BOOTS_SHARE) ? NEVER_S : sim_draw(0.5, 20);
+      double boot = sim_chance(NEVER_BOOTS_SHARE) ? NEVER_BOOTS_S : sim_draw(0.5, 20);
       json_array_append_new(ids, json_string(worker_new(zone, spot, boot)->id));
     }
     if (json_array_size(ids) > 0) {
@@ -68,7 +68,7 @@
   json_t *list = json_array();
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
-    if (worker->terminated || sim_now() < worker->created_at + LIST_DELAY_S) continue; /* the list lags behind */
+    if (worker->terminated || sim_now() < worker->created_at + LIST_DELAY_S) continue;
     json_array_append_new(list, json_pack("{ss ss ss sb ss sf}", "id", worker->id, "build", "g4", "ground",
                                           world_zones[worker->zone], "loaners", (int)worker->spot, "status",
                                           worker->up ? "running" : "starting", "ageS", sim_now() - worker->created_at));
--- a/tests/sim/controllers.c
+++ b/tests/sim/controllers.c
@@ -1,17 +1,17 @@
-/* Processes of the simulated controllers: starts, crashes, pauses, upgrades, and what they
- * cost of a processor. */
+/* Processes of the simulated controllers: starts, crashes, pauses, upgrades, and the processor time
+ * that they use. */
 #include "controller/controller.h"
 
 #include "deployment.h"
 #include "stand_ins.h"
 
-#define LONGEST_FIRST_START_S 0.3
+#define FIRST_START_MAX_S 0.3
 
 static fc_controller *g_controllers[WORLD_NODES];
 
-/* Crashes a controller a moment after its next write of a key. */
+/* Crashes a controller after its next write of a key with the prefix. */
 typedef struct crash_trigger {
-  const char *prefix; /* of the key; NULL: none is set */
+  const char *prefix; /* NULL: not set */
   double after_s, back_in_s;
 } crash_trigger;
 
@@ -40,7 +40,7 @@
 
 void world_start_nodes(void) {
   for (unsigned node = 0; node < WORLD_NODES; node++)
-    sim_after(sim_draw(0, LONGEST_FIRST_START_S), start_if_down, GUINT_TO_POINTER(node));
+    sim_after(sim_draw(0, FIRST_START_MAX_S), start_if_down, GUINT_TO_POINTER(node));
 }
 
 void world_crash(unsigned node, double back_in_s) {
@@ -103,9 +103,10 @@
   replace_version(node, true, back_in_s);
 }
 
-/* ---- cost ---- */
+/* ---- processor time ---- */
 
-/* A scheduling round looks at every machine and every job. */
+/* A sim_work_fn: the cost of the scheduling rounds since the last call. A round visits every machine and
+ * every job. */
 static double round_cost(uint32_t ip) {
   const double machine_s = 0.5e-6, job_s = 2e-6;
   static uint64_t seen_rounds[WORLD_NODES];
--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -1,15 +1,15 @@
-/* A whole day from a seed: random jobs, faults and incidents, an upgrade of the controllers, and
- * the checks at its end. */
+/* A simulated day that follows from a seed: random jobs, faults and incidents, an upgrade of the
+ * controllers, and the checks at the end. */
 #include "deployment.h"
 #include "stand_ins.h"
 
 #define LOSS_SHARE 0.002          /* of requests and of replies */
 #define DUPLICATE_SHARE 0.03      /* of heartbeats */
-#define LONGEST_FAULT_S 45        /* of random_faults.c */
-#define FIRST_MACHINES 3          /* there from the start */
-#define JOB_EVERY_S 8             /* on the average */
-#define PIPELINE_JOB_EVERY_S 4    /* on the average */
-#define NO_RANDOM_FAULTS_EVERY 3u /* of the seeds of days with incidents */
+#define FAULT_MAX_S 45            /* the longest fault of random_faults.c */
+#define FIRST_MACHINES 3          /* present from the start */
+#define JOB_EVERY_S 8             /* mean */
+#define PIPELINE_JOB_EVERY_S 4    /* mean */
+#define NO_RANDOM_FAULTS_EVERY 3u /* days with incidents have no random faults if the seed is a multiple */
 
 /* The key-value store's limits after a day's upgrade. */
 #define LATER_VALUE_KB 2
@@ -23,8 +23,8 @@
   world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
 }
 
-/* One controller after the other; now and then the next before the last is back. Some of their
- * transactions are applied when the last of them has long ended. */
+/* Upgrades one controller after the other, sometimes the next before the last is back. Some of their
+ * transactions are applied only long after the last upgrade. */
 static void upgrade_next(void *arg) {
   unsigned node = GPOINTER_TO_UINT(arg);
   if (node == 0) world_late_writes(0.1);
@@ -45,7 +45,7 @@
   sim_after(sim_draw(15, 60), upgrade_next, GUINT_TO_POINTER(0));
 }
 
-/* ---- what is left at the end ---- */
+/* ---- unfinished jobs ---- */
 
 static void report_unfinished(const sim_job *job) {
   g_printerr("unfinished %s %s tasks=%u done=%u cpus=%.1f gpus=%.0f one_zone=%d zone=%s spread=%d spot=%d team=%s\n",
@@ -88,7 +88,7 @@
 static void start_faults(uint32_t seed, double busy_s, bool incidents) {
   double end = sim_now() + busy_s;
   g_duplicate_share = DUPLICATE_SHARE;
-  g_faults_end_at = end + LONGEST_FAULT_S;
+  g_faults_end_at = end + FAULT_MAX_S;
   if (!incidents || seed % NO_RANDOM_FAULTS_EVERY != 0) random_faults_start(end);
   double incidents_end_at = incidents ? incidents_start(end) : 0;
   g_faults_end_at = MAX(g_faults_end_at, incidents_end_at);
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -1,14 +1,14 @@
-/* Settings of the simulated controllers, and the versions that they run: the former one knows
- * neither pipelines nor limits of the key-value store that are announced for later. */
+/* Settings of the simulated controllers, and the versions that they run. The former version knows
+ * neither pipelines nor announced limits of the key-value store. */
 #include "deployment.h"
 
 #include <arpa/inet.h>
 
 #include "stand_ins.h"
 
-#define KEEP_IDLE_SHARE 1e6    /* of idle machines: all */
-#define RETURN_IDLE_SHARE 0.01 /* of idle machines: none */
-#define DAY_OVER_KEEP_S 20     /* jobs are archived in the middle of the faults */
+#define KEEP_IDLE_SHARE 1e6    /* keeps all idle machines */
+#define RETURN_IDLE_SHARE 0.01 /* keeps no idle machine */
+#define DAY_OVER_KEEP_S 20     /* short, so that jobs are archived during faults */
 
 static fc_settings g_settings[WORLD_NODES];
 
@@ -147,7 +147,7 @@
 
 /* ---- versions ---- */
 
-/* A version that doesn't know of announced limits takes the first ones for good. */
+/* A version without announced limits keeps to the initial ones. */
 static void set_known_limits(unsigned node) {
   const kv_sizes *known = g_former[node] ? &g_first_sizes : &g_announced_sizes;
   fc_settings *settings = &g_settings[node];
@@ -191,8 +191,8 @@
   return node >= 0 && g_former[node] ? FORMER_VERSION : PRESENT_VERSION;
 }
 
-/* By the version that sent it, not by the one that runs there as it arrives: transactions of the former
- * version that came after its upgrade were judged by limits that it does not know. */
+/* Uses the version that sent the request, not the one that runs there when it arrives: transactions of
+ * the former version that arrived after its upgrade were checked against limits unknown to it. */
 bool world_sent_by_former(const struct sim_exchange *exchange) {
   return sim_sender_then(exchange) == FORMER_VERSION;
 }
--- a/tests/sim/deployment.h
+++ b/tests/sim/deployment.h
@@ -1,4 +1,4 @@
-/* The simulated controllers: their settings and versions, their processes and their links. */
+/* The simulated controllers: their settings, versions, processes and links. */
 #ifndef FC_TESTS_SIM_DEPLOYMENT_H
 #define FC_TESTS_SIM_DEPLOYMENT_H
 
@@ -7,34 +7,36 @@
 
 /* ---- deployment.c: settings and versions ---- */
 
-/* Every controller has the usual settings and the present version. The key-value store has to
- * be set up before. */
+/* Gives every controller the default settings and the current version. Call after kv_init(). */
 void deployment_init(void);
-/* A controller's settings, which it reads as it starts. */
+/* The settings that the controller reads when it starts. */
 fc_settings *deployment_settings(unsigned node);
-/* The controller's version from its next start on. */
+/* Sets the version that the controller runs from its next start on. */
 void deployment_set_former(unsigned node, bool former);
-/* A sim_sender_fn: which version runs at the address now. */
+/* A sim_sender_fn: the version that runs at the address now. */
 unsigned deployment_version_at(uint32_t ip);
 
 /* ---- controllers.c: processes ---- */
 
+/* Clears the crash triggers and the count of terms. */
 void controllers_init(void);
 
-/* ---- links.c: who reaches whom ---- */
+/* ---- links.c: faults of the network ---- */
 
+/* Removes all faults. */
 void links_init(void);
-/* How traffic between the two fares now; for sim_set_links(). */
+/* A sim_link_fn: whether traffic between the two addresses passes, is held or is reset now. */
 sim_link links_state(uint32_t from, uint32_t to);
-/* The number of the controller at the address; -1: none is. */
+/* The number of the controller at the address, or -1. */
 int links_controller_at(uint32_t ip);
-/* The number of the controller that sent the request; -1: somebody else did. */
+/* The number of the controller that sent the request, or -1 if the sender is not a controller. */
 int links_sender(const struct sim_exchange *exchange);
+/* Adds a fault that starts now; the struct is copied. */
 void links_add_fault(const link_fault *fault);
 
 /* ---- random_faults.c ---- */
 
-/* Draws faults, one after the other, none after `end`. */
+/* Starts random faults one after the other; none starts after `end`. */
 void random_faults_start(double end);
 
 #endif
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -1,11 +1,11 @@
-/* What simulated workers and controllers say to each other: heartbeats with their replies, late
- * duplicates of them, direct commands, and the lease that answered heartbeats renew. */
+/* Messages between simulated workers and controllers: heartbeats and their replies, late duplicates of
+ * heartbeats, direct commands, and the lease that answered heartbeats renew. */
 #include "workers.h"
 
 #define HEARTBEAT_TIMEOUT_S 4
-#define RETRY_S 1 /* after a heartbeat that was not accepted */
-#define LATEST_DUPLICATE_S (3 * LEASE_S)
-#define NOBODY_IP IP(10, 9, 9, 9)
+#define RETRY_S 1 /* after a heartbeat that was rejected or not answered */
+#define DUPLICATE_DELAY_MAX_S (3 * LEASE_S)
+#define UNUSED_IP IP(10, 9, 9, 9)
 
 static const char *const k_state_words[] = {"pulling", "waiting", "running", "exited"};
 
@@ -22,7 +22,7 @@
   worker->status_changed = true;
 }
 
-/* ---- the message ---- */
+/* ---- status message ---- */
 
 static json_t *task_status(const sim_task *task) {
   char run[64];
@@ -31,7 +31,7 @@
                    k_state_words[task->state], "cause", task->state == TASK_EXITED ? task->cause : NULL);
 }
 
-/* The worker's status, one number further; the caller frees it by free(). */
+/* The worker's status with the next sequence number; the caller frees it with free(). */
 static char *status_message(sim_worker *worker) {
   json_t *runs = json_array();
   for (guint i = 0; i < worker->tasks->len; i++) json_array_append_new(runs, task_status(worker->tasks->pdata[i]));
@@ -59,7 +59,8 @@
   worker->fencing_token = fencing_token;
 }
 
-/* A reply with an older fencing token comes from a former leader: it renews nothing. */
+/* A reply with an older fencing token comes from a former leader: it neither renews the lease nor is
+ * obeyed. */
 static void accept_reply(sim_worker *worker, const json_t *message) {
   uint64_t fencing_token = integer_of(message, "captaincy");
   if (fencing_token < worker->fencing_token) return;
@@ -72,7 +73,8 @@
   worker->node = (worker->node + 1) % WORLD_NODES;
 }
 
-/* To the leader that the reply names; a controller that names itself isn't it. */
+/* Switches to the controller that the reply names, or to the next one if a controller redirects to
+ * itself. */
 static void follow_redirect(sim_worker *worker, const char *leader) {
   int node = atoi(leader + strlen("paddock-"));
   bool itself = node == worker->node;
@@ -87,7 +89,7 @@
 static void on_heartbeat_reply(int status, const char *body, void *arg) {
   sim_worker *worker = arg;
   if (status != 200) worker->connection = 0;
-  if (worker->sent_incarnation != worker->incarnation) return; /* its connection ended with that incarnation */
+  if (worker->sent_incarnation != worker->incarnation) return; /* the machine has restarted since */
   worker->in_flight = false;
   if (!worker_alive(worker)) return;
   worker_check_lease(worker);
@@ -105,8 +107,8 @@
 
 /* ---- late duplicates ---- */
 
-/* A heartbeat that is delivered once more, seconds to leases late, perhaps to another
- * controller, perhaps when the machine has long been returned. Nobody reads the reply. */
+/* A heartbeat that is delivered a second time, from a fraction of a second to several leases late,
+ * possibly to another controller or after the machine was returned. The reply is ignored. */
 typedef struct late_heartbeat {
   uint32_t from, to;
   char *body;
@@ -149,11 +151,11 @@
   worker->next_heartbeat_at = sim_now() + HEARTBEAT_S * sim_draw(0.75, 1.25);
   char *body = status_message(worker);
   if (!worker->connection) worker->connection = sim_connection();
-  uint32_t to = worker->outbound_lost_until > sim_now() ? NOBODY_IP : WORLD_NODE_IP(worker->node);
+  uint32_t to = worker->outbound_lost_until > sim_now() ? UNUSED_IP : WORLD_NODE_IP(worker->node);
   sim_call_on(worker->connection, worker->ip, to, "/checkin", body, HEARTBEAT_TIMEOUT_S, on_heartbeat_reply, worker);
   if (sim_chance(g_duplicate_share)) {
     int node = sim_chance(0.5) ? worker->node : world_any_node();
-    deliver_duplicate_in(sim_draw(0.5, LATEST_DUPLICATE_S), worker, (unsigned)node, body);
+    deliver_duplicate_in(sim_draw(0.5, DUPLICATE_DELAY_MAX_S), worker, (unsigned)node, body);
   }
   free(body);
 }
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -1,13 +1,12 @@
-/* Incidents that overlap: days with them draw one, two or three at a time, which begin within
- * seconds of each other. */
+/* Random incidents that overlap: one, two or three at a time start within seconds of each other. */
 #include "stand_ins.h"
 
-#define OVERLAP_S 4.0      /* incidents that are drawn together begin within */
-#define LEADER_CHANGES 10u /* in two minutes */
+#define OVERLAP_S 4.0      /* incidents of one group start within it */
+#define LEADER_CHANGES 10u /* of one incident, in about two minutes */
 
-static double g_last_incident_at; /* none begins after it */
+static double g_last_incident_at; /* none starts after it */
 
-/* Less than a worker's lease, more, or more than a cancellation may take. */
+/* Shorter than a worker's lease, longer, or longer than a cancellation may take. */
 static double random_length(void) {
   double choice = sim_draw(0, 1);
   if (choice < 0.4) return sim_draw(1, LEASE_S * 0.8);
@@ -18,7 +17,7 @@
   return (unsigned)world_any_node();
 }
 
-/* One, a few neighbours, or now and then all. */
+/* Draws one machine, a few consecutive ones, or sometimes all. */
 static void draw_machines(unsigned *from, unsigned *to) {
   unsigned all = g_worker_list->len;
   *from = 0;
@@ -35,7 +34,7 @@
   world_cut_outbound(from, to, random_length());
 }
 
-/* Machines that hang later, by number. */
+/* Machines that will hang, by number. */
 typedef struct planned_hang {
   GArray *machines; /* unsigned */
   double for_s;
@@ -51,8 +50,8 @@
   g_free(hang);
 }
 
-/* Most machines reach no controller, while short jobs are started there by direct calls; about when
- * their leases expire they hang, with such calls under way, and go on in a later epoch. */
+/* Most machines reach no controller while short jobs are started on them by direct commands. At about the
+ * expiry of their leases they hang, with such commands in flight, and resume in a later epoch. */
 static void lose_outbound_then_hang(void) {
   planned_hang *hang = g_new(planned_hang, 1);
   hang->machines = g_array_new(FALSE, FALSE, sizeof(unsigned));
@@ -86,7 +85,7 @@
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, 0);
 }
 
-/* Their machines hang for seconds, or until their leases have long expired. */
+/* Their machines hang too, for seconds or possibly well past the expiry of their leases. */
 static void cancel_burst_and_hang(void) {
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : random_length());
 }
@@ -96,8 +95,8 @@
   world_kv_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
-/* The key-value store refuses one controller, users cancel, and a moment later nobody is
- * served. */
+/* The key-value store refuses one controller, users cancel jobs, and a moment later it is down for
+ * all. */
 static void refuse_one_then_outage(void) {
   world_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
@@ -124,7 +123,7 @@
   sim_after(random_length(), end_cancel_on_completion, NULL);
 }
 
-/* One controller and one worker; now and then users cancel jobs there. */
+/* Cuts the link between a controller and a worker; often users cancel jobs on that worker. */
 static void cut_controller_and_worker(void) {
   if (g_worker_list->len == 0) return;
   unsigned node = any_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
@@ -132,7 +131,8 @@
   if (sim_chance(0.6)) users_cancel_on_machine_in(at, 2, sim_draw(0, OVERLAP_S));
 }
 
-/* A controller fails in one way or another: its shard moves to the others. */
+/* A controller crashes, is partitioned, is refused by the key-value store or pauses, so that its shard
+ * moves to the others. */
 static void lose_one(void) {
   double choice = sim_draw(0, 5);
   if (choice < 2) {
@@ -157,7 +157,7 @@
   next_leader_change(GUINT_TO_POINTER(LEADER_CHANGES));
 }
 
-/* Heartbeats of now arrive after a crash, at those that are leaders by then. */
+/* Heartbeats with the present status arrive after a crash, possibly at new owners of the machines. */
 static void deliver_heartbeats_late(void) {
   unsigned node = any_node(), from, to;
   draw_machines(&from, &to);
@@ -176,13 +176,13 @@
   users_send_invalid(sim_now() + random_length());
 }
 
-/* It reaches only its workers and its users, and jobs are cancelled through the others. */
+/* A controller reaches only workers and users, while users cancel jobs. */
 static void isolate_controller(void) {
   world_partition_node(any_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
 }
 
-/* All crash; one of them is back within a second, or all of them are late. */
+/* All crash; either one of them is back within a second, or all stay down for longer. */
 static void crash_all(void) {
   bool soon = sim_chance(0.5);
   unsigned first = any_node();
@@ -251,8 +251,8 @@
 
 void incidents_vary_job(sim_job *job) {
   bool sweep = strcmp(job->kind, "sweep") == 0, gang = strcmp(job->kind, "gang") == 0;
-  /* So that incidents hit jobs with a long time to run. Not the widest gangs: four of a thousand
-   * days had more work for the team with a quota than there was time. */
+  /* So that incidents affect jobs with a long remaining run time. Not the widest gangs: with them, four of
+   * a thousand days had more work for the team with a quota than could run in time. */
   bool longer = job->gpus < 2 && sim_chance(0.3);
   if (longer) job->run_s *= 3;
   if (sim_chance(0.15)) job->zone = world_zones[g_rand_int_range(sim_rand(), 0, 2)];
@@ -265,6 +265,6 @@
 double incidents_start(double end) {
   g_last_incident_at = end;
   sim_after(sim_draw(8, 20), begin_some_incidents, NULL);
-  /* The longest, and what is still held back then. */
+  /* The longest incident, and messages that are still held at its end. */
   return end + OVERLAP_S + CANCEL_DEADLINE_S * 1.6;
 }
--- a/tests/sim/invalid_requests.c
+++ b/tests/sim/invalid_requests.c
@@ -1,5 +1,5 @@
-/* Requests that have to be refused or change nothing: invalid jobs, repeated submissions,
- * cancellations of done jobs. */
+/* Requests that must be refused or change nothing: invalid jobs, repeated submissions, cancellations
+ * of done jobs. */
 #include "users.h"
 
 static double g_last_request_at; /* none is sent after it */
@@ -11,9 +11,9 @@
 /* ---- invalid jobs ---- */
 
 static const struct {
-  const char *without; /* that field is left out */
-  const char *with;    /* these are as here */
-  int status;
+  const char *without; /* the field that is left out; NULL: none */
+  const char *with;    /* the fields that are replaced, as JSON; NULL: none */
+  int status;          /* of the refusal */
 } k_invalid_jobs[] = {
     {NULL, "{\"gpus\":5}", 422},
     {NULL, "{\"cpus\":40.5}", 422},
@@ -76,7 +76,7 @@
   sim_after(sim_draw(0, 10), ask_invalid, invalid);
 }
 
-/* A job that would be accepted; the caller's to drop. */
+/* A job that would be accepted; the caller releases it with json_decref(). */
 static json_t *valid_job(const char *id) {
   return json_pack("{ss ss ss ss ss si sf sf sf ss sf sb sb sb sf sf sf}", "id", id, "squad", "sweep", "club", "red",
                    "play", "sweep", "rank", "standard", "runs", 1, "cpus", 1.0, "gpus", 1.0, "memGb", 8.0, "kit",
@@ -102,9 +102,9 @@
   free(body);
 }
 
-/* ---- the draw ---- */
+/* ---- random requests ---- */
 
-/* An accepted job, and a done one if so asked; NULL: there is none. */
+/* A random accepted job, with only_done one that is done; NULL: there is none. */
 static sim_job *any_accepted_job(bool only_done) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter iter;
--- a/tests/sim/jobs.c
+++ b/tests/sim/jobs.c
@@ -1,5 +1,4 @@
-/* Jobs of simulated users: those that scenes submit, what scenes ask about them, and how jobs
- * need each other. */
+/* Jobs of simulated users: submission by scenes, state as seen by scenes, and dependencies. */
 #include "users.h"
 
 /* ---- dependencies ---- */
@@ -23,7 +22,7 @@
 
 /* ---- submissions ---- */
 
-/* Both return a text that is good until the next call. */
+/* Both return a text that is valid until the next call. */
 static const char *json_string_or_null(const char *value) {
   static char quoted[40];
   if (!value) return "null";
@@ -38,7 +37,7 @@
   return text;
 }
 
-/* The ids of what it needs, as JSON; the caller frees it. */
+/* The ids of its dependencies as JSON; the caller frees it with g_free(). */
 static char *list_needs(const sim_job *job) {
   GString *list = g_string_new("[");
   for (guint i = 0; i < job->needs->len; i++)
@@ -121,7 +120,7 @@
                                 .spot = strcmp(kind, "sweep") == 0});
 }
 
-/* Users upload descriptions, so workers know of jobs that nobody has submitted yet. */
+/* Users upload descriptions of jobs, so workers know jobs that are not submitted yet. */
 void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s) {
   sim_job *job = g_new0(sim_job, 1);
   g_strlcpy(job->id, id, sizeof job->id);
@@ -136,7 +135,7 @@
   g_hash_table_insert(g_jobs, job->id, job);
 }
 
-/* ---- questions ---- */
+/* ---- state ---- */
 
 double world_seen_accepted_at(const char *id) {
   return ((const sim_job *)g_hash_table_lookup(g_jobs, id))->seen_accepted_at;
--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -1,5 +1,5 @@
-/* Scenes' commands to simulated machines, and what scenes ask about them. Machines are numbered
- * in order of creation. */
+/* Control of simulated machines by scenes, and their state. Machines are numbered in order of
+ * creation. */
 #include "workers.h"
 
 static sim_worker *machine_at(unsigned number) {
@@ -61,7 +61,7 @@
   return g_worker_list->len;
 }
 
-/* ---- questions ---- */
+/* ---- state ---- */
 
 unsigned world_node_of(unsigned machine) {
   return (unsigned)machine_at(machine)->node;
@@ -91,8 +91,8 @@
   return count_tasks(TASK_FETCHING);
 }
 
-/* A machine that was returned is not taken back into use by a late heartbeat; its record is
- * removed a moment after its return. */
+/* The record of a machine is removed shortly after its return, and a late heartbeat must not register
+ * it again. */
 void world_check_released(void) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
@@ -103,14 +103,14 @@
   }
 }
 
-/* ---- questions about tasks ---- */
+/* ---- tasks of a job ---- */
 
-/* Tasks of a job that are on machines. */
+/* A search for tasks of a job on machines, and its result. */
 typedef struct task_search {
   const char *id;
   int index; /* -1: any */
   unsigned count;
-  const sim_worker *on; /* the last of their machines */
+  const sim_worker *on; /* the last machine found */
 } task_search;
 
 static void count_task(sim_worker *worker, sim_task *task, void *arg) {
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -1,11 +1,11 @@
-/* Faults of a random day, one after the other. Each draws its numbers in a fixed order, so that
- * a seed always gives the same day. */
+/* Random faults, one after the other. Each draws its random numbers in a fixed order, so that a seed
+ * always gives the same day. */
 #include "deployment.h"
 #include "stand_ins.h"
 
 #define FIRST_FAULT_S 15
 
-static double g_last_fault_at; /* none begins after it */
+static double g_last_fault_at; /* none starts after it */
 
 static sim_worker *any_worker(void) {
   if (g_worker_list->len == 0) return NULL;
@@ -14,7 +14,7 @@
 
 /* ---- controllers ---- */
 
-/* Back after about four seconds, and now and then within a fraction of one. */
+/* Back after about four seconds, or sometimes within half a second. */
 static void crash(int node) {
   world_crash((unsigned)node, sim_chance(0.25) ? sim_draw(0.05, 0.5) : sim_draw(3.5, 4.5));
 }
@@ -36,7 +36,7 @@
   for (int node = 0; node < WORLD_NODES; node++) crash(node);
 }
 
-/* Two at once, each twice in a row, in the middle of a term. */
+/* Restarts two controllers at once, and both again shortly after, in the middle of a term. */
 static void restart_two_twice(void) {
   int first = world_any_node(), second = world_any_node();
   restart_at_once(first);
@@ -45,8 +45,8 @@
   sim_after(sim_draw(0.1, 1.5), restart_again, GINT_TO_POINTER(second));
 }
 
-/* For less and for more than the controller's own lease, a worker's lease, a cancellation's
- * deadline. */
+/* Shorter or longer than the controller's own lease, a worker's lease, or the deadline of a
+ * cancellation. */
 static void pause_one(double length) {
   world_pause_node((unsigned)world_any_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
 }
@@ -64,7 +64,7 @@
   links_add_fault(&fault);
 }
 
-/* Heartbeats arrive, replies and commands don't. Now and then at many machines. */
+/* Heartbeats arrive, but replies and commands don't; at one machine, sometimes at all. */
 static void lose_inbound(double until) {
   bool many = sim_chance(0.15);
   for (guint i = 0; i < g_worker_list->len; i++) {
@@ -81,7 +81,7 @@
   if (worker && worker->up && !worker->terminated) worker_restart_empty(worker);
 }
 
-/* Many machines at once: they end, or hang. */
+/* About half of the machines terminate, or hang. */
 static void lose_many_machines(double until) {
   bool end = sim_chance(0.5);
   for (guint i = 0; i < g_worker_list->len; i++) {
@@ -92,7 +92,7 @@
   }
 }
 
-/* Spot machines mostly end with a notice. */
+/* Preempts a spot machine with a notice in half the cases; otherwise the machine terminates at once. */
 static void end_machine(sim_worker *worker, double now) {
   if (worker->spot && sim_chance(0.5)) {
     worker->preemption_notice_at = now;
@@ -102,7 +102,7 @@
   }
 }
 
-/* One machine hangs, is cut off or ends. */
+/* One machine hangs, is cut off or terminates. */
 static void break_machine(double choice, double now, double length, sim_link mode) {
   sim_worker *worker = any_worker();
   if (!worker || worker->terminated || !worker->up) return; /* nothing to break */
@@ -116,7 +116,7 @@
   }
 }
 
-/* ---- the draw ---- */
+/* ---- random choice ---- */
 
 static void begin_fault(double choice, double length, sim_link mode) {
   double now = sim_now();
--- a/tests/sim/random_jobs.c
+++ b/tests/sim/random_jobs.c
@@ -1,13 +1,13 @@
 /* Random jobs and pipelines of a day. */
 #include "users.h"
 
-#define IMAGES 4u            /* container images that jobs have */
+#define IMAGES 4u            /* number of container images in use */
 #define JOB_NUMBER_STEP 7919 /* spreads the ids over the controllers' shards */
 #define JOB_NUMBERS 900000
 #define WIDE_GANG_GPUS 4
 #define BURST_JOB_SIZE 0.25   /* CPUs and GPUs */
-#define BURST_JOB_EVERY_S 0.5 /* on the average */
-#define LATE_STAGE_S 40       /* the stages before it may be done by then */
+#define BURST_JOB_EVERY_S 0.5 /* mean */
+#define LATE_STAGE_S 40       /* the earlier stages may be done by then */
 
 /* ---- pipelines ---- */
 
@@ -15,7 +15,7 @@
   return strcmp((*(sim_job *const *)left)->id, (*(sim_job *const *)right)->id);
 }
 
-/* An earlier job that may be needed; NULL: there is none. */
+/* A random job of those so far that others can depend on; NULL: there is none. */
 static sim_job *any_earlier(void) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter iter;
@@ -29,7 +29,7 @@
   return job;
 }
 
-/* One job of a pipeline, which needs the last of `before` and some of the others. */
+/* A job of a pipeline that depends on the last of `before` and some of the others. */
 static sim_job *new_stage(unsigned number, double submit_delay_s, const GPtrArray *before) {
   sim_job *job = g_new0(sim_job, 1);
   g_snprintf(job->id, sizeof job->id, "job-%06u", FIRST_PIPELINE_JOB + number);
@@ -59,7 +59,7 @@
   sim_job *earlier = sim_chance(0.3) ? any_earlier() : NULL;
   if (earlier) g_ptr_array_add(stages, earlier);
   for (unsigned i = 0; i < count; i++) {
-    /* Some submit the last only when the others may be done. */
+    /* In some pipelines the last job is submitted only when the others may be done. */
     bool last = i + 1 == count;
     sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_S : from_s, stages);
     if (last) {
@@ -87,12 +87,12 @@
 
 static unsigned random_tasks(const sim_job *job) {
   if (!is_kind(job, "sweep")) return 1 + (unsigned)sim_draw(0, 3);
-  /* The first factor is drawn first. */
+  /* Drawn before the second factor: C leaves the order of operands open. */
   double share = sim_draw(0, 1);
   return 1 + (unsigned)(share * sim_draw(0, 10));
 }
 
-/* Services are cancelled in the end, others now and then. */
+/* Services are always cancelled, as they never complete; others sometimes. */
 static void draw_cancellation(sim_job *job) {
   if (is_kind(job, "service")) {
     job->cancel_delay_s = sim_draw(20, 100);
@@ -124,7 +124,7 @@
 
 /* ---- bursts ---- */
 
-static unsigned g_burst_jobs; /* so far, of the day */
+static unsigned g_burst_jobs; /* submitted in bursts so far this day */
 
 void random_jobs_init(void) {
   g_burst_jobs = 0;
--- a/tests/sim/requests.c
+++ b/tests/sim/requests.c
@@ -1,4 +1,4 @@
-/* Single requests of a scene, sent as a user sends them, with their answers. */
+/* Single requests of a scene, sent from the address of the users. */
 #include "requests.h"
 
 #include <string.h>
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -1,16 +1,16 @@
-/* Rules about tasks on simulated machines: where and when one may start, that none outlasts its
- * job's cancellation, and that no job stays pending although it fits. */
+/* Rules for tasks on simulated machines: where and when a task may start, that none runs past the
+ * cancellation deadline of its job, and that no job stays pending although it fits. */
 #include "workers.h"
 
 #define PENDING_CHECK_S 1
 
 /* ---- starts ---- */
 
-/* What is on machines as a task starts, itself included. */
+/* What is on machines when a task starts, itself included. */
 typedef struct start_check {
   const sim_worker *worker;
   const sim_task *task;
-  double cpus, gpus;           /* of its team */
+  double cpus, gpus;           /* in use by its team */
   unsigned in_zone, elsewhere; /* tasks of its job */
 } start_check;
 
@@ -88,7 +88,7 @@
   return (unsigned)MAX(0, MIN(cpus / job->cpus, gpus / job->gpus) + ROUNDING);
 }
 
-/* Is a task of the job on a machine, or on the way there? */
+/* Whether a task of the job runs, waits or fetches its image on any machine. */
 static bool has_task_somewhere(const sim_job *job) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
@@ -111,7 +111,7 @@
   if (task->job && strcmp(task->job->team, use->team) == 0) use->gpus += task->job->gpus;
 }
 
-/* Could it begin now? Of a gang all tasks at once. */
+/* Whether a task of it fits now; for a gang, whether all tasks fit at once. */
 static bool could_begin(const sim_job *job) {
   bool gang = strcmp(job->kind, "gang") == 0;
   unsigned need = gang ? job->tasks : 1, room[ZONES] = {0, 0};
--- a/tests/sim/tasks.c
+++ b/tests/sim/tasks.c
@@ -1,11 +1,11 @@
-/* Tasks on simulated machines: commands, image fetches, runs, and gangs, whose tasks begin and
- * complete together. */
+/* Tasks on simulated machines: commands, image fetches, runs, and gangs, whose tasks begin and complete
+ * together. */
 #include "workers.h"
 
-#define GANG_PEER_SHARE 0.8 /* of the time in which a missing task of a gang has to be noticed */
+#define GANG_PEER_SHARE 0.8 /* of GANG_PEER_S, after which a task detects the loss of another of its gang */
 #define FASTEST_IMAGE_FETCH_S 0.2
 
-static GHashTable *g_exits_by_cause; /* cause -> how many tasks have exited for it */
+static GHashTable *g_exits_by_cause; /* cause -> number of tasks that exited with it */
 
 void tasks_init(void) {
   g_exits_by_cause = g_hash_table_new(g_str_hash, g_str_equal);
@@ -38,14 +38,14 @@
 
 /* ---- commands ---- */
 
-/* Which task a command is about. */
+/* The attempt of a task that a command names. */
 typedef struct task_name {
   char job_id[32];
   unsigned index;
   uint64_t attempt;
 } task_name;
 
-/* A new task on the machine; the state is the caller's to set. */
+/* Adds a task to the machine; the caller sets the state. */
 static sim_task *add_task(sim_worker *worker, const task_name *name) {
   sim_task *task = g_new0(sim_task, 1);
   g_strlcpy(task->job_id, name->job_id, sizeof task->job_id);
@@ -76,7 +76,7 @@
   worker->status_changed = true;
 }
 
-/* A repeated start is ignored; another attempt of a task that is here is refused. */
+/* A repeated start is ignored; another attempt of a task on this machine is refused. */
 static void start_task(sim_worker *worker, const task_name *name) {
   double cpus = MACHINE_CPUS, gpus = MACHINE_GPUS;
   for (guint i = 0; i < worker->tasks->len; i++) {
@@ -106,7 +106,7 @@
   return strcmp(task->job_id, name->job_id) == 0 && task->index == name->index && task->attempt == name->attempt;
 }
 
-/* Stops a task, or forgets one that has exited. */
+/* Stops a task, or removes one that has exited. */
 static void end_task(sim_worker *worker, const task_name *name, const char *command) {
   for (guint i = worker->tasks->len; i-- > 0;) {
     sim_task *task = worker->tasks->pdata[i];
@@ -144,7 +144,7 @@
 
 /* ---- runs ---- */
 
-/* How many tasks of a gang's attempt run or wait. */
+/* The number of tasks that run or wait in the same attempt of a gang. */
 typedef struct gang_view {
   const sim_task *task; /* one of them */
   unsigned present;
@@ -176,7 +176,7 @@
   task->ends_at = sim_now() + job->run_s + job->stagger_s * task->index;
   worker->status_changed = true;
   check_task_start(worker, task);
-  /* The result of an earlier run is still there. */
+  /* The result of an earlier run is still available. */
   if (job->done[task->index]) complete_task(worker, task);
 }
 
--- a/tests/sim/users.c
+++ b/tests/sim/users.c
@@ -1,8 +1,8 @@
-/* Users: they submit jobs, poll their status and cancel them, and check the answers. */
+/* Simulated users: they submit jobs, poll their status, cancel them, and check the answers. */
 #include "users.h"
 
-#define REPEATED_SUBMISSION_SHARE 0.1 /* of polls, that submit the job once more */
-#define DEPENDENCY_POLL_S 0.05        /* until the jobs that one needs are accepted */
+#define REPEATED_SUBMISSION_SHARE 0.1 /* of polls, after which the job is submitted again */
+#define DEPENDENCY_POLL_S 0.05        /* until the dependencies of a job are accepted */
 
 static int g_users_node; /* the only healthy one; -1: any */
 
@@ -54,8 +54,8 @@
   g_free(question);
 }
 
-/* Users submit a job once those that it needs are accepted, and name others only when no
- * controller of the former version is left. */
+/* Users submit a job once its dependencies are accepted, and one with dependencies only when no
+ * controller runs the former version. */
 static bool may_submit(const GPtrArray *needs) {
   if (needs->len > 0 && world_any_former()) return false;
   for (guint i = 0; i < needs->len; i++)
@@ -63,7 +63,7 @@
   return true;
 }
 
-/* The former version ignores what a submission needs. */
+/* The former version has no dependencies in submissions. */
 static const char *body_for(const sim_job *job, int node) {
   return world_is_former((unsigned)node) ? job->body_without_needs : job->body;
 }
@@ -111,7 +111,7 @@
     question_read_status(question, body);
     job->last_answer_at = sim_now();
   } else if (g_faults_end_at > 0 && sim_now() > MAX(g_faults_end_at, job->last_answer_at) + ANSWER_DEADLINE_S) {
-    /* Judged job by job: others may well be answered. */
+    /* Checked for each job on its own, as others may be answered. */
     if (g_verbose) g_printerr("%.2f unanswered %s status=%d %s\n", sim_now(), job->id, status, body);
     world_broke("forgotten (no answer)", job->id);
   }
@@ -132,7 +132,7 @@
   sim_job *job = arg;
   user_ask_status(job, users_pick_node());
   if (sim_chance(REPEATED_SUBMISSION_SHARE)) user_repeat_submission(job, users_pick_node());
-  /* Often enough that two lost answers in a row don't miss ANSWER_DEADLINE_S. */
+  /* Often enough that two lost answers in a row don't exceed ANSWER_DEADLINE_S. */
   sim_after(job->terminal ? sim_draw(4, 12) : sim_draw(4, 6), poll_status, job);
 }
 
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -1,10 +1,10 @@
-/* Simulated users and their jobs: what the users' modules need of each other. */
+/* Simulated users and their jobs: what the modules of the users share. */
 #ifndef FC_TESTS_SIM_USERS_H
 #define FC_TESTS_SIM_USERS_H
 
 #include "stand_ins.h"
 
-/* Ids of their own for what is submitted besides the days' ordinary jobs. */
+/* First job numbers of what is submitted besides the ordinary jobs of a day. */
 #define FIRST_INVALID_JOB 910000u
 #define FIRST_PIPELINE_JOB 930000u
 #define FIRST_BURST_JOB 960000u
@@ -14,42 +14,44 @@
 
 /* ---- users.c ---- */
 
-/* The controller that the load balancer chooses. */
+/* The controller that the simulated load balancer chooses for the next request. */
 int users_pick_node(void);
-/* Submits the job after its delay, and asks for it from then on. */
+/* Submits the job after its delay and polls its status from then on. */
 void user_begin(sim_job *job);
-/* Asks that controller for the job's status; checks the answer. */
+/* Requests the job's status from the controller and checks the answer. */
 void user_ask_status(sim_job *job, int node);
-/* Sends the job's submission once more; checks the answer. */
+/* Submits the job again and checks the answer. */
 void user_repeat_submission(sim_job *job, int node);
-/* Cancels the job by that controller first, then by any until it is acknowledged. */
+/* Cancels the job through the controller, then through any until it is acknowledged. */
 void user_cancel_by(sim_job *job, int node);
 
 /* ---- answer_checks.c ---- */
 
-/* What the user knew as it sent a request: answers may overtake each other. */
+/* What the user knew when it sent a request: answers can arrive out of order. */
 typedef struct job_question {
   sim_job *job;
   bool seen_done, seen_cancelled;
 } job_question;
 
-/* For a request that is sent now; the caller frees it by g_free(). */
+/* For a request that is sent now; the caller frees it with g_free(). */
 job_question *question_new(sim_job *job);
-/* Checks the status in the answer's body against what was known, and notes it. */
+/* Checks the job status in the answer's body against what was known, and records it. */
 void question_read_status(const job_question *question, const char *body);
 
 /* ---- invalid_requests.c ---- */
 
+/* Stops the invalid requests of an earlier day. */
 void invalid_requests_init(void);
 
 /* ---- random_jobs.c ---- */
 
+/* Restarts the numbering of burst jobs. */
 void random_jobs_init(void);
 
 /* ---- jobs.c ---- */
 
-/* The job becomes known to the workers, and its user begins. image: the number of its
- * container image. */
+/* Makes the job known to the workers and starts its user. image: the number of its container
+ * image. */
 void job_add(sim_job *job, unsigned image);
 
 #endif
--- a/tests/sim/workers.c
+++ b/tests/sim/workers.c
@@ -1,9 +1,8 @@
-/* Simulated machines with their workers: creation, boot, restart, and the step in which a worker
- * does what is to be done. */
+/* Simulated machines with their workers: creation, boot, restart, and the periodic step of a worker. */
 #include "workers.h"
 
 #define USUAL_IMAGE_FETCH_MAX_S 3
-#define CHANGED_HEARTBEAT_S 0.5 /* a changed status is sent no sooner after the last heartbeat */
+#define CHANGE_HEARTBEAT_MIN_S 0.5 /* the shortest interval between heartbeats that report a changed status */
 
 static unsigned g_next_machine, g_next_ip;
 double g_image_fetch_max_s;
@@ -51,7 +50,7 @@
 static bool heartbeat_wanted(const sim_worker *worker) {
   double now = sim_now();
   return now >= worker->next_heartbeat_at ||
-         (worker->status_changed && now >= worker->heartbeat_sent_at + CHANGED_HEARTBEAT_S);
+         (worker->status_changed && now >= worker->heartbeat_sent_at + CHANGE_HEARTBEAT_MIN_S);
 }
 
 static void run_step(sim_worker *worker) {
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -1,4 +1,4 @@
-/* Simulated workers: a machine with its lease and heartbeats, and the tasks on it. */
+/* Simulated workers: machines with their leases, heartbeats and tasks. */
 #ifndef FC_TESTS_SIM_WORKERS_H
 #define FC_TESTS_SIM_WORKERS_H
 
@@ -6,35 +6,37 @@
 
 /* ---- workers.c ---- */
 
-/* Is it on, and does it run now? */
+/* Whether the machine has booted and is neither terminated nor hung. */
 bool worker_alive(const sim_worker *worker);
 
 /* ---- heartbeats.c ---- */
 
-/* Ends all tasks and begins a new epoch if the lease has expired. */
+/* If the lease has expired, ends all tasks and begins a new epoch. */
 void worker_check_lease(sim_worker *worker);
-/* Sends a heartbeat; its reply renews the lease and may bring commands. */
+/* Sends a heartbeat; the reply renews the lease and may carry commands. */
 void worker_send_heartbeat(sim_worker *worker);
-/* A sim_server_fn for the worker in `arg`: commands that a controller sends directly. */
+/* A sim_server_fn for the worker in `arg`: serves the commands that controllers send directly. */
 void worker_serve_commands(const sim_request *request, void *arg);
 
 /* ---- tasks.c ---- */
 
+/* Resets the counts of exits by cause. */
 void tasks_init(void);
-/* Carries out the commands of a reply or a direct call, in their order. */
+/* Executes the commands of a heartbeat reply or a direct call, in order. */
 void tasks_execute(sim_worker *worker, json_t *commands);
-/* What happens to the task within a step: its image is there, its run ends, ... */
+/* Advances the task by a step: ends its image fetch, wait or run if due. */
 void task_step(sim_worker *worker, sim_task *task);
+/* Removes and frees all tasks of the worker. */
 void tasks_drop_all(sim_worker *worker);
-/* Calls fn for each task on a machine: from the moment it has its image until it exits, or
- * until the worker's lease expires. */
+/* Calls fn for each task that occupies a machine: from the end of its image fetch until it exits
+ * or the worker's lease expires. */
 void tasks_each_resident(void (*fn)(sim_worker *worker, sim_task *task, void *arg), void *arg);
 
 /* ---- task_checks.c ---- */
 
-/* Checks the rules about where and when a task may start; it has just got its image. */
+/* Counts a start, and checks where and when the task may start; its image has just been fetched. */
 void check_task_start(sim_worker *worker, sim_task *task);
-/* Checks that no task runs on after its job's cancellation deadline. */
+/* Checks that the task does not run past the cancellation deadline of its job. */
 void check_task_cancelled(const sim_task *task);
 
 #endif
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -1,5 +1,5 @@
-/* The simulated deployment as a whole: what all stand-ins share, its set-up before a scene
- * or a day, and the record of the rules that were broken. */
+/* The simulated deployment as a whole: state that all stand-ins share, the set-up of a scene or a day,
+ * and the count of violated rules. */
 #include "deployment.h"
 #include "stand_ins.h"
 
@@ -12,7 +12,7 @@
 
 const char *const world_zones[ZONES] = {"a", "b"};
 
-/* Machines that the cloud has in a zone unless a scene says otherwise. */
+/* Machines that the cloud has in each zone by default. */
 #define USUAL_CAPACITY 5
 #define USUAL_SPOT_CAPACITY 3
 
@@ -45,7 +45,7 @@
   checks_end();
 }
 
-/* With simulated time and the controller's number. */
+/* Writes a line with the simulated time and the controller's number. */
 static GLogWriterOutput log_line(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data) {
   (void)level;
   (void)data;
@@ -55,7 +55,7 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* With WORLD_VERBOSE set, the controllers' log goes to standard error. */
+/* With WORLD_VERBOSE set, the controllers' log is written to standard error. */
 static void set_up_logging(void) {
   static bool logging;
   g_verbose = g_getenv("WORLD_VERBOSE") != NULL;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -1,10 +1,10 @@
-/* The world around the simulated controllers: stand-ins for users, workers, the cloud and the
- * key-value store, written from the published protocol, that check each of its rules; and what
- * a scene does with them.
+/* The environment of the simulated controllers: stand-ins for users, workers, the cloud and the
+ * key-value store, written from the published protocol, that check each of its rules; and the calls
+ * with which a scene controls them.
  *
- * Durations are seconds of virtual time, times are those of sim_now(). "node": a controller's
- * number; "machine", "from", "to" (exclusive): machines' numbers in order of creation. A job's
- * id has to name a job of the scene. */
+ * Durations are seconds of virtual time, times are those of sim_now(). "node": the number of a
+ * controller; "machine", "from", "to" (exclusive): numbers of machines in order of creation. A job id
+ * has to name a job of the scene. */
 #ifndef FC_TESTS_WORLD_SIM_H
 #define FC_TESTS_WORLD_SIM_H
 
@@ -21,208 +21,219 @@
 /* ---- results ---- */
 
 typedef struct world_result {
-  unsigned broken;                /* rules */
-  char first[200];                /* the first broken rule */
-  unsigned ran_twice, over_limit; /* how often these two were broken */
-  unsigned submitted, accepted, finished, unfinished, cancelled, starts;
-  unsigned lease_kills; /* tasks that ended with their worker's lease */
+  unsigned broken;                /* violations of rules */
+  char first[200];                /* the first of them */
+  unsigned ran_twice, over_limit; /* violations of these two rules: tasks that run twice, quotas exceeded */
+  unsigned submitted, accepted, finished, unfinished, cancelled; /* jobs */
+  unsigned starts;                                               /* of tasks */
+  unsigned lease_kills; /* tasks that ended because their worker's lease expired */
   unsigned crashes, faults;
-  unsigned late_starts;                                /* after the user saw that the job is cancelled */
-  unsigned invalid_requests;                           /* requests that must be refused, or repeat what is done */
-  unsigned served_least;                               /* of a class, a team, a class's largest jobs: percent */
-  unsigned done_starts;                                /* of tasks that had completed before */
-  unsigned submissions, unanswered, refused;           /* sent; without any answer; with 429 or 503 */
-  double lease_left_s;                                 /* the least that a reachable worker had left of its lease */
-  unsigned over_rate;                                  /* transactions that the key-value store refused for its rate */
-  unsigned questions, status_answers, status_refusals; /* about jobs; answered with 200; with 503 */
+  unsigned late_starts;                      /* of tasks, after the user saw the job cancelled */
+  unsigned invalid_requests;                 /* requests that must be refused or change nothing */
+  unsigned served_least;                     /* percent: the lowest share of jobs of a kind or team, or of the
+                                              * largest of a kind, that began */
+  unsigned done_starts;                      /* starts of tasks that had completed before */
+  unsigned submissions, unanswered, refused; /* sent; not answered; answered with 429 or 503 */
+  double lease_left_s;                       /* the shortest remaining lease of a running worker */
+  unsigned over_rate;                        /* transactions that the key-value store refused for their rate */
+  unsigned questions, status_answers, status_refusals; /* status requests; answered with 200; with 503 */
 } world_result;
 
 world_result world_so_far(void);
-void world_watch_leases(void); /* lease_left_s counts from here */
+void world_watch_leases(void); /* lease_left_s is measured from here on */
 
 /* ---- random days ---- */
 
 typedef struct world_day {
-  bool overlapping_faults; /* also incidents that overlap */
-  bool pipelines;          /* also jobs that need others */
-  bool upgrade;            /* controllers begin with the former version and are replaced one by one */
+  bool overlapping_faults; /* add incidents that overlap */
+  bool pipelines;          /* add jobs that depend on others */
+  bool upgrade;            /* controllers start with the previous version and are upgraded one by one */
 } world_day;
 
-/* Plays one day with the faults that the seed draws; jobs arrive for busy_s. */
+/* Simulates one day with the jobs and faults that follow from the seed; jobs are submitted during the
+ * first busy_s. */
 world_result world_play(uint32_t seed, double busy_s, const world_day *day);
 
 /* ---- set-up of a scene ---- */
 
-/* The stand-ins, with the usual settings; that share of messages is lost. */
+/* Creates the stand-ins with the default settings. lose: the shares of requests and of replies that
+ * are lost. */
 void world_set_up(uint32_t seed, double lose);
-/* Then what deviates from the usual settings, then the controllers. */
+/* Starts the controllers; to be called after the scene has changed its settings. */
 void world_start_nodes(void);
 
-void world_capacity(unsigned ordinary, unsigned spot); /* machines that the cloud has in a zone */
-/* Ordinary machines that are there from the start. */
+void world_capacity(unsigned ordinary, unsigned spot); /* machines that the cloud has in each zone */
+/* Adds on-demand machines that have booted. */
 void world_machines_up(unsigned zone, unsigned count);
-/* A deployment of that many machines instead of the small one; none is rented or returned. */
+/* Settings for a deployment of that many machines; none is rented or returned. */
 void world_large(unsigned machines);
-/* The same on controllers with a fortieth of a core, with the rates of the key-value store and
- * the cloud that such sites have. */
+/* The same for a site whose controllers have a fortieth of a core, with the request rates of the
+ * key-value store and the cloud that such sites have. */
 void world_lean(unsigned machines);
 void world_release_idle(void);              /* idle machines are returned at once */
 void world_keep_idle(void);                 /* idle machines are not returned */
-void world_archive_after(double for_s);     /* terminal jobs are archived after so long */
+void world_archive_after(double for_s);     /* terminal jobs are archived after for_s */
 void world_limit(double cpus, double gpus); /* the quota of team blue */
-void world_images_there(void);              /* no machine has to fetch an image */
+void world_images_there(void);              /* machines have all images cached */
 
 /* ---- jobs ---- */
 
 typedef struct world_job {
   const char *id, *kind, *priority, *team; /* priority, team: NULL: standard, red */
-  const char *zone;                        /* the only one allowed; NULL: any */
+  const char *zone;                        /* where it has to run; NULL: anywhere */
   unsigned tasks;
-  double gpus, run_s, in_s; /* in_s: until its submission */
-  double later_s;           /* each task runs so much longer than the one before it */
+  double gpus, run_s; /* of each task; it has as many CPUs as GPUs */
+  double in_s;        /* until its submission */
+  double later_s;     /* how much longer each task runs than the one before it */
   bool one_zone, spread, spot;
-  double cancel_in_s;          /* after its user sees that it is accepted; 0: never */
+  double cancel_in_s;          /* from its acceptance as seen by the user; 0: never */
   double deadline_s;           /* 0: none */
-  const char *dependencies[4]; /* jobs that it needs */
+  const char *dependencies[4]; /* ids of the jobs that it depends on */
 } world_job;
 
-/* "job-000007"; good until the fourth call after it. */
+/* The id of that number, such as "job-000007"; valid until the fourth call after this one. */
 const char *world_id(unsigned number);
 void world_submit_job(const world_job *spec);
-/* The usual job of its kind. */
+/* Submits a job of team red with the placement options that are typical of its kind. */
 void world_submit(const char *id, const char *kind, const char *priority, unsigned tasks, double gpus, double run_s,
                   double in_s);
-/* A job that is known to workers alone. */
+/* Makes a job known to the workers without submitting it. */
 void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s);
-void world_cancel(const char *id, int node, double in_s); /* by that controller first; -1: by any */
-void world_cancel_at_end(double share);                   /* that share of jobs, as they complete */
-/* Users send all requests to that controller, as if it were the only healthy one; -1: to any. */
+void world_cancel(const char *id, int node, double in_s); /* through that controller first; -1: any */
+void world_cancel_at_end(double share);                   /* cancels that share of jobs as they complete */
+/* Users send their requests to that controller, as if the load balancer found no other healthy; -1: to any. */
 void world_users_to(int node);
 
-/* ---- questions about jobs ---- */
+/* ---- state of jobs ---- */
 
-double world_seen_accepted_at(const char *id);         /* when its user saw it; 0: not yet */
-double world_seen_cancelled_at(const char *id);        /* when its user saw it; 0: not yet */
-double world_seen_done_at(const char *id);             /* when its user saw it; 0: not yet */
-const char *world_seen_terminal_state(const char *id); /* the terminal state that its user saw first; NULL: none yet */
-double world_began(const char *id);                    /* 0: not yet */
+/* When the user saw the job in that state; 0: not yet. */
+double world_seen_accepted_at(const char *id);
+double world_seen_cancelled_at(const char *id);
+double world_seen_done_at(const char *id);
+const char *world_seen_terminal_state(const char *id); /* "done" or "cancelled"; NULL: neither seen yet */
+double world_began(const char *id);                    /* when its first task, or its whole gang, ran; 0: not yet */
 double world_ended_at(const char *id);                 /* when its last task completed; 0: not yet */
-unsigned world_tasks_of(const char *id);               /* on machines now, on unreachable and hung ones too */
-unsigned world_starts_of(const char *id);              /* tasks that had their image */
-/* The machine that a task of the job is on; -1: none. */
+unsigned world_tasks_of(const char *id);               /* tasks on machines now, unreachable and hung ones included */
+unsigned world_starts_of(const char *id);              /* tasks whose image fetch has ended */
+/* The machine that the task with that index is on; -1: none. */
 int world_machine_of(const char *id, unsigned index);
-/* Jobs accepted before then that aren't terminal, and about which no question was answered since
- * then. */
+/* The number of jobs that were accepted before then, aren't terminal, and have had no status request
+ * answered since. */
 unsigned world_unanswered(double since);
-void world_ask_job(unsigned node, const char *id); /* its user does, and checks the answer */
-int world_ask(unsigned node, const char *path);    /* runs until the answer; its status */
+void world_ask_job(unsigned node, const char *id); /* its user requests its status and checks the answer */
+/* Sends a GET request, runs the simulation until it is answered, and returns the HTTP status; 0: timeout. */
+int world_ask(unsigned node, const char *path);
 
 /* ---- controllers ---- */
 
+/* Kills the process; a new one starts after back_in_s. */
 void world_crash(unsigned node, double back_in_s);
 void world_crash_in(unsigned node, double in_s, double back_in_s);
-/* It crashes that long after it next writes a key with the prefix: before the answer arrives it
- * doesn't know of the write. */
+/* It crashes after_s after its next write of a key with the prefix. With an after_s shorter than the
+ * network delay it crashes before it learns the outcome. */
 void world_crash_at_write(unsigned node, const char *prefix, double after_s, double back_in_s);
-void world_pause_node(unsigned node, double for_s); /* pauses while its clock runs on */
-/* From its next start on it has that share of a processor, and timers up to so much late. */
+void world_pause_node(unsigned node, double for_s); /* its clock keeps running */
+/* From its next start on it has the share of_processor of a core, and its timers fire up to timers_late_s
+ * late. */
 void world_slow_node(unsigned node, double of_processor, double timers_late_s);
-fc_counters world_counts(unsigned node); /* since its last start */
-unsigned world_terms(void);              /* records of terms written so far */
+fc_counters world_counts(unsigned node); /* its counters since its last start */
+unsigned world_terms(void);              /* how often the record of the term was written */
 
 /* ---- versions ---- */
 
-/* The controllers are of the version before pipelines, until each is upgraded: they can't read
- * records of jobs that need others, ignore what a submission needs and what limits the key-value
- * store will have, and say nothing of the formats that they read. After world_kv_announce_limits, before
- * they start. */
+/* Until each is upgraded, controllers run the version that preceded pipelines: they can't read records
+ * of jobs with dependencies, ignore the dependencies of submissions and the announced limits of the
+ * key-value store, and don't report the formats that they read. To be called after
+ * world_kv_announce_limits() and before they start. */
 void world_former_version(void);
-/* The controller ends, and comes back with the present version, or again with the former. */
+/* Both kill the controller; it restarts with the current or the previous version after back_in_s. */
 void world_upgrade(unsigned node, double back_in_s);
 void world_downgrade(unsigned node, double back_in_s);
 bool world_is_former(unsigned node);
 bool world_any_former(void);
 
-/* ---- links ---- */
+/* ---- network faults ---- */
 
-void world_partition_node(unsigned node, double for_s); /* it reaches only its workers and users */
-void world_cut_zone(unsigned zone, double for_s);       /* from everything */
-/* Traffic between the two waits, or connections are reset; both reach all others. */
+void world_partition_node(unsigned node, double for_s); /* it reaches only workers and users */
+void world_cut_zone(unsigned zone, double for_s);       /* from everything outside the zone */
+/* Traffic between the two is held, or connections are reset; both reach all others. */
 void world_cut_pair(unsigned node, unsigned machine, double for_s, sim_link mode);
-void world_cut_node(unsigned node, double for_s, sim_link mode); /* from everything */
-void world_cut_node_peers(unsigned node, double for_s);
-void world_cut_node_workers(unsigned node, double for_s, sim_link mode);
-void world_slow_links(double for_s, double most_s); /* whatever is sent takes up to so much longer */
+void world_cut_node(unsigned node, double for_s, sim_link mode);         /* from everything */
+void world_cut_node_peers(unsigned node, double for_s);                  /* from the other controllers */
+void world_cut_node_workers(unsigned node, double for_s, sim_link mode); /* from all workers */
+void world_slow_links(double for_s, double most_s);                      /* every message takes up to most_s longer */
 
 /* ---- the key-value store ---- */
 
-void world_refuse(unsigned node, double for_s); /* it refuses that controller alone */
+void world_refuse(unsigned node, double for_s); /* it refuses all requests of that controller */
 void world_kv_down(double for_s);
 void world_kv_down_in(double in_s, double for_s);
-void world_kv_slow(double for_s, double most_s); /* each answer takes up to so long */
-/* From the next write of the job on, watches are not answered; writes are served. */
+void world_kv_slow(double for_s, double most_s); /* each answer takes up to most_s */
+/* From the next write of the job on, watches are not answered for for_s; writes are served. */
 void world_kv_silence_watches(const char *id, double for_s);
-/* Its limits from now on; write_rps 0: no limit of the rate. */
+/* Sets its limits from now on; write_rps 0: unlimited. */
 void world_kv_limit(double value_kb, unsigned txn_ops, double write_rps);
-/* The controllers' settings announce those limits; before they start. Larger values and
- * transactions of theirs break a rule from the start. */
+/* Announces those limits in the settings of the controllers; to be called before they start. Larger
+ * values and transactions of theirs break a rule from the start. */
 void world_kv_announce_limits(double value_kb, unsigned txn_ops, double write_rps);
 /* That share of transactions gets no answer in time and is applied 2 to 12 s late. */
 void world_late_writes(double share);
 void world_late_writes_end(double in_s);
-void world_lateness(double least_s, double most_s); /* of those; instead of 2 to 12 s */
-void world_late_only(const char *text);             /* of those whose body holds that; NULL: all */
+void world_lateness(double least_s, double most_s); /* the delay of late transactions, instead of 2 to 12 s */
+void world_late_only(const char *text);             /* only transactions with that text are late; NULL: all */
 void kv_set_down(bool down);
 bool kv_has_key(const char *key);
-bool kv_value_contains(const char *key, const char *text);        /* its value, as compact JSON, holds that */
-void kv_each_job(const char *prefix, void (*fn)(const char *id)); /* the ids of jobs after the prefix */
+bool kv_value_contains(const char *key, const char *text);        /* the text is in its value as compact JSON */
+void kv_each_job(const char *prefix, void (*fn)(const char *id)); /* for the job ids that follow the prefix in keys */
 
 /* ---- machines and the cloud ---- */
 
-void world_hang(unsigned from, unsigned to, double for_s);
-void world_kill(unsigned from, unsigned to);
-/* They begin anew at once, with no tasks, epoch or fencing token, under the same names; what holds up
- * messages to them goes on. */
+void world_hang(unsigned from, unsigned to, double for_s); /* they neither run nor answer */
+void world_kill(unsigned from, unsigned to);               /* they end for good */
+/* They restart at once under the same names, without their tasks, epochs and fencing tokens; network
+ * faults that affect them go on. */
 void world_restart_machines(unsigned from, unsigned to);
 void world_cut_inbound(unsigned from, unsigned to, double for_s); /* nothing that is sent to them arrives */
-/* They reach no controller; direct commands reach them. */
+/* Their heartbeats reach no controller; direct commands reach them. */
 void world_cut_outbound(unsigned from, unsigned to, double for_s);
-bool world_give_notice(double in_s); /* of preemption, to a spot machine in use; false: there is none */
+/* Both give notice that a machine is preempted in in_s: the first to a spot machine in use, and returns
+ * false if there is none. */
+bool world_give_notice(double in_s);
 void world_notice(unsigned machine, double in_s);
-/* The machine's heartbeat of now arrives, once more, there and then. */
+/* Delivers a heartbeat with the machine's present status to the controller after in_s. */
 void world_duplicate_heartbeat(unsigned machine, unsigned node, double in_s);
 void world_cloud_down(bool down); /* it answers every request with 503 */
 
-unsigned world_machines(void);                                  /* that there ever were */
-unsigned world_terminated_machines(unsigned from, unsigned to); /* how many of them have ended */
+unsigned world_machines(void);                                  /* created so far */
+unsigned world_terminated_machines(unsigned from, unsigned to); /* how many of them are terminated */
 unsigned world_node_of(unsigned machine);                       /* the controller that it sends heartbeats to */
-unsigned world_running(void);                                   /* tasks, now */
-unsigned world_fetching(void);                                  /* tasks that were started and wait for their image */
-unsigned world_ended(const char *cause);                        /* tasks that have exited for it */
+unsigned world_running(void);                                   /* the number of running tasks */
+unsigned world_fetching(void);                                  /* the number of tasks that fetch their image */
+unsigned world_ended(const char *cause);                        /* the number of tasks that exited with that cause */
 
 /* ---- checks ---- */
 
-/* From then on what must hold all through a quiet day is checked, and by world_checks_end() what
- * must hold at its end. */
+/* From then on checks what has to hold while there are no faults; world_checks_end() checks what has to
+ * hold at the end. */
 void world_checks_from(double in_s);
 void world_checks_end(void);
-/* From then on it breaks a rule when a job has no task anywhere for 90 s although it fits and its
- * team's quota allows it. */
+/* From then on it is a violation if a job has no task anywhere for 90 s although it fits and the quota
+ * of its team allows it. */
 void world_check_starvation(double in_s);
-void world_check_released(void); /* no record is left of a machine that was returned */
+void world_check_released(void); /* checks that no record is left of a machine that was returned */
 
 /* ---- between the stand-ins ---- */
 
-/* A rule is broken; detail: by what. */
+/* Records a violation of the rule; detail: what violated it. */
 void world_broke(const char *rule, const char *detail);
-/* Did a controller of the former version send the request? */
+/* Whether a controller of the previous version sent the request. */
 bool world_sent_by_former(const struct sim_exchange *exchange);
-/* Does the key-value store refuse its sender? */
+/* Whether the key-value store refuses the sender of the request. */
 bool world_kv_refuses(const struct sim_exchange *exchange);
-/* The request's sender has written the key. */
+/* To be called when the sender of the request has written the key. */
 void world_key_written(const struct sim_exchange *exchange, const char *key);
 void kv_init(void);
-/* What controllers that know of announced limits keep to from now on. */
+/* Sets the limits that controllers aware of announced limits have to respect from now on. */
 void kv_set_announced_limits(double value_kb, unsigned txn_ops);
 
 #endif
