--- a/tests/sim/cancellations.c
+++ b/tests/sim/cancellations.c
@@ -17,7 +17,7 @@
 
 static void cancel_planned(void *arg) {
   planned_cancellation *planned = arg;
-  user_cancel_by(planned->job, planned->node >= 0 ? planned->node : world_any_node());
+  user_cancel_by(planned->job, planned->node >= 0 ? planned->node : world_random_node());
   g_free(planned);
 }
 
@@ -37,18 +37,18 @@
   if (g_cancel_on_completion_share <= 0 || !sim_chance(g_cancel_on_completion_share)) return;
   /* The user cancels it, requests its status and submits it again at about the same time. */
   cancel_in(job, -1, sim_draw(0, 0.6));
-  user_ask_status(job, users_pick_node());
+  user_request_status(job, users_pick_node());
   user_repeat_submission(job, users_pick_node());
 }
 
 /* ---- running jobs ---- */
 
-static void hang_now(void *arg) {
+static void hang_machine(void *arg) {
   sim_worker *worker = arg;
   worker->hung_until = MAX(worker->hung_until, sim_now() + worker->planned_hang_s);
 }
 
-static bool may_cancel(const sim_task *task) {
+static bool is_cancellable(const sim_task *task) {
   return task->state != TASK_EXITED && task->job && task->job->seen_accepted && !task->job->terminal &&
          !task->job->cancel_requested;
 }
@@ -58,13 +58,13 @@
   unsigned count = 0;
   for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < most; i++) {
     const sim_task *task = worker->tasks->pdata[i];
-    if (!may_cancel(task)) continue;
+    if (!is_cancellable(task)) continue;
     cancel_in(task->job, -1, sim_draw(0, within_s));
     count++;
   }
   if (count > 0 && hang_s > 0) {
     worker->planned_hang_s = hang_s;
-    sim_after(sim_draw(0, 1), hang_now, worker);
+    sim_after(sim_draw(0, 1), hang_machine, worker);
   }
   return count;
 }
--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -22,11 +22,11 @@
 /* How many more tasks of the job fit on the machine. */
 static unsigned tasks_that_fit(const sim_worker *worker, const sim_job *job) {
   if (!is_usable(worker) || (worker->spot && !job->spot)) return 0;
-  if (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0) return 0;
+  if (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0) return 0;
   double cpus, gpus;
   worker_free_room(worker, &cpus, &gpus);
   unsigned count = 0;
-  while (count < job->tasks && cpus >= job->cpus - ROUNDING && gpus >= job->gpus - ROUNDING) {
+  while (count < job->tasks && cpus >= job->cpus - ROUNDING_TOLERANCE && gpus >= job->gpus - ROUNDING_TOLERANCE) {
     count++;
     cpus -= job->cpus;
     gpus -= job->gpus;
@@ -78,7 +78,7 @@
 
 /* Whether `need` more tasks of the job fit where it may run, within the quota of its team. */
 static bool has_room(const sim_job *job, const job_progress *progress, unsigned need) {
-  if (strcmp(job->team, "blue") == 0 && gpus_of_team("blue") + need * job->gpus > BLUE_GPUS_MAX + ROUNDING)
+  if (strcmp(job->team, "blue") == 0 && gpus_of_team("blue") + need * job->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE)
     return false;
   unsigned all = 0, one = 0;
   for (int zone = 0; zone < ZONES; zone++) {
@@ -103,14 +103,14 @@
   return gang ? since : MAX(since, job->last_started_at);
 }
 
-static void each_job(void (*fn)(sim_job *job)) {
+static void for_each_job(void (*fn)(sim_job *job)) {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, g_jobs);
   while (g_hash_table_iter_next(&iter, NULL, &value)) fn(value);
 }
 
-static void broke_for_job(const char *rule, const sim_job *job, double since) {
+static void rule_broken_by_job(const char *rule, const sim_job *job, double since) {
   char detail[160];
   g_snprintf(detail, sizeof detail, "%s %s of %u tasks, %.0f GPUs each, since %.1f", job->kind, job->id, job->tasks,
              job->gpus, since);
@@ -120,13 +120,13 @@
 static void check_starvation(sim_job *job) {
   job->starved_since = starved_since(job);
   if (job->starved_since <= 0 || sim_now() <= job->starved_since + STARVATION_LIMIT_S) return;
-  broke_for_job("starved: pending although it fits", job, job->starved_since);
+  rule_broken_by_job("starved: pending although it fits", job, job->starved_since);
   job->starved_since = sim_now(); /* report it once per limit */
 }
 
 static void check_all_starvation(void *arg) {
   (void)arg;
-  if (sim_now() > g_faults_end_at) each_job(check_starvation);
+  if (sim_now() > g_faults_end_at) for_each_job(check_starvation);
   sim_after(SAMPLE_INTERVAL_S, check_all_starvation, NULL);
 }
 
@@ -135,7 +135,7 @@
 static void check_answered(sim_job *job) {
   double since = MAX(g_faults_end_at, MAX(job->seen_accepted_at, job->last_answer_at));
   if (job->seen_accepted && sim_now() > since + ANSWER_DEADLINE_S)
-    broke_for_job("forgotten (nothing answered)", job, since);
+    rule_broken_by_job("no status answer at the end", job, since);
 }
 
 static double size_of(const sim_job *job) {
@@ -165,10 +165,10 @@
   if (served * 2 >= all) return;
   char detail[160];
   g_snprintf(detail, sizeof detail, "%s %s: %u of %u", what, name, served, all);
-  world_broke("less than half served", detail);
+  world_broke("fewer than half began", detail);
 }
 
-static GPtrArray *jobs_of(const char *kind, const char *team) {
+static GPtrArray *jobs_by_size(const char *kind, const char *team) {
   GPtrArray *out = g_ptr_array_new();
   GHashTableIter iter;
   gpointer value;
@@ -189,7 +189,7 @@
 }
 
 static void check_class(const char *kind) {
-  GPtrArray *jobs = jobs_of(kind, NULL);
+  GPtrArray *jobs = jobs_by_size(kind, NULL);
   guint largest = count_largest(jobs);
   check_served("class", kind, jobs, jobs->len);
   check_served("largest of", kind, jobs, largest);
@@ -199,13 +199,13 @@
     double from = MAX(MAX(job->created_at + job->submit_delay_s, job_ready_at(job)), g_faults_end_at);
     double began = job->began_at > 0 ? job->began_at : sim_now();
     if (!job->cancel_requested && began > from + LARGEST_BEGIN_WITHIN_S)
-      broke_for_job("one of the largest began late", job, from);
+      rule_broken_by_job("one of the largest began late", job, from);
   }
   g_ptr_array_free(jobs, TRUE);
 }
 
 static void check_record_known(const char *id) {
-  if (!g_hash_table_contains(g_jobs, id)) world_broke("accepted what can't run or isn't a job", id);
+  if (!g_hash_table_contains(g_jobs, id)) world_broke("record of an unknown job", id);
 }
 
 void checks_start(void) {
@@ -220,10 +220,10 @@
 void checks_end(void) {
   static const char *const kinds[] = {"sweep", "gang", "service"};
   static const char *const teams[] = {"red", "blue"};
-  each_job(check_answered);
+  for_each_job(check_answered);
   for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) check_class(kinds[i]);
   for (guint i = 0; i < G_N_ELEMENTS(teams); i++) {
-    GPtrArray *jobs = jobs_of(NULL, teams[i]);
+    GPtrArray *jobs = jobs_by_size(NULL, teams[i]);
     check_served("team", teams[i], jobs, jobs->len);
     g_ptr_array_free(jobs, TRUE);
   }
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -64,13 +64,13 @@
   sim_answer(request->exchange, 200, "{}");
 }
 
-static void serve_list(const sim_request *request) {
+static void serve_machine_list(const sim_request *request) {
   json_t *list = json_array();
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     if (worker->terminated || sim_now() < worker->created_at + LIST_DELAY_S) continue;
     json_array_append_new(list, json_pack("{ss ss ss sb ss sf}", "id", worker->id, "build", "g4", "ground",
-                                          world_zones[worker->zone], "loaners", (int)worker->spot, "status",
+                                          k_zones[worker->zone], "loaners", (int)worker->spot, "status",
                                           worker->up ? "running" : "starting", "ageS", sim_now() - worker->created_at));
   }
   json_t *message = json_pack("{so sb}", "paddocks", list, "more", 0);
@@ -93,7 +93,7 @@
   } else if (strcmp(request->path, "/hosts/release") == 0) {
     serve_release(request);
   } else {
-    serve_list(request);
+    serve_machine_list(request);
   }
 }
 
--- a/tests/sim/controllers.c
+++ b/tests/sim/controllers.c
@@ -29,7 +29,7 @@
   unsigned node = GPOINTER_TO_UINT(arg);
   fc_controller *controller;
   fc_controller_error error = fc_controller_start(deployment_settings(node), &controller);
-  if (error != FC_CONTROLLER_OK) world_broke("start", fc_controller_strerror(error));
+  if (error != FC_CONTROLLER_OK) world_broke("controller failed to start", fc_controller_strerror(error));
   g_controllers[node] = controller;
 }
 
--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -7,20 +7,20 @@
 #define DUPLICATE_SHARE 0.03      /* of heartbeats */
 #define FAULT_MAX_S 45            /* the longest fault of random_faults.c */
 #define FIRST_MACHINES 3          /* present from the start */
-#define JOB_EVERY_S 8             /* mean */
-#define PIPELINE_JOB_EVERY_S 4    /* mean */
+#define JOB_INTERVAL_S 8          /* mean */
+#define PIPELINE_JOB_INTERVAL_S 4 /* mean */
 #define NO_RANDOM_FAULTS_EVERY 3u /* days with incidents have no random faults if the seed is a multiple */
 
 /* The key-value store's limits after a day's upgrade. */
-#define LATER_VALUE_KB 2
-#define LATER_TXN_OPS 4
-#define LATER_WRITE_RPS 15
+#define ANNOUNCED_VALUE_KB 2
+#define ANNOUNCED_TXN_OPS 4
+#define ANNOUNCED_WRITE_RPS 15
 
 /* ---- upgrade ---- */
 
 static void lower_limits(void *arg) {
   (void)arg;
-  world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
+  world_kv_limit(ANNOUNCED_VALUE_KB, ANNOUNCED_TXN_OPS, ANNOUNCED_WRITE_RPS);
 }
 
 /* Upgrades one controller after the other, sometimes the next before the last is back. Some of their
@@ -39,7 +39,7 @@
 }
 
 static void begin_with_former_version(void) {
-  world_kv_announce_limits(LATER_VALUE_KB, LATER_TXN_OPS, LATER_WRITE_RPS);
+  world_kv_announce_limits(ANNOUNCED_VALUE_KB, ANNOUNCED_TXN_OPS, ANNOUNCED_WRITE_RPS);
   world_former_version();
   world_lateness(2, 90);
   sim_after(sim_draw(15, 60), upgrade_next, GUINT_TO_POINTER(0));
@@ -69,7 +69,7 @@
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     if (worker->terminated) continue;
-    g_printerr("machine %s zone=%s spot=%d up=%d boots_at=%.0f tasks=%u\n", worker->id, world_zones[worker->zone],
+    g_printerr("machine %s zone=%s spot=%d up=%d boots_at=%.0f tasks=%u\n", worker->id, k_zones[worker->zone],
                worker->spot, worker->up, worker->boots_at, worker->tasks->len);
   }
 }
@@ -77,11 +77,11 @@
 /* ---- the day ---- */
 
 static void add_random_jobs(double busy_s, const world_day *day) {
-  for (unsigned i = 1; i <= (unsigned)(busy_s / JOB_EVERY_S); i++)
+  for (unsigned i = 1; i <= (unsigned)(busy_s / JOB_INTERVAL_S); i++)
     users_add_random_job(i, busy_s, day->overlapping_faults);
   if (!day->pipelines) return;
   unsigned added = 0;
-  while (added < (unsigned)(busy_s / PIPELINE_JOB_EVERY_S)) added += users_add_random_pipeline(added, busy_s);
+  while (added < (unsigned)(busy_s / PIPELINE_JOB_INTERVAL_S)) added += users_add_random_pipeline(added, busy_s);
 }
 
 /* Of the days with incidents some have no other faults. */
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -13,13 +13,13 @@
 static fc_settings g_settings[WORLD_NODES];
 
 /* Limits of the key-value store. */
-typedef struct kv_sizes {
+typedef struct kv_limits {
   double value_kb;
   unsigned txn_ops;
   double write_rps;
-} kv_sizes;
+} kv_limits;
 
-static kv_sizes g_first_sizes, g_announced_sizes;
+static kv_limits g_initial_limits, g_announced_limits;
 enum { PRESENT_VERSION, FORMER_VERSION };
 static bool g_former[WORLD_NODES];
 
@@ -31,7 +31,7 @@
 
 /* The second controller is in the second zone. */
 static char *zone_name(int node) {
-  return (char *)world_zones[node == 1];
+  return (char *)k_zones[node == 1];
 }
 
 static void set_addresses(fc_settings *settings, int node) {
@@ -52,8 +52,8 @@
 
 static void set_zones_and_teams(fc_settings *settings) {
   settings->zone_count = ZONES;
-  settings->zones[0] = (char *)world_zones[0];
-  settings->zones[1] = (char *)world_zones[1];
+  settings->zones[0] = (char *)k_zones[0];
+  settings->zones[1] = (char *)k_zones[1];
   settings->team_count = 2;
   settings->teams[0] = (fc_team_settings){.name = (char *)"red", .gpus = 8};
   settings->teams[1] = (fc_team_settings){.name = (char *)"blue", .gpus = 6, .gpus_max = BLUE_GPUS_MAX};
@@ -75,7 +75,7 @@
   settings->fd_limit = 900;
 }
 
-static void set_usual(int node) {
+static void set_defaults(int node) {
   fc_settings *settings = &g_settings[node];
   memset(settings, 0, sizeof *settings);
   set_addresses(settings, node);
@@ -87,9 +87,10 @@
 
 void deployment_init(void) {
   memset(g_former, 0, sizeof g_former);
-  for (int node = 0; node < WORLD_NODES; node++) set_usual(node);
+  for (int node = 0; node < WORLD_NODES; node++) set_defaults(node);
   const fc_settings *settings = &g_settings[0];
-  g_first_sizes = g_announced_sizes = (kv_sizes){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
+  g_initial_limits = g_announced_limits =
+      (kv_limits){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
 }
 
 void world_keep_idle(void) {
@@ -139,9 +140,9 @@
     settings->memory_mb = 27;
     settings->cpu = 0.024;
     settings->fd_limit = 900;
-    fc_operator_settings usual;
-    fc_operator_defaults(&usual);
-    settings->operator_settings.over_keep_s = usual.over_keep_s;
+    fc_operator_settings defaults;
+    fc_operator_defaults(&defaults);
+    settings->operator_settings.over_keep_s = defaults.over_keep_s;
   }
 }
 
@@ -149,7 +150,7 @@
 
 /* A version without announced limits keeps to the initial ones. */
 static void set_known_limits(unsigned node) {
-  const kv_sizes *known = g_former[node] ? &g_first_sizes : &g_announced_sizes;
+  const kv_limits *known = g_former[node] ? &g_initial_limits : &g_announced_limits;
   fc_settings *settings = &g_settings[node];
   settings->kv_value_kb = known->value_kb;
   settings->kv_txn_ops = known->txn_ops;
@@ -158,9 +159,9 @@
 
 void world_kv_announce_limits(double value_kb, unsigned txn_ops, double write_rps) {
   const fc_settings *settings = &g_settings[0];
-  g_announced_sizes = (kv_sizes){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
-                                 MIN(settings->kv_write_rps, write_rps)};
-  kv_set_announced_limits(g_announced_sizes.value_kb, g_announced_sizes.txn_ops);
+  g_announced_limits = (kv_limits){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
+                                   MIN(settings->kv_write_rps, write_rps)};
+  kv_set_announced_limits(g_announced_limits.value_kb, g_announced_limits.txn_ops);
   for (unsigned node = 0; node < WORLD_NODES; node++) set_known_limits(node);
 }
 
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -3,7 +3,7 @@
 #include "workers.h"
 
 #define HEARTBEAT_TIMEOUT_S 4
-#define RETRY_S 1 /* after a heartbeat that was rejected or not answered */
+#define HEARTBEAT_RETRY_S 1 /* after a heartbeat that was rejected or not answered */
 #define DUPLICATE_DELAY_MAX_S (3 * LEASE_S)
 #define UNUSED_IP IP(10, 9, 9, 9)
 
@@ -39,7 +39,7 @@
   g_snprintf(endpoint, sizeof endpoint, "10.1.%u.%u:9000", worker->ip >> 8 & 0xff, worker->ip & 0xff);
   json_t *message =
       json_pack("{ss ss ss ss sb sI sI sI so}", "paddock", worker->id, "endpoint", endpoint, "build", "g4", "ground",
-                world_zones[worker->zone], "loaners", (int)worker->spot, "stint", (json_int_t)worker->epoch, "tally",
+                k_zones[worker->zone], "loaners", (int)worker->spot, "stint", (json_int_t)worker->epoch, "tally",
                 (json_int_t)++worker->heartbeat_seq, "captaincy", (json_int_t)worker->fencing_token, "runs", runs);
   if (worker->preemption_notice_at > 0)
     json_object_set_new(message, "recallS", json_real(MAX(0, worker->preempted_at - sim_now())));
@@ -50,7 +50,7 @@
 
 /* ---- replies ---- */
 
-static uint64_t integer_of(const json_t *message, const char *name) {
+static uint64_t get_integer(const json_t *message, const char *name) {
   return (uint64_t)json_integer_value(json_object_get(message, name));
 }
 
@@ -62,7 +62,7 @@
 /* A reply with an older fencing token comes from a former leader: it neither renews the lease nor is
  * obeyed. */
 static void accept_reply(sim_worker *worker, const json_t *message) {
-  uint64_t fencing_token = integer_of(message, "captaincy");
+  uint64_t fencing_token = get_integer(message, "captaincy");
   if (fencing_token < worker->fencing_token) return;
   adopt_fencing_token(worker, fencing_token);
   worker->lease_renewed_at = worker->heartbeat_sent_at;
@@ -78,7 +78,7 @@
 static void follow_redirect(sim_worker *worker, const char *leader) {
   int node = atoi(leader + strlen("paddock-"));
   bool itself = node == worker->node;
-  worker->next_heartbeat_at = sim_now() + (itself ? RETRY_S : sim_draw(0, 0.5));
+  worker->next_heartbeat_at = sim_now() + (itself ? HEARTBEAT_RETRY_S : sim_draw(0, 0.5));
   if (itself) {
     try_next_controller(worker);
   } else {
@@ -100,7 +100,7 @@
     follow_redirect(worker, json_string_value(json_object_get(message, "coach")));
   } else {
     try_next_controller(worker);
-    worker->next_heartbeat_at = sim_now() + RETRY_S;
+    worker->next_heartbeat_at = sim_now() + HEARTBEAT_RETRY_S;
   }
   json_decref(message);
 }
@@ -154,7 +154,7 @@
   uint32_t to = worker->outbound_lost_until > sim_now() ? UNUSED_IP : WORLD_NODE_IP(worker->node);
   sim_call_on(worker->connection, worker->ip, to, "/checkin", body, HEARTBEAT_TIMEOUT_S, on_heartbeat_reply, worker);
   if (sim_chance(g_duplicate_share)) {
-    int node = sim_chance(0.5) ? worker->node : world_any_node();
+    int node = sim_chance(0.5) ? worker->node : world_random_node();
     deliver_duplicate_in(sim_draw(0.5, DUPLICATE_DELAY_MAX_S), worker, (unsigned)node, body);
   }
   free(body);
@@ -166,8 +166,8 @@
   sim_worker *worker = arg;
   worker_check_lease(worker);
   json_t *message = json_loads(request->body, 0, NULL);
-  uint64_t fencing_token = integer_of(message, "captaincy");
-  bool accepted = fencing_token >= worker->fencing_token && integer_of(message, "stint") == worker->epoch;
+  uint64_t fencing_token = get_integer(message, "captaincy");
+  bool accepted = fencing_token >= worker->fencing_token && get_integer(message, "stint") == worker->epoch;
   if (accepted) {
     adopt_fencing_token(worker, fencing_token);
     tasks_execute(worker, json_object_get(message, "calls"));
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -13,8 +13,8 @@
   return choice < 0.75 ? sim_draw(LEASE_S, LEASE_S * 2) : sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4);
 }
 
-static unsigned any_node(void) {
-  return (unsigned)world_any_node();
+static unsigned random_node(void) {
+  return (unsigned)world_random_node();
 }
 
 /* Draws one machine, a few consecutive ones, or sometimes all. */
@@ -98,7 +98,7 @@
 /* The key-value store refuses one controller, users cancel jobs, and a moment later it is down for
  * all. */
 static void refuse_one_then_outage(void) {
-  world_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
+  world_refuse(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
   while (at < in_s) {
@@ -108,8 +108,8 @@
   sim_after(in_s, begin_outage, NULL);
 }
 
-static void refuse_one(void) {
-  world_refuse(any_node(), random_length());
+static void refuse_one_controller(void) {
+  world_refuse(random_node(), random_length());
   if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, OVERLAP_S));
 }
 
@@ -126,30 +126,30 @@
 /* Cuts the link between a controller and a worker; often users cancel jobs on that worker. */
 static void cut_controller_and_worker(void) {
   if (g_worker_list->len == 0) return;
-  unsigned node = any_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
+  unsigned node = random_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
   world_cut_pair(node, at, random_length(), sim_chance(0.8) ? SIM_HELD : SIM_RESET);
   if (sim_chance(0.6)) users_cancel_on_machine_in(at, 2, sim_draw(0, OVERLAP_S));
 }
 
 /* A controller crashes, is partitioned, is refused by the key-value store or pauses, so that its shard
  * moves to the others. */
-static void lose_one(void) {
+static void fail_one_controller(void) {
   double choice = sim_draw(0, 5);
   if (choice < 2) {
-    world_crash(any_node(), sim_chance(0.3) ? sim_draw(0.05, 0.9) : sim_draw(2, 6));
+    world_crash(random_node(), sim_chance(0.3) ? sim_draw(0.05, 0.9) : sim_draw(2, 6));
   } else if (choice < 3) {
-    world_partition_node(any_node(), sim_draw(5, 11));
+    world_partition_node(random_node(), sim_draw(5, 11));
   } else if (choice < 4) {
-    world_refuse(any_node(), sim_draw(5, 11));
+    world_refuse(random_node(), sim_draw(5, 11));
   } else {
-    world_pause_node(any_node(), sim_draw(5, 11));
+    world_pause_node(random_node(), sim_draw(5, 11));
   }
 }
 
 static void next_leader_change(void *arg) {
   unsigned left = GPOINTER_TO_UINT(arg);
   if (left == 0 || sim_now() > g_last_incident_at) return;
-  lose_one();
+  fail_one_controller();
   sim_after(sim_draw(9, 15), next_leader_change, GUINT_TO_POINTER(left - 1));
 }
 
@@ -159,7 +159,7 @@
 
 /* Heartbeats with the present status arrive after a crash, possibly at new owners of the machines. */
 static void deliver_heartbeats_late(void) {
-  unsigned node = any_node(), from, to;
+  unsigned node = random_node(), from, to;
   draw_machines(&from, &to);
   double back_in = sim_draw(0.1, LEASE_S * 1.5);
   double crash_in = sim_draw(0.1, 2);
@@ -178,14 +178,14 @@
 
 /* A controller reaches only workers and users, while users cancel jobs. */
 static void isolate_controller(void) {
-  world_partition_node(any_node(), random_length());
+  world_partition_node(random_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
 }
 
 /* All crash; either one of them is back within a second, or all stay down for longer. */
 static void crash_all(void) {
   bool soon = sim_chance(0.5);
-  unsigned first = any_node();
+  unsigned first = random_node();
   for (unsigned n = 0; n < WORLD_NODES; n++)
     world_crash(n, soon && n == first ? sim_draw(0.1, 1) : sim_draw(LEASE_S * 0.5, LEASE_S * 1.3));
 }
@@ -195,7 +195,7 @@
 }
 
 static void pause_one(void) {
-  world_pause_node(any_node(), random_length());
+  world_pause_node(random_node(), random_length());
 }
 
 static void lose_machines(void) {
@@ -215,19 +215,19 @@
     {"slow key-value store", slow_kv},
     {"cancellations", cancel_burst},
     {"cancellations, machines hang", cancel_burst_and_hang},
-    {"refused, then an outage", refuse_one_then_outage},
-    {"refused", refuse_one},
-    {"cancellations at the end", cancel_on_completion},
+    {"key-value store refuses one, then an outage", refuse_one_then_outage},
+    {"key-value store refuses one", refuse_one_controller},
+    {"cancellations on completion", cancel_on_completion},
     {"controller and worker cut off", cut_controller_and_worker},
     {"ten leader changes", change_leaders},
-    {"one lost", lose_one},
+    {"one controller fails", fail_one_controller},
     {"late heartbeats", deliver_heartbeats_late},
     {"invalid requests", send_invalid_requests},
     {"controller isolated", isolate_controller},
-    {"all crash", crash_all},
+    {"all controllers crash", crash_all},
     {"zone cut", cut_zone},
-    {"pause", pause_one},
-    {"machines lost", lose_machines},
+    {"controller pause", pause_one},
+    {"machines terminated", lose_machines},
 };
 
 static void begin_incident(void *arg) {
@@ -255,7 +255,7 @@
    * a thousand days had more work for the team with a quota than could run in time. */
   bool longer = job->gpus < 2 && sim_chance(0.3);
   if (longer) job->run_s *= 3;
-  if (sim_chance(0.15)) job->zone = world_zones[g_rand_int_range(sim_rand(), 0, 2)];
+  if (sim_chance(0.15)) job->zone = k_zones[g_rand_int_range(sim_rand(), 0, 2)];
   if (job->zone) job->spread = false;
   if (sweep && sim_chance(0.2)) job->one_zone = true;
   if (sweep && !longer && sim_chance(0.2)) job->tasks += 12; /* more than one slice */
--- a/tests/sim/invalid_requests.c
+++ b/tests/sim/invalid_requests.c
@@ -53,15 +53,15 @@
 static void on_invalid_status(int status, const char *body, void *arg) {
   (void)body;
   invalid_job *invalid = arg;
-  if (status == 200) world_broke("invented", invalid->id);
+  if (status == 200) world_broke("invalid job is known", invalid->id);
   g_free(invalid);
 }
 
-static void ask_invalid(void *arg) {
+static void request_invalid_status(void *arg) {
   invalid_job *invalid = arg;
   char path[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", invalid->id);
-  sim_call(WORLD_USER_IP, WORLD_NODE_IP(world_any_node()), "GET", path, "", STATUS_TIMEOUT_S, on_invalid_status,
+  sim_call(WORLD_USER_IP, WORLD_NODE_IP(world_random_node()), "GET", path, "", STATUS_TIMEOUT_S, on_invalid_status,
            invalid);
 }
 
@@ -70,10 +70,10 @@
   char detail[200];
   g_snprintf(detail, sizeof detail, "%s without %s, with %s: %d %s", invalid->id, k_invalid_jobs[invalid->row].without,
              k_invalid_jobs[invalid->row].with, status, body);
-  if (status == 200 || status == 201) world_broke("accepted what can't run or isn't a job", detail);
+  if (status == 200 || status == 201) world_broke("accepted an invalid job", detail);
   if ((status == 400 || status == 422) && status != k_invalid_jobs[invalid->row].status)
-    world_broke("refused for another", detail);
-  sim_after(sim_draw(0, 10), ask_invalid, invalid);
+    world_broke("invalid job refused with the wrong status", detail);
+  sim_after(sim_draw(0, 10), request_invalid_status, invalid);
 }
 
 /* A job that would be accepted; the caller releases it with json_decref(). */
@@ -97,7 +97,7 @@
   }
   char *body = json_dumps(message, JSON_COMPACT);
   json_decref(message);
-  sim_call(WORLD_USER_IP, WORLD_NODE_IP(world_any_node()), "POST", "/api/jobs", body, SUBMIT_TIMEOUT_S,
+  sim_call(WORLD_USER_IP, WORLD_NODE_IP(world_random_node()), "POST", "/api/jobs", body, SUBMIT_TIMEOUT_S,
            on_invalid_submitted, invalid);
   free(body);
 }
@@ -105,7 +105,7 @@
 /* ---- random requests ---- */
 
 /* A random accepted job, with only_done one that is done; NULL: there is none. */
-static sim_job *any_accepted_job(bool only_done) {
+static sim_job *random_accepted_job(bool only_done) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter iter;
   gpointer value;
@@ -124,11 +124,11 @@
   if (sim_now() > g_last_request_at) return;
   g_result.invalid_requests++;
   double choice = sim_draw(0, 1);
-  sim_job *job = any_accepted_job(choice >= 0.3);
+  sim_job *job = random_accepted_job(choice >= 0.3);
   if (choice < 0.6 && job) {
-    user_repeat_submission(job, world_any_node());
+    user_repeat_submission(job, world_random_node());
   } else if (choice < 0.75 && job) {
-    user_cancel_by(job, world_any_node());
+    user_cancel_by(job, world_random_node());
   } else {
     submit_invalid();
   }
--- a/tests/sim/jobs.c
+++ b/tests/sim/jobs.c
@@ -5,17 +5,17 @@
 
 double job_ready_at(const sim_job *job) {
   double at = 0;
-  for (guint i = 0; i < job->needs->len; i++) {
-    const sim_job *needed = job->needs->pdata[i];
-    at = MAX(at, needed->completed_at > 0 ? needed->completed_at : INFINITY);
+  for (guint i = 0; i < job->dependencies->len; i++) {
+    const sim_job *dependency = job->dependencies->pdata[i];
+    at = MAX(at, dependency->completed_at > 0 ? dependency->completed_at : INFINITY);
   }
   return at;
 }
 
 bool job_dependency_cancelled(const sim_job *job) {
-  for (guint i = 0; i < job->needs->len; i++) {
-    const sim_job *needed = job->needs->pdata[i];
-    if ((needed->cancel_requested && !needed->seen_done) || job_dependency_cancelled(needed)) return true;
+  for (guint i = 0; i < job->dependencies->len; i++) {
+    const sim_job *dependency = job->dependencies->pdata[i];
+    if ((dependency->cancel_requested && !dependency->seen_done) || job_dependency_cancelled(dependency)) return true;
   }
   return false;
 }
@@ -38,10 +38,10 @@
 }
 
 /* The ids of its dependencies as JSON; the caller frees it with g_free(). */
-static char *list_needs(const sim_job *job) {
+static char *list_dependencies(const sim_job *job) {
   GString *list = g_string_new("[");
-  for (guint i = 0; i < job->needs->len; i++)
-    g_string_append_printf(list, "%s\"%s\"", i ? "," : "", ((const sim_job *)job->needs->pdata[i])->id);
+  for (guint i = 0; i < job->dependencies->len; i++)
+    g_string_append_printf(list, "%s\"%s\"", i ? "," : "", ((const sim_job *)job->dependencies->pdata[i])->id);
   g_string_append_c(list, ']');
   return g_string_free(list, FALSE);
 }
@@ -51,7 +51,7 @@
 }
 
 static void write_bodies(sim_job *job, unsigned image) {
-  char *needs = list_needs(job);
+  char *dependencies = list_dependencies(job);
   job->body = g_strdup_printf(
       "{\"id\":\"%s\",\"squad\":\"%s\",\"club\":\"%s\",\"play\":\"%s\",\"rank\":\"%s\",\"runs\":%u,\"cpus\":%f,"
       "\"gpus\":%f,\"memGb\":8,\"kit\":\"img-%u\",\"pullGb\":1,\"builds\":null,\"ground\":%s,\"samePlace\":%s,"
@@ -59,15 +59,15 @@
       "\"awaits\":%s}",
       job->id, job->kind, job->team, job->kind, job->priority, job->tasks, job->cpus, job->gpus, image,
       json_string_or_null(job->zone), json_flag(job->one_zone), json_flag(job->spread), json_flag(job->spot),
-      json_number_or_null(job->deadline_s), needs);
+      json_number_or_null(job->deadline_s), dependencies);
   size_t plain_length = (size_t)(strstr(job->body, ",\"awaits\"") - job->body);
-  job->body_without_needs = g_strdup_printf("%.*s}", (int)plain_length, job->body);
-  g_free(needs);
+  job->body_without_dependencies = g_strdup_printf("%.*s}", (int)plain_length, job->body);
+  g_free(dependencies);
 }
 
 void job_add(sim_job *job, unsigned image) {
   job->done = g_new0(bool, job->tasks);
-  if (!job->needs) job->needs = g_ptr_array_new();
+  if (!job->dependencies) job->dependencies = g_ptr_array_new();
   write_bodies(job, image);
   g_hash_table_insert(g_jobs, job->id, job);
   g_result.submitted++;
@@ -100,9 +100,9 @@
   job->submit_delay_s = spec->in_s;
   job->cancel_delay_s = spec->cancel_in_s;
   job->deadline_s = spec->deadline_s;
-  job->needs = g_ptr_array_new();
+  job->dependencies = g_ptr_array_new();
   for (size_t i = 0; i < G_N_ELEMENTS(spec->dependencies) && spec->dependencies[i]; i++)
-    g_ptr_array_add(job->needs, g_hash_table_lookup(g_jobs, spec->dependencies[i]));
+    g_ptr_array_add(job->dependencies, g_hash_table_lookup(g_jobs, spec->dependencies[i]));
   job_add(job, 1);
 }
 
@@ -130,7 +130,7 @@
   job->gpus = job->cpus = gpus;
   job->run_s = run_s;
   job->spot = job->submitting = true;
-  job->needs = g_ptr_array_new();
+  job->dependencies = g_ptr_array_new();
   job->done = g_new0(bool, tasks);
   g_hash_table_insert(g_jobs, job->id, job);
 }
--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -98,7 +98,7 @@
     const sim_worker *worker = g_worker_list->pdata[i];
     char *key = g_strconcat("fc1/machine/", worker->id, NULL);
     if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && kv_has_key(key))
-      world_broke("returned machine on record", worker->id);
+      world_broke("record left of a returned machine", worker->id);
     g_free(key);
   }
 }
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -7,7 +7,7 @@
 
 static double g_last_fault_at; /* none starts after it */
 
-static sim_worker *any_worker(void) {
+static sim_worker *random_worker(void) {
   if (g_worker_list->len == 0) return NULL;
   return g_worker_list->pdata[g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len)];
 }
@@ -28,8 +28,8 @@
 }
 
 static void crash_one_or_two(void) {
-  crash(world_any_node());
-  if (sim_chance(0.3)) crash(world_any_node());
+  crash(world_random_node());
+  if (sim_chance(0.3)) crash(world_random_node());
 }
 
 static void crash_all(void) {
@@ -38,7 +38,7 @@
 
 /* Restarts two controllers at once, and both again shortly after, in the middle of a term. */
 static void restart_two_twice(void) {
-  int first = world_any_node(), second = world_any_node();
+  int first = world_random_node(), second = world_random_node();
   restart_at_once(first);
   restart_at_once(second);
   sim_after(sim_draw(0.1, 1.5), restart_again, GINT_TO_POINTER(first));
@@ -48,7 +48,7 @@
 /* Shorter or longer than the controller's own lease, a worker's lease, or the deadline of a
  * cancellation. */
 static void pause_one(double length) {
-  world_pause_node((unsigned)world_any_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
+  world_pause_node((unsigned)world_random_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
 }
 
 /* ---- links and the key-value store ---- */
@@ -59,7 +59,7 @@
 
 static void break_links(double until, sim_link mode) {
   link_fault fault = {
-      .scope = (link_scope)(int)sim_draw(0, LINK_ZONE), .node = world_any_node(), .ends_at = until, .mode = mode};
+      .scope = (link_scope)(int)sim_draw(0, LINK_ZONE), .node = world_random_node(), .ends_at = until, .mode = mode};
   if (fault.scope == LINK_BETWEEN_ZONES) fault.node = -1;
   links_add_fault(&fault);
 }
@@ -68,7 +68,7 @@
 static void lose_inbound(double until) {
   bool many = sim_chance(0.15);
   for (guint i = 0; i < g_worker_list->len; i++) {
-    sim_worker *worker = many ? g_worker_list->pdata[i] : any_worker();
+    sim_worker *worker = many ? g_worker_list->pdata[i] : random_worker();
     worker->inbound_lost_until = until;
     if (!many) break;
   }
@@ -77,7 +77,7 @@
 /* ---- machines ---- */
 
 static void restart_machine(void) {
-  sim_worker *worker = any_worker();
+  sim_worker *worker = random_worker();
   if (worker && worker->up && !worker->terminated) worker_restart_empty(worker);
 }
 
@@ -104,7 +104,7 @@
 
 /* One machine hangs, is cut off or terminates. */
 static void break_machine(double choice, double now, double length, sim_link mode) {
-  sim_worker *worker = any_worker();
+  sim_worker *worker = random_worker();
   if (!worker || worker->terminated || !worker->up) return; /* nothing to break */
   if (choice < 10.5) {
     worker->hung_until = now + length;
@@ -127,7 +127,7 @@
   } else if (choice < 5) {
     kv_outage();
   } else if (choice < 6) {
-    world_refuse((unsigned)world_any_node(), length);
+    world_refuse((unsigned)world_random_node(), length);
   } else if (choice < 9.5) {
     break_links(now + length, mode);
   } else if (choice < 12) {
--- a/tests/sim/random_jobs.c
+++ b/tests/sim/random_jobs.c
@@ -5,9 +5,9 @@
 #define JOB_NUMBER_STEP 7919 /* spreads the ids over the controllers' shards */
 #define JOB_NUMBERS 900000
 #define WIDE_GANG_GPUS 4
-#define BURST_JOB_SIZE 0.25   /* CPUs and GPUs */
-#define BURST_JOB_EVERY_S 0.5 /* mean */
-#define LATE_STAGE_S 40       /* the earlier stages may be done by then */
+#define BURST_JOB_SIZE 0.25      /* CPUs and GPUs */
+#define BURST_JOB_INTERVAL_S 0.5 /* mean */
+#define LATE_STAGE_DELAY_S 40    /* the earlier stages may be done by then */
 
 /* ---- pipelines ---- */
 
@@ -16,7 +16,7 @@
 }
 
 /* A random job of those so far that others can depend on; NULL: there is none. */
-static sim_job *any_earlier(void) {
+static sim_job *random_earlier_job(void) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter iter;
   gpointer value;
@@ -44,9 +44,9 @@
   job->one_zone = gang;
   job->spot = !gang;
   job->submit_delay_s = submit_delay_s;
-  job->needs = g_ptr_array_new();
+  job->dependencies = g_ptr_array_new();
   for (guint i = 0; i < before->len; i++)
-    if (i + 1 == before->len || sim_chance(0.4)) g_ptr_array_add(job->needs, before->pdata[i]);
+    if (i + 1 == before->len || sim_chance(0.4)) g_ptr_array_add(job->dependencies, before->pdata[i]);
   return job;
 }
 
@@ -56,12 +56,12 @@
   unsigned count = 2 + (unsigned)sim_draw(0, 5);
   bool cancelled = sim_chance(0.25);
   unsigned which = (unsigned)sim_draw(0, count);
-  sim_job *earlier = sim_chance(0.3) ? any_earlier() : NULL;
+  sim_job *earlier = sim_chance(0.3) ? random_earlier_job() : NULL;
   if (earlier) g_ptr_array_add(stages, earlier);
   for (unsigned i = 0; i < count; i++) {
     /* In some pipelines the last job is submitted only when the others may be done. */
     bool last = i + 1 == count;
-    sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_S : from_s, stages);
+    sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_DELAY_S : from_s, stages);
     if (last) {
       job->priority = "high";
       job->deadline_s = sim_draw(30, 120);
@@ -144,6 +144,6 @@
     job->spot = true;
     job->submit_delay_s = in_s;
     job_add(job, g_burst_jobs % IMAGES);
-    in_s += sim_draw(0, 2 * BURST_JOB_EVERY_S);
+    in_s += sim_draw(0, 2 * BURST_JOB_INTERVAL_S);
   }
 }
--- a/tests/sim/stand_ins.h
+++ b/tests/sim/stand_ins.h
@@ -24,10 +24,10 @@
 #define WORKER_STEP_S 0.25
 #define MACHINE_CPUS 40.0
 #define MACHINE_GPUS 4.0
-#define BLUE_GPUS_MAX 12.0     /* the quota of team blue; team red has none */
-#define ANSWER_DEADLINE_S 75.0 /* the longest that a job's status may be unavailable */
-#define PENDING_LIMIT_S 90.0   /* how long a job that fits may be pending */
-#define ROUNDING 1e-6          /* tolerance for sums of CPUs and GPUs */
+#define BLUE_GPUS_MAX 12.0      /* the quota of team blue; team red has none */
+#define ANSWER_DEADLINE_S 75.0  /* the longest that a job's status may be unavailable */
+#define PENDING_LIMIT_S 90.0    /* how long a job that fits may be pending */
+#define ROUNDING_TOLERANCE 1e-6 /* tolerance for sums of CPUs and GPUs */
 #define ZONES 2
 
 /* ---- users ---- */
@@ -40,10 +40,10 @@
   double cpus, gpus, run_s;
   double stagger_s; /* how much longer each task runs than the one before it */
   bool one_zone, spread, spot;
-  const char *zone;                /* where it has to run; NULL: anywhere */
-  char *body, *body_without_needs; /* of its submission */
-  GPtrArray *needs;                /* sim_job: jobs that have to be done before it starts */
-  double deadline_s;               /* its service-level objective; 0: none */
+  const char *zone;                       /* where it has to run; NULL: anywhere */
+  char *body, *body_without_dependencies; /* of its submission */
+  GPtrArray *dependencies;                /* sim_job: jobs that have to be done before it starts */
+  double deadline_s;                      /* its service-level objective; 0: none */
 
   double created_at;
   double submit_delay_s; /* from created_at */
@@ -131,7 +131,7 @@
 
 /* ---- state that all stand-ins share ---- */
 
-extern const char *const world_zones[ZONES];
+extern const char *const k_zones[ZONES];
 extern GHashTable *g_jobs;          /* id -> sim_job */
 extern GHashTable *g_workers;       /* id -> sim_worker */
 extern GHashTable *g_workers_by_ip; /* address -> sim_worker */
@@ -146,7 +146,7 @@
 extern unsigned g_zone_capacity, g_zone_spot_capacity; /* machines that the cloud has in each zone */
 
 /* The number of a random controller. */
-int world_any_node(void);
+int world_random_node(void);
 
 /* ---- workers.c ---- */
 
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -43,15 +43,15 @@
 static void check_start_place(const start_check *check) {
   const sim_job *job = check->task->job;
   const sim_worker *worker = check->worker;
-  if (strcmp(job->team, "blue") == 0 && check->gpus > BLUE_GPUS_MAX + ROUNDING) world_broke("quota", job->id);
-  if (worker->spot && !job->spot) world_broke("wrong_place", "spot");
-  if (job->one_zone && check->elsewhere > 0) world_broke("wrong_place", job->id);
-  if (job->spread && check->in_zone > (job->tasks + 1) / 2) world_broke("wrong_place", job->id);
+  if (strcmp(job->team, "blue") == 0 && check->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE) world_broke("quota", job->id);
+  if (worker->spot && !job->spot) world_broke("task on a machine that its job excludes", "spot");
+  if (job->one_zone && check->elsewhere > 0) world_broke("tasks in more than one zone", job->id);
+  if (job->spread && check->in_zone > (job->tasks + 1) / 2) world_broke("too many tasks in one zone", job->id);
 }
 
 static void check_start_time(const sim_job *job) {
   if (job->seen_cancelled && sim_now() > job->seen_cancelled_at + CANCEL_DEADLINE_S)
-    world_broke("ran_cancelled", job->id);
+    world_broke("task on a machine after its cancellation deadline", job->id);
   if (job->seen_cancelled) g_result.late_starts++;
 }
 
@@ -61,20 +61,20 @@
   start_check check = {.worker = worker, .task = task};
   tasks_each_resident(count_other_task, &check);
   if (g_verbose)
-    g_printerr("%.2f on machine %s/%u %s team=%s gpus=%.0f in use=%.0f\n", sim_now(), job->id, task->index, worker->id,
-               job->team, job->gpus, check.gpus);
+    g_printerr("%.2f task start %s/%u machine=%s team=%s gpus=%.0f team_gpus=%.0f\n", sim_now(), job->id, task->index,
+               worker->id, job->team, job->gpus, check.gpus);
   check_start_place(&check);
   check_start_time(job);
-  if (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0) world_broke("wrong_place", job->id);
-  if (!job->seen_accepted && !job->submitting) world_broke("invented", job->id);
-  if (isinf(job_ready_at(job))) world_broke("too_early", job->id);
+  if (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0) world_broke("task in the wrong zone", job->id);
+  if (!job->seen_accepted && !job->submitting) world_broke("task of a job that was not submitted", job->id);
+  if (isinf(job_ready_at(job))) world_broke("task started before its dependencies were done", job->id);
 }
 
 void check_task_cancelled(const sim_task *task) {
   const sim_job *job = task->job;
   if (job && task->state != TASK_EXITED && task->state != TASK_FETCHING && job->seen_cancelled &&
       sim_now() > job->seen_cancelled_at + CANCEL_DEADLINE_S)
-    world_broke("ran_cancelled", job->id);
+    world_broke("task on a machine after its cancellation deadline", job->id);
 }
 
 /* ---- pending jobs ---- */
@@ -82,10 +82,10 @@
 /* How many more tasks of the job fit on the machine. */
 static unsigned room_for(const sim_worker *worker, const sim_job *job) {
   if (worker->terminated || !worker->up || worker->hung_until > sim_now() || worker->preemption_notice_at > 0) return 0;
-  if ((worker->spot && !job->spot) || (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0)) return 0;
+  if ((worker->spot && !job->spot) || (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0)) return 0;
   double cpus, gpus;
   worker_free_room(worker, &cpus, &gpus);
-  return (unsigned)MAX(0, MIN(cpus / job->cpus, gpus / job->gpus) + ROUNDING);
+  return (unsigned)MAX(0, MIN(cpus / job->cpus, gpus / job->gpus) + ROUNDING_TOLERANCE);
 }
 
 /* Whether a task of the job runs, waits or fetches its image on any machine. */
@@ -117,7 +117,7 @@
   unsigned need = gang ? job->tasks : 1, room[ZONES] = {0, 0};
   team_use use = {.team = job->team};
   tasks_each_resident(add_team_use, &use);
-  if (strcmp(job->team, "blue") == 0 && use.gpus + need * job->gpus > BLUE_GPUS_MAX + ROUNDING) return false;
+  if (strcmp(job->team, "blue") == 0 && use.gpus + need * job->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE) return false;
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     room[worker->zone] += room_for(worker, job);
--- a/tests/sim/tasks.c
+++ b/tests/sim/tasks.c
@@ -3,7 +3,7 @@
 #include "workers.h"
 
 #define GANG_PEER_SHARE 0.8 /* of GANG_PEER_S, after which a task detects the loss of another of its gang */
-#define FASTEST_IMAGE_FETCH_S 0.2
+#define IMAGE_FETCH_MIN_S 0.2
 
 static GHashTable *g_exits_by_cause; /* cause -> number of tasks that exited with it */
 
@@ -15,7 +15,7 @@
   return GPOINTER_TO_UINT(g_hash_table_lookup(g_exits_by_cause, cause));
 }
 
-static bool resident(const sim_worker *worker, const sim_task *task) {
+static bool is_resident(const sim_worker *worker, const sim_task *task) {
   if (worker->terminated || !worker->up) return false;
   if (task->state != TASK_WAITING && task->state != TASK_RUNNING) return false;
   return sim_now() <= worker->lease_renewed_at + LEASE_S;
@@ -26,7 +26,7 @@
     sim_worker *worker = g_worker_list->pdata[i];
     for (guint k = 0; k < worker->tasks->len; k++) {
       sim_task *task = worker->tasks->pdata[k];
-      if (resident(worker, task)) fn(worker, task, arg);
+      if (is_resident(worker, task)) fn(worker, task, arg);
     }
   }
 }
@@ -66,7 +66,7 @@
   sim_task *task = add_task(worker, name);
   task->state = TASK_FETCHING;
   task->ends_at = sim_now();
-  if (g_image_fetch_max_s > 0) task->ends_at += sim_draw(FASTEST_IMAGE_FETCH_S, g_image_fetch_max_s);
+  if (g_image_fetch_max_s > 0) task->ends_at += sim_draw(IMAGE_FETCH_MIN_S, g_image_fetch_max_s);
 }
 
 static void exit_task(sim_worker *worker, sim_task *task, const char *cause) {
@@ -95,7 +95,7 @@
   worker->status_changed = true;
   if (!job) {
     add_exited(worker, name, "unknown");
-  } else if (job->cpus > cpus + ROUNDING || job->gpus > gpus + ROUNDING) {
+  } else if (job->cpus > cpus + ROUNDING_TOLERANCE || job->gpus > gpus + ROUNDING_TOLERANCE) {
     add_exited(worker, name, "no_room");
   } else {
     add_fetching(worker, name);
@@ -145,15 +145,16 @@
 /* ---- runs ---- */
 
 /* The number of tasks that run or wait in the same attempt of a gang. */
-typedef struct gang_view {
+typedef struct gang_presence {
   const sim_task *task; /* one of them */
   unsigned present;
-} gang_view;
+} gang_presence;
 
 static void count_gang_task(sim_worker *worker, sim_task *task, void *arg) {
-  gang_view *view = arg;
-  if (task->job != view->task->job || task->attempt != view->task->attempt || worker->hung_until > sim_now()) return;
-  view->present++;
+  gang_presence *presence = arg;
+  if (task->job != presence->task->job || task->attempt != presence->task->attempt || worker->hung_until > sim_now())
+    return;
+  presence->present++;
 }
 
 static void complete_task(sim_worker *worker, sim_task *task) {
@@ -213,12 +214,12 @@
 }
 
 static void gang_step(sim_worker *worker, sim_task *task) {
-  gang_view view = {.task = task};
-  tasks_each_resident(count_gang_task, &view);
+  gang_presence presence = {.task = task};
+  tasks_each_resident(count_gang_task, &presence);
   if (task->state == TASK_WAITING) {
-    waiting_gang_step(worker, task, view.present);
+    waiting_gang_step(worker, task, presence.present);
   } else {
-    running_gang_step(worker, task, view.present);
+    running_gang_step(worker, task, presence.present);
   }
 }
 
--- a/tests/sim/workers.c
+++ b/tests/sim/workers.c
@@ -1,7 +1,7 @@
 /* Simulated machines with their workers: creation, boot, restart, and the periodic step of a worker. */
 #include "workers.h"
 
-#define USUAL_IMAGE_FETCH_MAX_S 3
+#define DEFAULT_IMAGE_FETCH_MAX_S 3
 #define CHANGE_HEARTBEAT_MIN_S 0.5 /* the shortest interval between heartbeats that report a changed status */
 
 static unsigned g_next_machine, g_next_ip;
@@ -13,7 +13,7 @@
   g_workers_by_ip = g_hash_table_new(NULL, NULL);
   g_worker_list = g_ptr_array_new();
   g_next_machine = g_next_ip = 0;
-  g_image_fetch_max_s = USUAL_IMAGE_FETCH_MAX_S;
+  g_image_fetch_max_s = DEFAULT_IMAGE_FETCH_MAX_S;
 }
 
 void world_images_there(void) {
@@ -32,7 +32,7 @@
   worker->lease_renewed_at = worker->next_heartbeat_at = sim_now();
   worker->in_flight = false;
   worker->connection = 0;
-  worker->node = world_any_node();
+  worker->node = world_random_node();
 }
 
 static void boot(sim_worker *worker) {
@@ -47,7 +47,7 @@
   if (worker->boots_at < sim_now()) g_result.lease_left_s = MIN(g_result.lease_left_s, MAX(0, left));
 }
 
-static bool heartbeat_wanted(const sim_worker *worker) {
+static bool heartbeat_due(const sim_worker *worker) {
   double now = sim_now();
   return now >= worker->next_heartbeat_at ||
          (worker->status_changed && now >= worker->heartbeat_sent_at + CHANGE_HEARTBEAT_MIN_S);
@@ -60,7 +60,7 @@
     sim_task *task = worker->tasks->pdata[i];
     if (task->state != TASK_EXITED) task_step(worker, task);
   }
-  if (!worker->in_flight && heartbeat_wanted(worker) && worker->up) worker_send_heartbeat(worker);
+  if (!worker->in_flight && heartbeat_due(worker) && worker->up) worker_send_heartbeat(worker);
 }
 
 static void worker_step(void *arg) {
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -10,13 +10,13 @@
 bool g_verbose;
 unsigned g_zone_capacity, g_zone_spot_capacity;
 
-const char *const world_zones[ZONES] = {"a", "b"};
+const char *const k_zones[ZONES] = {"a", "b"};
 
 /* Machines that the cloud has in each zone by default. */
-#define USUAL_CAPACITY 5
-#define USUAL_SPOT_CAPACITY 3
+#define DEFAULT_CAPACITY 5
+#define DEFAULT_SPOT_CAPACITY 3
 
-int world_any_node(void) {
+int world_random_node(void) {
   return g_rand_int_range(sim_rand(), 0, WORLD_NODES);
 }
 
@@ -68,7 +68,7 @@
   memset(&g_result, 0, sizeof g_result);
   world_watch_leases();
   g_duplicate_share = g_faults_end_at = g_cancel_on_completion_share = 0;
-  world_capacity(USUAL_CAPACITY, USUAL_SPOT_CAPACITY);
+  world_capacity(DEFAULT_CAPACITY, DEFAULT_SPOT_CAPACITY);
   users_init();
   workers_init();
   controllers_init();
