--- a/tests/scene.h
+++ b/tests/scene.h
@@ -19,13 +19,13 @@
   world_set_up(setup->seed, 0);
   world_capacity(setup->capacity, setup->spot_capacity);
   if (setup->keep_idle) world_keep_idle();
-  if (setup->images_cached) world_images_there();
+  if (setup->images_cached) world_cache_images();
 }
 
 static inline void scene_start(const scene_setup *setup) {
   world_start_nodes();
-  world_machines_up(0, setup->machines[0]);
-  world_machines_up(1, setup->machines[1]);
+  world_add_machines(0, setup->machines[0]);
+  world_add_machines(1, setup->machines[1]);
 }
 
 static inline void scene_begin(const scene_setup *setup) {
--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -38,14 +38,14 @@
 static void check_status(const job_request *request, const char *status) {
   sim_job *job = request->job;
   bool done = strcmp(status, "done") == 0, cancelled = strcmp(status, "cancelled") == 0;
-  if (done && job->done_count < job->tasks) world_broke("reported done with tasks left", job->id);
+  if (done && job->done_count < job->tasks) world_rule_broken("reported done with tasks left", job->id);
   if (cancelled && !job->cancel_requested && !job_dependency_cancelled(job))
-    world_broke("cancelled without a request", job->id);
+    world_rule_broken("cancelled without a request", job->id);
   double asked_from = MAX(dependency_seen_cancelled_at(job), job->first_submitted_at);
   if (!done && !cancelled && sim_now() > asked_from + CANCEL_DEADLINE_S)
-    world_broke("not cancelled with its dependency", job->id);
-  if (request->seen_done && !done) world_broke("reported done, then not done", job->id);
-  if (request->seen_cancelled && !cancelled) world_broke("reported cancelled, then not cancelled", job->id);
+    world_rule_broken("not cancelled with its dependency", job->id);
+  if (request->seen_done && !done) world_rule_broken("reported done, then not done", job->id);
+  if (request->seen_cancelled && !cancelled) world_rule_broken("reported cancelled, then not cancelled", job->id);
   if (done) note_done(job);
   if (cancelled) note_cancelled(job);
 }
--- a/tests/sim/cancellations.c
+++ b/tests/sim/cancellations.c
@@ -6,7 +6,7 @@
 
 double g_cancel_on_completion_share;
 
-void world_cancel_at_end(double share) {
+void world_cancel_on_completion(double share) {
   g_cancel_on_completion_share = share;
 }
 
--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -114,7 +114,7 @@
   char detail[160];
   g_snprintf(detail, sizeof detail, "%s %s of %u tasks, %.0f GPUs each, since %.1f", job->kind, job->id, job->tasks,
              job->gpus, since);
-  world_broke(rule, detail);
+  world_rule_broken(rule, detail);
 }
 
 static void check_starvation(sim_job *job) {
@@ -161,11 +161,11 @@
     all += counts_as_waiting(job);
     served += counts_as_waiting(job) && job->began_at > 0;
   }
-  if (all > 0) g_result.served_least = MIN(g_result.served_least, 100 * served / all);
+  if (all > 0) g_result.min_served_percent = MIN(g_result.min_served_percent, 100 * served / all);
   if (served * 2 >= all) return;
   char detail[160];
   g_snprintf(detail, sizeof detail, "%s %s: %u of %u", what, name, served, all);
-  world_broke("fewer than half began", detail);
+  world_rule_broken("fewer than half began", detail);
 }
 
 static GPtrArray *jobs_by_size(const char *kind, const char *team) {
@@ -205,11 +205,11 @@
 }
 
 static void check_record_known(const char *id) {
-  if (!g_hash_table_contains(g_jobs, id)) world_broke("record of an unknown job", id);
+  if (!g_hash_table_contains(g_jobs, id)) world_rule_broken("record of an unknown job", id);
 }
 
 void checks_start(void) {
-  g_result.served_least = 100;
+  g_result.min_served_percent = 100;
   sim_after(SAMPLE_INTERVAL_S, check_all_starvation, NULL);
 }
 
--- a/tests/sim/controllers.c
+++ b/tests/sim/controllers.c
@@ -29,7 +29,7 @@
   unsigned node = GPOINTER_TO_UINT(arg);
   fc_controller *controller;
   fc_controller_error error = fc_controller_start(deployment_settings(node), &controller);
-  if (error != FC_CONTROLLER_OK) world_broke("controller failed to start", fc_controller_strerror(error));
+  if (error != FC_CONTROLLER_OK) world_rule_broken("controller failed to start", fc_controller_strerror(error));
   g_controllers[node] = controller;
 }
 
@@ -84,7 +84,7 @@
   g_crash_triggers[node] = (crash_trigger){prefix, after_s, back_in_s};
 }
 
-unsigned world_terms(void) {
+unsigned world_terms_written(void) {
   return g_terms_written;
 }
 
@@ -124,6 +124,6 @@
   sim_set_work(round_cost);
 }
 
-fc_counters world_counts(unsigned node) {
+fc_counters world_counters(unsigned node) {
   return *fc_controller_counters(g_controllers[node]);
 }
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -105,7 +105,7 @@
   for (int node = 0; node < WORLD_NODES; node++) g_settings[node].operator_settings.over_keep_s = for_s;
 }
 
-void world_limit(double cpus, double gpus) {
+void world_set_blue_quota(double cpus, double gpus) {
   for (int node = 0; node < WORLD_NODES; node++) {
     g_settings[node].teams[1].cpus_max = cpus;
     g_settings[node].teams[1].gpus_max = gpus;
@@ -130,7 +130,7 @@
   }
 }
 
-void world_lean(unsigned machines) {
+void world_large_constrained(unsigned machines) {
   world_large(machines);
   for (int node = 0; node < WORLD_NODES; node++) {
     fc_settings *settings = &g_settings[node];
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -44,7 +44,7 @@
   planned_hang *hang = arg;
   for (guint i = 0; i < hang->machines->len; i++) {
     unsigned machine = g_array_index(hang->machines, unsigned, i);
-    world_hang(machine, machine + 1, hang->for_s);
+    world_hang_machines(machine, machine + 1, hang->for_s);
   }
   g_array_free(hang->machines, TRUE);
   g_free(hang);
@@ -115,11 +115,11 @@
 
 static void end_cancel_on_completion(void *arg) {
   (void)arg;
-  world_cancel_at_end(0);
+  world_cancel_on_completion(0);
 }
 
 static void cancel_on_completion(void) {
-  world_cancel_at_end(sim_draw(0.2, 0.8));
+  world_cancel_on_completion(sim_draw(0.2, 0.8));
   sim_after(random_length(), end_cancel_on_completion, NULL);
 }
 
@@ -201,7 +201,7 @@
 static void lose_machines(void) {
   unsigned from, to;
   draw_machines(&from, &to);
-  world_kill(from, MIN(to, from + 3));
+  world_terminate_machines(from, MIN(to, from + 3));
 }
 
 static const struct {
--- a/tests/sim/invalid_requests.c
+++ b/tests/sim/invalid_requests.c
@@ -53,7 +53,7 @@
 static void on_invalid_status(int status, const char *body, void *arg) {
   (void)body;
   invalid_job *invalid = arg;
-  if (status == 200) world_broke("invalid job is known", invalid->id);
+  if (status == 200) world_rule_broken("invalid job is known", invalid->id);
   g_free(invalid);
 }
 
@@ -70,9 +70,9 @@
   char detail[200];
   g_snprintf(detail, sizeof detail, "%s without %s, with %s: %d %s", invalid->id, k_invalid_jobs[invalid->row].without,
              k_invalid_jobs[invalid->row].with, status, body);
-  if (status == 200 || status == 201) world_broke("accepted an invalid job", detail);
+  if (status == 200 || status == 201) world_rule_broken("accepted an invalid job", detail);
   if ((status == 400 || status == 422) && status != k_invalid_jobs[invalid->row].status)
-    world_broke("invalid job refused with the wrong status", detail);
+    world_rule_broken("invalid job refused with the wrong status", detail);
   sim_after(sim_draw(0, 10), request_invalid_status, invalid);
 }
 
--- a/tests/sim/jobs.c
+++ b/tests/sim/jobs.c
@@ -93,7 +93,7 @@
   job->tasks = spec->tasks;
   job->cpus = job->gpus = spec->gpus;
   job->run_s = spec->run_s;
-  job->stagger_s = spec->later_s;
+  job->stagger_s = spec->stagger_s;
   job->one_zone = spec->one_zone;
   job->spread = spec->spread;
   job->spot = spec->spot;
@@ -146,12 +146,12 @@
   return job->seen_cancelled ? job->seen_cancelled_at : 0;
 }
 
-double world_began(const char *id) {
+double world_began_at(const char *id) {
   const sim_job *job = g_hash_table_lookup(g_jobs, id);
   return job->began_at;
 }
 
-double world_ended_at(const char *id) {
+double world_completed_at(const char *id) {
   const sim_job *job = g_hash_table_lookup(g_jobs, id);
   return job->completed_at;
 }
@@ -166,7 +166,7 @@
   return job->seen_done ? "done" : job->seen_cancelled ? "cancelled" : NULL;
 }
 
-unsigned world_unanswered(double since) {
+unsigned world_jobs_unanswered_since(double since) {
   GHashTableIter iter;
   gpointer value;
   unsigned count = 0;
--- a/tests/sim/kv_limits.c
+++ b/tests/sim/kv_limits.c
@@ -52,7 +52,7 @@
 
 void kv_check_announced_limits(const sim_request *request, const json_t *conditions, const json_t *changes) {
   const char *why = why_too_large(request, conditions, changes, &g_announced_limits);
-  if (why) world_broke("too large for the key-value store", why);
+  if (why) world_rule_broken("too large for the key-value store", why);
 }
 
 bool kv_too_large(const sim_request *request, const json_t *conditions, const json_t *changes) {
--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -16,11 +16,11 @@
   for (unsigned i = from; i < to; i++) machine_at(i)->outbound_lost_until = sim_now() + for_s;
 }
 
-void world_hang(unsigned from, unsigned to, double for_s) {
+void world_hang_machines(unsigned from, unsigned to, double for_s) {
   for (unsigned i = from; i < to; i++) machine_at(i)->hung_until = sim_now() + for_s;
 }
 
-void world_kill(unsigned from, unsigned to) {
+void world_terminate_machines(unsigned from, unsigned to) {
   for (unsigned i = from; i < to; i++) machine_at(i)->terminated = true;
 }
 
@@ -29,18 +29,18 @@
     if (!machine_at(i)->terminated) worker_restart_empty(machine_at(i));
 }
 
-void world_notice(unsigned machine, double in_s) {
+void world_preempt_machine(unsigned machine, double in_s) {
   sim_worker *worker = machine_at(machine);
   worker->preemption_notice_at = sim_now();
   worker->preempted_at = sim_now() + in_s;
   worker->status_changed = true;
 }
 
-bool world_give_notice(double in_s) {
+bool world_preempt_any_spot(double in_s) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     if (worker->terminated || !worker->up || !worker->spot || worker->tasks->len == 0) continue;
-    world_notice(i, in_s);
+    world_preempt_machine(i, in_s);
     return true;
   }
   return false;
@@ -53,11 +53,11 @@
   g_zone_spot_capacity = spot;
 }
 
-void world_machines_up(unsigned zone, unsigned count) {
+void world_add_machines(unsigned zone, unsigned count) {
   while (count-- > 0) (void)worker_new((int)zone, false, 0);
 }
 
-unsigned world_machines(void) {
+unsigned world_machine_count(void) {
   return g_worker_list->len;
 }
 
@@ -83,11 +83,11 @@
   return count;
 }
 
-unsigned world_running(void) {
+unsigned world_running_tasks(void) {
   return count_tasks(TASK_RUNNING);
 }
 
-unsigned world_fetching(void) {
+unsigned world_fetching_tasks(void) {
   return count_tasks(TASK_FETCHING);
 }
 
@@ -98,7 +98,7 @@
     const sim_worker *worker = g_worker_list->pdata[i];
     char *key = g_strconcat("fc1/machine/", worker->id, NULL);
     if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && kv_has_key(key))
-      world_broke("record left of a returned machine", worker->id);
+      world_rule_broken("record left of a returned machine", worker->id);
     g_free(key);
   }
 }
--- a/tests/sim/requests.c
+++ b/tests/sim/requests.c
@@ -38,6 +38,6 @@
   return world_request_to(WORLD_NODE_IP(node), method, path, body);
 }
 
-int world_ask(unsigned node, const char *path) {
+int world_get_status(unsigned node, const char *path) {
   return world_request(node, "GET", path, "").status;
 }
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -25,7 +25,7 @@
   if (other->index == check->task->index && (on != check->worker || other != check->task)) {
     char detail[160];
     g_snprintf(detail, sizeof detail, "%s/%u on %s and %s", other->job->id, other->index, on->id, check->worker->id);
-    world_broke("ran_twice", detail);
+    world_rule_broken("ran_twice", detail);
   }
   check->in_zone += on->zone == check->worker->zone;
   check->elsewhere += on->zone != check->worker->zone;
@@ -35,7 +35,7 @@
   g_result.starts++;
   job->starts++;
   job->last_started_at = sim_now();
-  g_result.done_starts += job->done[index];
+  g_result.starts_after_done += job->done[index];
   if (!job->first_started_at) job->first_started_at = sim_now();
   if (!job->began_at && strcmp(job->kind, "gang") != 0) job->began_at = sim_now();
 }
@@ -43,15 +43,16 @@
 static void check_start_place(const start_check *check) {
   const sim_job *job = check->task->job;
   const sim_worker *worker = check->worker;
-  if (strcmp(job->team, "blue") == 0 && check->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE) world_broke("quota", job->id);
-  if (worker->spot && !job->spot) world_broke("task on a machine that its job excludes", "spot");
-  if (job->one_zone && check->elsewhere > 0) world_broke("tasks in more than one zone", job->id);
-  if (job->spread && check->in_zone > (job->tasks + 1) / 2) world_broke("too many tasks in one zone", job->id);
+  if (strcmp(job->team, "blue") == 0 && check->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE)
+    world_rule_broken("quota", job->id);
+  if (worker->spot && !job->spot) world_rule_broken("task on a machine that its job excludes", "spot");
+  if (job->one_zone && check->elsewhere > 0) world_rule_broken("tasks in more than one zone", job->id);
+  if (job->spread && check->in_zone > (job->tasks + 1) / 2) world_rule_broken("too many tasks in one zone", job->id);
 }
 
 static void check_start_time(const sim_job *job) {
   if (job->seen_cancelled && sim_now() > job->seen_cancelled_at + CANCEL_DEADLINE_S)
-    world_broke("task on a machine after its cancellation deadline", job->id);
+    world_rule_broken("task on a machine after its cancellation deadline", job->id);
   if (job->seen_cancelled) g_result.late_starts++;
 }
 
@@ -65,16 +66,16 @@
                worker->id, job->team, job->gpus, check.gpus);
   check_start_place(&check);
   check_start_time(job);
-  if (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0) world_broke("task in the wrong zone", job->id);
-  if (!job->seen_accepted && !job->submitting) world_broke("task of a job that was not submitted", job->id);
-  if (isinf(job_ready_at(job))) world_broke("task started before its dependencies were done", job->id);
+  if (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0) world_rule_broken("task in the wrong zone", job->id);
+  if (!job->seen_accepted && !job->submitting) world_rule_broken("task of a job that was not submitted", job->id);
+  if (isinf(job_ready_at(job))) world_rule_broken("task started before its dependencies were done", job->id);
 }
 
 void check_task_cancelled(const sim_task *task) {
   const sim_job *job = task->job;
   if (job && task->state != TASK_EXITED && task->state != TASK_FETCHING && job->seen_cancelled &&
       sim_now() > job->seen_cancelled_at + CANCEL_DEADLINE_S)
-    world_broke("task on a machine after its cancellation deadline", job->id);
+    world_rule_broken("task on a machine after its cancellation deadline", job->id);
 }
 
 /* ---- pending jobs ---- */
@@ -133,7 +134,7 @@
   } else if (!job->pending_since) {
     job->pending_since = sim_now();
   } else if (sim_now() > job->pending_since + PENDING_LIMIT_S) {
-    world_broke("pending although it fits", job->id);
+    world_rule_broken("pending although it fits", job->id);
   }
 }
 
--- a/tests/sim/tasks.c
+++ b/tests/sim/tasks.c
@@ -11,7 +11,7 @@
   g_exits_by_cause = g_hash_table_new(g_str_hash, g_str_equal);
 }
 
-unsigned world_ended(const char *cause) {
+unsigned world_exited_tasks(const char *cause) {
   return GPOINTER_TO_UINT(g_hash_table_lookup(g_exits_by_cause, cause));
 }
 
@@ -70,7 +70,7 @@
 }
 
 static void exit_task(sim_worker *worker, sim_task *task, const char *cause) {
-  g_hash_table_insert(g_exits_by_cause, (gpointer)cause, GUINT_TO_POINTER(world_ended(cause) + 1));
+  g_hash_table_insert(g_exits_by_cause, (gpointer)cause, GUINT_TO_POINTER(world_exited_tasks(cause) + 1));
   task->state = TASK_EXITED;
   task->cause = cause;
   worker->status_changed = true;
--- a/tests/sim/users.c
+++ b/tests/sim/users.c
@@ -6,7 +6,7 @@
 
 static int g_users_node; /* the only healthy one; -1: any */
 
-void world_users_to(int node) {
+void world_set_users_node(int node) {
   g_users_node = node;
 }
 
@@ -19,7 +19,7 @@
 static void submit(void *arg);
 
 static void check_retry_after(const char *body) {
-  if (sim_retry_after() <= 0) world_broke("refused without Retry-After", body);
+  if (sim_retry_after() <= 0) world_rule_broken("refused without Retry-After", body);
 }
 
 /* ---- submission ---- */
@@ -47,7 +47,7 @@
     sim_after(sim_draw(1, 5), poll_status, job);
     if (job->cancel_delay_s > 0) sim_after(job->cancel_delay_s, cancel, job);
   } else if (status == 400 || status == 422) {
-    world_broke(job->seen_accepted ? "accepted job rejected" : "valid job rejected", body);
+    world_rule_broken(job->seen_accepted ? "accepted job rejected" : "valid job rejected", body);
   } else {
     sim_after(sim_draw(1, 2), submit, job);
   }
@@ -89,7 +89,7 @@
   job_request *request = arg;
   if (status == 200) job_request_check_status(request, body);
   if (status == 201 || status == 400 || status == 422)
-    world_broke("accepted job not recognized", "a repeated submission");
+    world_rule_broken("accepted job not recognized", "a repeated submission");
   g_free(request);
 }
 
@@ -103,18 +103,18 @@
 static void on_status(int status, const char *body, void *arg) {
   job_request *request = arg;
   sim_job *job = request->job;
-  g_result.questions++;
+  g_result.status_requests++;
   g_result.status_answers += status == 200;
   g_result.status_refusals += status == 503;
   if (status == 503) check_retry_after(body);
-  if (status == 404) world_broke("accepted job not found", job->id);
+  if (status == 404) world_rule_broken("accepted job not found", job->id);
   if (status == 200) {
     job_request_check_status(request, body);
     job->last_answer_at = sim_now();
   } else if (g_faults_end_at > 0 && sim_now() > MAX(g_faults_end_at, job->last_answer_at) + ANSWER_DEADLINE_S) {
     /* Checked for each job on its own, as others may be answered. */
     if (g_verbose) g_printerr("%.2f unanswered %s status=%d %s\n", sim_now(), job->id, status, body);
-    world_broke("no status answer for too long", job->id);
+    world_rule_broken("no status answer for too long", job->id);
   }
   g_free(request);
 }
@@ -125,7 +125,7 @@
   sim_call(WORLD_USER_IP, WORLD_NODE_IP(node), "GET", path, "", STATUS_TIMEOUT_S, on_status, job_request_new(job));
 }
 
-void world_ask_job(unsigned node, const char *id) {
+void world_request_job_status(unsigned node, const char *id) {
   user_request_status(g_hash_table_lookup(g_jobs, id), (int)node);
 }
 
@@ -140,7 +140,7 @@
 static void on_unknown_status(int status, const char *body, void *arg) {
   (void)body;
   (void)arg;
-  if (status == 200) world_broke("unknown job has a status", "never submitted");
+  if (status == 200) world_rule_broken("unknown job has a status", "never submitted");
 }
 
 void users_poll_unknown_job(void *arg) {
@@ -157,7 +157,7 @@
   if (status == 200) {
     job_request_check_status(request, body);
   } else {
-    if (status == 404) world_broke("accepted job not found", request->job->id);
+    if (status == 404) world_rule_broken("accepted job not found", request->job->id);
     sim_after(sim_draw(1, 2), cancel, request->job);
   }
   g_free(request);
--- a/tests/sim/workers.c
+++ b/tests/sim/workers.c
@@ -16,7 +16,7 @@
   g_image_fetch_max_s = DEFAULT_IMAGE_FETCH_MAX_S;
 }
 
-void world_images_there(void) {
+void world_cache_images(void) {
   g_image_fetch_max_s = 0;
 }
 
@@ -44,7 +44,7 @@
 
 static void note_remaining_lease(const sim_worker *worker) {
   double left = worker->lease_renewed_at + LEASE_S - sim_now();
-  if (worker->boots_at < sim_now()) g_result.lease_left_s = MIN(g_result.lease_left_s, MAX(0, left));
+  if (worker->boots_at < sim_now()) g_result.min_lease_left_s = MIN(g_result.min_lease_left_s, MAX(0, left));
 }
 
 static bool heartbeat_due(const sim_worker *worker) {
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -20,19 +20,19 @@
   return g_rand_int_range(sim_rand(), 0, WORLD_NODES);
 }
 
-void world_broke(const char *rule, const char *detail) {
+void world_rule_broken(const char *rule, const char *detail) {
   if (g_verbose) g_printerr("%.2f broke %s: %s\n", sim_now(), rule, detail);
   g_result.ran_twice += strcmp(rule, "ran_twice") == 0;
-  g_result.over_limit += strcmp(rule, "quota") == 0;
+  g_result.over_quota += strcmp(rule, "quota") == 0;
   if (g_result.broken++ == 0) g_snprintf(g_result.first, sizeof g_result.first, "%.2f %s: %s", sim_now(), rule, detail);
 }
 
-world_result world_so_far(void) {
+world_result world_current_result(void) {
   return g_result;
 }
 
-void world_watch_leases(void) {
-  g_result.lease_left_s = LEASE_S;
+void world_reset_min_lease_left(void) {
+  g_result.min_lease_left_s = LEASE_S;
 }
 
 void world_checks_from(double in_s) {
@@ -66,7 +66,7 @@
 void world_set_up(uint32_t seed, double lose) {
   set_up_logging();
   memset(&g_result, 0, sizeof g_result);
-  world_watch_leases();
+  world_reset_min_lease_left();
   g_duplicate_share = g_faults_end_at = g_cancel_on_completion_share = 0;
   world_capacity(DEFAULT_CAPACITY, DEFAULT_SPOT_CAPACITY);
   users_init();
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -23,24 +23,24 @@
 typedef struct world_result {
   unsigned broken;                /* violations of rules */
   char first[200];                /* the first of them */
-  unsigned ran_twice, over_limit; /* violations of these two rules: tasks that run twice, quotas exceeded */
+  unsigned ran_twice, over_quota; /* violations of these two rules: tasks that run twice, quotas exceeded */
   unsigned submitted, accepted, finished, unfinished, cancelled; /* jobs */
   unsigned starts;                                               /* of tasks */
   unsigned lease_kills; /* tasks that ended because their worker's lease expired */
   unsigned crashes, faults;
   unsigned late_starts;                      /* of tasks, after the user saw the job cancelled */
   unsigned invalid_requests;                 /* requests that must be refused or change nothing */
-  unsigned served_least;                     /* percent: the lowest share of jobs of a kind or team, or of the
+  unsigned min_served_percent;               /* percent: the lowest share of jobs of a kind or team, or of the
                                               * largest of a kind, that began */
-  unsigned done_starts;                      /* starts of tasks that had completed before */
+  unsigned starts_after_done;                /* starts of tasks that had completed before */
   unsigned submissions, unanswered, refused; /* sent; not answered; answered with 429 or 503 */
-  double lease_left_s;                       /* the shortest remaining lease of a running worker */
+  double min_lease_left_s;                   /* the shortest remaining lease of a running worker */
   unsigned over_rate;                        /* transactions that the key-value store refused for their rate */
-  unsigned questions, status_answers, status_refusals; /* status requests; answered with 200; with 503 */
+  unsigned status_requests, status_answers, status_refusals; /* status requests; answered with 200; with 503 */
 } world_result;
 
-world_result world_so_far(void);
-void world_watch_leases(void); /* lease_left_s is measured from here on */
+world_result world_current_result(void);
+void world_reset_min_lease_left(void); /* min_lease_left_s is measured from here on */
 
 /* ---- random days ---- */
 
@@ -64,17 +64,17 @@
 
 void world_capacity(unsigned ordinary, unsigned spot); /* machines that the cloud has in each zone */
 /* Adds on-demand machines that have booted. */
-void world_machines_up(unsigned zone, unsigned count);
+void world_add_machines(unsigned zone, unsigned count);
 /* Settings for a deployment of that many machines; none is rented or returned. */
 void world_large(unsigned machines);
 /* The same for a site whose controllers have a fortieth of a core, with the request rates of the
  * key-value store and the cloud that such sites have. */
-void world_lean(unsigned machines);
-void world_release_idle(void);              /* idle machines are returned at once */
-void world_keep_idle(void);                 /* idle machines are not returned */
-void world_archive_after(double for_s);     /* terminal jobs are archived after for_s */
-void world_limit(double cpus, double gpus); /* the quota of team blue */
-void world_images_there(void);              /* machines have all images cached */
+void world_large_constrained(unsigned machines);
+void world_release_idle(void);                       /* idle machines are returned at once */
+void world_keep_idle(void);                          /* idle machines are not returned */
+void world_archive_after(double for_s);              /* terminal jobs are archived after for_s */
+void world_set_blue_quota(double cpus, double gpus); /* the quota of team blue */
+void world_cache_images(void);                       /* machines have all images cached */
 
 /* ---- jobs ---- */
 
@@ -84,7 +84,7 @@
   unsigned tasks;
   double gpus, run_s; /* of each task; it has as many CPUs as GPUs */
   double in_s;        /* until its submission */
-  double later_s;     /* how much longer each task runs than the one before it */
+  double stagger_s;   /* how much longer each task runs than the one before it */
   bool one_zone, spread, spot;
   double cancel_in_s;          /* from its acceptance as seen by the user; 0: never */
   double deadline_s;           /* 0: none */
@@ -100,9 +100,9 @@
 /* Makes a job known to the workers without submitting it. */
 void world_add_job(const char *id, const char *kind, unsigned tasks, double gpus, double run_s);
 void world_cancel(const char *id, int node, double in_s); /* through that controller first; -1: any */
-void world_cancel_at_end(double share);                   /* cancels that share of jobs as they complete */
+void world_cancel_on_completion(double share);            /* cancels that share of jobs as they complete */
 /* Users send their requests to that controller, as if the load balancer found no other healthy; -1: to any. */
-void world_users_to(int node);
+void world_set_users_node(int node);
 
 /* ---- state of jobs ---- */
 
@@ -111,18 +111,18 @@
 double world_seen_cancelled_at(const char *id);
 double world_seen_done_at(const char *id);
 const char *world_seen_terminal_state(const char *id); /* "done" or "cancelled"; NULL: neither seen yet */
-double world_began(const char *id);                    /* when its first task, or its whole gang, ran; 0: not yet */
-double world_ended_at(const char *id);                 /* when its last task completed; 0: not yet */
+double world_began_at(const char *id);                 /* when its first task, or its whole gang, ran; 0: not yet */
+double world_completed_at(const char *id);             /* when its last task completed; 0: not yet */
 unsigned world_tasks_of(const char *id);               /* tasks on machines now, unreachable and hung ones included */
 unsigned world_starts_of(const char *id);              /* tasks whose image fetch has ended */
 /* The machine that the task with that index is on; -1: none. */
 int world_machine_of(const char *id, unsigned index);
 /* The number of jobs that were accepted before then, aren't terminal, and have had no status request
  * answered since. */
-unsigned world_unanswered(double since);
-void world_ask_job(unsigned node, const char *id); /* its user requests its status and checks the answer */
+unsigned world_jobs_unanswered_since(double since);
+void world_request_job_status(unsigned node, const char *id); /* its user requests its status and checks the answer */
 /* Sends a GET request, runs the simulation until it is answered, and returns the HTTP status; 0: timeout. */
-int world_ask(unsigned node, const char *path);
+int world_get_status(unsigned node, const char *path);
 
 /* ---- controllers ---- */
 
@@ -136,8 +136,8 @@
 /* From its next start on it has the share of_processor of a core, and its timers fire up to timers_late_s
  * late. */
 void world_slow_node(unsigned node, double of_processor, double timers_late_s);
-fc_counters world_counts(unsigned node); /* its counters since its last start */
-unsigned world_terms(void);              /* how often the record of the term was written */
+fc_counters world_counters(unsigned node); /* its counters since its last start */
+unsigned world_terms_written(void);        /* how often the record of the term was written */
 
 /* ---- versions ---- */
 
@@ -188,8 +188,8 @@
 
 /* ---- machines and the cloud ---- */
 
-void world_hang(unsigned from, unsigned to, double for_s); /* they neither run nor answer */
-void world_kill(unsigned from, unsigned to);               /* they end for good */
+void world_hang_machines(unsigned from, unsigned to, double for_s); /* they neither run nor answer */
+void world_terminate_machines(unsigned from, unsigned to);          /* they end for good */
 /* They restart at once under the same names, without their tasks, epochs and fencing tokens; network
  * faults that affect them go on. */
 void world_restart_machines(unsigned from, unsigned to);
@@ -198,18 +198,18 @@
 void world_cut_outbound(unsigned from, unsigned to, double for_s);
 /* Both give notice that a machine is preempted in in_s: the first to a spot machine in use, and returns
  * false if there is none. */
-bool world_give_notice(double in_s);
-void world_notice(unsigned machine, double in_s);
+bool world_preempt_any_spot(double in_s);
+void world_preempt_machine(unsigned machine, double in_s);
 /* Delivers a heartbeat with the machine's present status to the controller after in_s. */
 void world_duplicate_heartbeat(unsigned machine, unsigned node, double in_s);
 void world_cloud_down(bool down); /* it answers every request with 503 */
 
-unsigned world_machines(void);                                  /* created so far */
+unsigned world_machine_count(void);                             /* created so far */
 unsigned world_terminated_machines(unsigned from, unsigned to); /* how many of them are terminated */
 unsigned world_node_of(unsigned machine);                       /* the controller that it sends heartbeats to */
-unsigned world_running(void);                                   /* the number of running tasks */
-unsigned world_fetching(void);                                  /* the number of tasks that fetch their image */
-unsigned world_ended(const char *cause);                        /* the number of tasks that exited with that cause */
+unsigned world_running_tasks(void);                             /* the number of running tasks */
+unsigned world_fetching_tasks(void);                            /* the number of tasks that fetch their image */
+unsigned world_exited_tasks(const char *cause);                 /* the number of tasks that exited with that cause */
 
 /* ---- checks ---- */
 
@@ -225,7 +225,7 @@
 /* ---- between the stand-ins ---- */
 
 /* Records a violation of the rule; detail: what violated it. */
-void world_broke(const char *rule, const char *detail);
+void world_rule_broken(const char *rule, const char *detail);
 /* Whether a controller of the previous version sent the request. */
 bool world_sent_by_former(const struct sim_exchange *exchange);
 /* Whether the key-value store refuses the sender of the request. */
--- a/tests/small.h
+++ b/tests/small.h
@@ -30,16 +30,16 @@
 static inline void start_fleet(uint32_t seed, unsigned machines, unsigned slow_nodes, double share,
                                double timers_late_s) {
   world_set_up(seed, 0);
-  world_lean(machines);
+  world_large_constrained(machines);
   for (unsigned n = 0; n < WORLD_NODES; n++)
     if (slow_nodes & 1u << n) world_slow_node(n, share, timers_late_s);
   world_start_nodes();
-  world_machines_up(0, machines / 2);
-  world_machines_up(1, machines - machines / 2);
+  world_add_machines(0, machines / 2);
+  world_add_machines(1, machines - machines / 2);
 }
 
 static inline void check_rules(const char *name) {
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   if (r.broken) fail_msg("%s: %u broken, first %s", name, r.broken, r.first);
 }
 
@@ -51,20 +51,20 @@
 } mark;
 
 static inline mark mark_now(void) {
-  world_watch_leases();
-  return (mark){world_so_far(), sim_now(), sim_load_of(WORLD_NODE_IP(0)).busy_s, world_terms()};
+  world_reset_min_lease_left();
+  return (mark){world_current_result(), sim_now(), sim_load_of(WORLD_NODE_IP(0)).busy_s, world_terms_written()};
 }
 
 /* What has happened since, and the processor time of the first controller. */
 static inline void print_since(const char *name, const char *phase, const mark *m) {
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message(
       "%s, %s: %.1f%% of a core used, %u submissions sent, %u accepted, %u refused, %u unanswered, %u of %u questions "
       "answered, %u put off, %u leases over, %.1f s left of a lease\n",
       name, phase, 100 * (sim_load_of(WORLD_NODE_IP(0)).busy_s - m->used_s) / (sim_now() - m->at),
       r.submissions - m->r.submissions, r.accepted - m->r.accepted, r.refused - m->r.refused,
-      r.unanswered - m->r.unanswered, r.status_answers - m->r.status_answers, r.questions - m->r.questions,
-      r.status_refusals - m->r.status_refusals, r.lease_kills - m->r.lease_kills, r.lease_left_s);
+      r.unanswered - m->r.unanswered, r.status_answers - m->r.status_answers, r.status_requests - m->r.status_requests,
+      r.status_refusals - m->r.status_refusals, r.lease_kills - m->r.lease_kills, r.min_lease_left_s);
 }
 
 #endif
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -102,7 +102,7 @@
     scene_submit(&(scene_jobs){
         .count = 20, .kind = "sweep", .priority = "standard", .tasks = 1, .gpus = 1, .run_s = 5, .every_s = 0.4});
     sim_run_until(sim_now() + 90);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     unsigned soon = 0;
     for (unsigned k = 0; k < 20; k++) {
       const char *id = world_id(k);
@@ -130,12 +130,12 @@
                              .in_s = 5,
                              .every_s = 0.1});
   sim_run_until(sim_now() + 120);
-  world_result before = world_so_far();
+  world_result before = world_current_result();
   assert_int_equal(before.finished, JOBS);
   assert_true(kv_has_key("fc1over/job-000000") && kv_has_key("fc1over/job-000119"));
   sim_run_until(sim_now() + EVERY_S * ROUNDS);
-  world_result r = world_so_far();
-  unsigned asked = r.questions - before.questions, put_off = r.status_refusals - before.status_refusals;
+  world_result r = world_current_result();
+  unsigned asked = r.status_requests - before.status_requests, put_off = r.status_refusals - before.status_refusals;
   print_message("%u questions about archived jobs, %u put off\n", asked, put_off);
   assert_true(asked > JOBS * ROUNDS * 3 / 4);
   assert_true(put_off * 20 < asked);
@@ -192,14 +192,14 @@
   world_set_up(3, 0);
   const char *hire = "{\"hire\":\"r-9-1\",\"build\":\"g4\",\"ground\":\"a\",\"loaners\":false,\"count\":2}";
   assert_int_equal(world_request_to(WORLD_CLOUD_IP, "POST", "/hosts", hire).status, 200);
-  assert_int_equal(world_machines(), 2);
+  assert_int_equal(world_machine_count(), 2);
   const char *intent =
       "{\"when\":[],\"then\":[{\"set\":\"fc1/hire/r-9-1\",\"v\":{\"f\":1,\"type\":\"g4\",\"zone\":\"a\","
       "\"owner\":\"*\",\"spot\":false,\"count\":2}}]}";
   assert_int_equal(world_request_to(WORLD_KV_IP, "POST", "/commit", intent).status, 200);
   world_start_nodes();
   sim_run_until(sim_now() + 12);
-  assert_int_equal(world_machines(), 2);
+  assert_int_equal(world_machine_count(), 2);
   world_reply left = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/hire/&page=10", "");
   assert_non_null(strstr(left.body, "\"rows\":[]"));
   world_reply known = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/machine/&page=10", "");
@@ -225,10 +225,10 @@
   while (sim_now() < patience && !strstr(world_request(1, "GET", "/api/jobs/job-000007", "").body, "\"running\":2"))
     sim_run_until(sim_now() + 1);
   assert_true(sim_now() < patience);
-  assert_true(world_give_notice(20));
+  assert_true(world_preempt_any_spot(20));
   sim_run_until(sim_now() + 15);
-  assert_int_equal(world_ended("stopped"), 2);
-  assert_int_equal(world_ended("mates_gone"), 0);
+  assert_int_equal(world_exited_tasks("stopped"), 2);
+  assert_int_equal(world_exited_tasks("mates_gone"), 0);
 }
 
 int main(void) {
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -11,7 +11,7 @@
   scene_begin(&(scene_setup){.seed = seed, .keep_idle = true, .images_cached = true, .machines = {6, 6}});
   scene_submit_services(jobs, 2, 0);
   sim_run_until(sim_now() + 30);
-  assert_int_equal(world_running(), jobs * 2);
+  assert_int_equal(world_running_tasks(), jobs * 2);
 }
 
 typedef struct outage_row {
@@ -70,13 +70,13 @@
   sim_run_until(zero + 8);
   for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) soon += acknowledged[k] ? world_tasks_of(world_id(k)) : 0;
   sim_run_until(zero + 100);
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message("%s, refused %u: %u of %u told, %u of their tasks on after 8 s, %u tasks ended by a lease\n", row->name,
                 refused, acknowledged_count, (unsigned)OUTAGE_CANCELLED, soon, r.lease_kills);
   if (r.broken) fail_msg("%s, refused %u: %s", row->name, refused, r.first);
   check_row(row->name, r.cancelled == OUTAGE_CANCELLED);
   check_row(row->name, acknowledged_count > 0 || row->down_at < 0.02);
-  check_row(row->name, world_running() == (OUTAGE_JOBS - OUTAGE_CANCELLED) * 2);
+  check_row(row->name, world_running_tasks() == (OUTAGE_JOBS - OUTAGE_CANCELLED) * 2);
   if (!row->passed_on) return;
   /* Acknowledged cancellations were passed on: their tasks end at once, no other by a lease. */
   check_row(row->name, soon == 0);
@@ -142,12 +142,12 @@
       sim_run_until(sim_now() + 20);
       for (unsigned k = 3; k < 6; k++) check_row(rows[i].name, world_tasks_of(world_id(k)) == 0);
       sim_run_until(sim_now() + rows[i].for_s + 40);
-      world_result r = world_so_far();
+      world_result r = world_current_result();
       print_message("%s, controller %u: %u cancelled, %u started after that, %u ended by a lease\n", rows[i].name, node,
                     r.cancelled, r.late_starts, r.lease_kills);
       if (r.broken) fail_msg("%s, controller %u: %s", rows[i].name, node, r.first);
       check_row(rows[i].name, r.cancelled == held + 3);
-      check_row(rows[i].name, world_running() == 6);
+      check_row(rows[i].name, world_running_tasks() == 6);
     }
   }
 }
@@ -179,7 +179,7 @@
 };
 
 static void apply_fault(const unreachable_row *row) {
-  if (row->fault == HUNG) world_hang(0, row->count, row->for_s);
+  if (row->fault == HUNG) world_hang_machines(0, row->count, row->for_s);
   if (row->fault == OUTBOUND_CUT) world_cut_outbound(0, row->count, row->for_s);
   if (row->fault == INBOUND_CUT) world_cut_inbound(0, row->count, row->for_s);
 }
@@ -198,14 +198,14 @@
   if (row->crash) world_crash(seed, 4);
   if (row->down) world_kv_down(50);
   sim_run_until(sim_now() + 130);
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message("%s: %u cancelled, %u ended by a lease, %u machines returned\n", row->name, r.cancelled, r.lease_kills,
-                world_terminated_machines(0, world_machines()));
+                world_terminated_machines(0, world_machine_count()));
   if (r.broken) fail_msg("%s, seed %u: %s", row->name, seed, r.first);
   check_row(row->name, r.cancelled == 5);
   for (unsigned k = 0; k < 5; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
   /* Other jobs run on, unless no machine is left. */
-  if (world_terminated_machines(0, world_machines()) < 6) check_row(row->name, world_running() == 6);
+  if (world_terminated_machines(0, world_machine_count()) < 6) check_row(row->name, world_running_tasks() == 6);
 }
 
 /* Machines of cancelled jobs that can't be reached: they hang, or their outbound or inbound messages
@@ -219,7 +219,7 @@
 /* Users poll the controller for six seconds; after three the key-value store goes down (0: not). */
 static void poll_jobs(unsigned node, unsigned jobs, double down_s) {
   for (unsigned poll = 0; poll < 30; poll++) {
-    world_ask_job(node, world_id(poll % jobs)); /* the stand-in checks the reply */
+    world_request_job_status(node, world_id(poll % jobs)); /* the stand-in checks the reply */
     sim_run_until(sim_now() + 0.2);
     if (poll == 14 && down_s > 0) world_kv_down(down_s);
   }
@@ -253,12 +253,12 @@
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), (int)((node + 1 + k % 2) % WORLD_NODES), k * 0.3);
       poll_jobs(node, jobs, rows[i].down_s);
       sim_run_until(sim_now() + 110);
-      world_result r = world_so_far();
+      world_result r = world_current_result();
       print_message("%s, controller %u: %u cancelled, %u ended by a lease\n", rows[i].name, node, r.cancelled,
                     r.lease_kills);
       if (r.broken) fail_msg("%s, controller %u: %s", rows[i].name, node, r.first);
       check_row(rows[i].name, r.cancelled == 5);
-      check_row(rows[i].name, world_running() == (jobs - 5) * 2);
+      check_row(rows[i].name, world_running_tasks() == (jobs - 5) * 2);
     }
   }
 }
--- a/tests/test_expired_leases.c
+++ b/tests/test_expired_leases.c
@@ -68,9 +68,9 @@
   world_cut_outbound(0, row->mute, MUTE_S);
   if (row->rivals_in_s > 0) submit_team_jobs(50, "service", "prod", row->rivals_in_s);
   sim_run_until(mute_at + row->hang_in_s);
-  world_hang(0, row->mute, row->hang_s);
+  world_hang_machines(0, row->mute, row->hang_s);
   sim_run_until(mute_at + OBSERVED_S);
-  return world_so_far();
+  return world_current_result();
 }
 
 static unsigned running_team_jobs(void) {
@@ -87,7 +87,7 @@
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
       world_result r = play(&rows[i], seed);
       print_message("%s, seed %u: ran_twice %u, quota %u, %u starts, %u tasks ended with a lease, %u of the team run\n",
-                    rows[i].name, seed, r.ran_twice, r.over_limit, r.starts, r.lease_kills, running_team_jobs());
+                    rows[i].name, seed, r.ran_twice, r.over_quota, r.starts, r.lease_kills, running_team_jobs());
       check_row(rows[i].name, r.lease_kills > 0);
       broken += r.broken;
     }
--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -23,7 +23,7 @@
         "seed %u: %u faults, %u crashes, %u starts, %u lease kills; %u jobs: %u accepted, %u done, %u "
         "cancelled, %u open; %u late starts, %u%% served at least, %u odd requests\n",
         seed, r.faults, r.crashes, r.starts, r.lease_kills, r.submitted, r.accepted, r.finished, r.cancelled,
-        r.unfinished, r.late_starts, r.served_least, r.invalid_requests);
+        r.unfinished, r.late_starts, r.min_served_percent, r.invalid_requests);
     /* All seeds are played: what one breaks hides nothing of the others. */
     if (r.broken) print_message("seed %u broke %u rules, first at %s\n", seed, r.broken, r.first);
     broken += r.broken;
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -111,7 +111,7 @@
     sim_run_until(sim_now() + 0.3); /* archived jobs are looked up at a bounded rate */
     for (unsigned n = 0; n < WORLD_NODES && row->told; n++) check_row(row->name, says(row->id, n, row->told));
   }
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 /* What can't be known now is refused at once, with the time to retry. */
@@ -129,7 +129,7 @@
   sim_run_until(sim_now() + 30);
   assert_int_equal(submit(0, "job-000200", "sweep", dependencies[0]).status, 422);
   assert_int_equal(submit(0, "job-000200", "sweep", dependencies[1]).status, 201);
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 /* A job accepted by one controller is a dependency at another within the same millisecond, and may be
@@ -240,7 +240,7 @@
   sim_run_until(sim_now() + 8);
   GString *dependencies = submit_many_dependencies();
   sim_run_until(sim_now() + 80);
-  assert_int_equal(world_so_far().accepted, MANY + 1);
+  assert_int_equal(world_current_result().accepted, MANY + 1);
   char *body = submission("job-000001", "sweep", dependencies->str);
   world_add_job("job-000001", "sweep", 1, 0, 3);
   double took = submit_until_accepted(body, 60);
@@ -259,12 +259,13 @@
   assert_true(parts_stored() >= 8 && !kv_has_key("fc1/job/job-000002"));
   double patience = sim_now() + 150;
   while (!says("job-000001", 1, "done") && sim_now() < patience) sim_run_until(sim_now() + 1);
-  for (unsigned k = 0; k < MANY; k++) assert_true(world_ended_at("job-000001") > world_ended_at(long_id(k)) + 3);
+  for (unsigned k = 0; k < MANY; k++)
+    assert_true(world_completed_at("job-000001") > world_completed_at(long_id(k)) + 3);
   assert_true(says("job-000001", 1, "done"));
   sim_run_until(sim_now() + 200);
   assert_false(kv_has_key("fc1/job/job-000001"));
   assert_int_equal(parts_stored(), 0);
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
   g_string_free(dependencies, TRUE);
   g_free(body);
   g_free(other);
@@ -345,12 +346,12 @@
     for (unsigned c = 0; c < 6; c++) {
       const char *last = world_id(10 * c + STAGES);
       check_row(row->name, world_seen_terminal_state(last) && strcmp(world_seen_terminal_state(last), "done") == 0);
-      longest = MAX(longest, world_ended_at(last) - began - 0.5 * c);
+      longest = MAX(longest, world_completed_at(last) - began - 0.5 * c);
     }
     print_message("%s: the longest of six chains took %.1f s, %u s of them its tasks\n", row->name, longest,
                   STAGE_S * STAGES);
     check_row(row->name, longest < STAGE_S * STAGES + row->slack_s);
-    if (world_so_far().broken) fail_msg("%s: %s", row->name, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%s: %s", row->name, world_current_result().first);
   }
 }
 
@@ -375,7 +376,7 @@
   assert_int_equal(world_tasks_of(world_id(4)), 12);
   sim_run_until(sim_now() + 80);
   for (unsigned k = 1; k <= 4; k++) assert_string_equal(world_seen_terminal_state(world_id(k)), "done");
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 /* In a full fleet a dependency of a job with a deadline goes first, also when that job is submitted
@@ -402,10 +403,10 @@
     double began = sim_now();
     sim_run_until(began + 120);
     print_message("the first of the pipeline began after %.1f s, the last after %.1f s\n",
-                  world_began(world_id(20)) - began, world_began(world_id(21)) - began);
-    assert_true(world_began(world_id(20)) - began < 27);
-    assert_true(world_began(world_id(21)) - began < 45);
-    if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+                  world_began_at(world_id(20)) - began, world_began_at(world_id(21)) - began);
+    assert_true(world_began_at(world_id(20)) - began < 27);
+    assert_true(world_began_at(world_id(21)) - began < 45);
+    if (world_current_result().broken) fail_msg("%s", world_current_result().first);
   }
 }
 
@@ -486,7 +487,7 @@
     start_fleet(100 + (uint32_t)i, 6);
     submit_fan();
     sim_run_until(sim_now() + 9);
-    assert_true(world_so_far().accepted == DEPENDENTS + 1);
+    assert_true(world_current_result().accepted == DEPENDENTS + 1);
     world_cancel(world_id(FIRST), 0, 0);
     while (!world_seen_cancelled_at(world_id(FIRST))) sim_run_until(sim_now() + 0.001);
     apply_cancel_fault(row);
@@ -501,7 +502,7 @@
     check_row(row->name, kv_has_key("fc1over/job-000001") && !kv_has_key("fc1/job/job-000001"));
     for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 0.5);
     sim_run_until(sim_now() + 15);
-    if (world_so_far().broken) fail_msg("%s: %s", row->name, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%s: %s", row->name, world_current_result().first);
     for (unsigned k = 1; k <= DEPENDENTS; k += 8) check_row(row->name, archived_as_cancelled(FIRST + k));
   }
 }
@@ -527,8 +528,8 @@
                                   .run_s = 3,
                                   .in_s = 1,
                                   .dependencies = {world_id(2)}});
-    while (!world_began(world_id(1))) sim_run_until(sim_now() + 0.05);
-    sim_run_until(world_began(world_id(1)) + 4.9 + 0.1 * seed);
+    while (!world_began_at(world_id(1))) sim_run_until(sim_now() + 0.05);
+    sim_run_until(world_began_at(world_id(1)) + 4.9 + 0.1 * seed);
     world_cancel(world_id(1), (int)(seed % WORLD_NODES), 0);
     sim_run_until(sim_now() + 40);
     const char *told = world_seen_terminal_state(world_id(1));
@@ -537,7 +538,7 @@
     cancelled += strcmp(told, "cancelled") == 0;
     for (unsigned k = 2; k <= 3; k++) assert_string_equal(world_seen_terminal_state(world_id(k)), told);
     assert_int_equal(world_starts_of(world_id(3)), strcmp(told, "done") == 0);
-    if (world_so_far().broken) fail_msg("seed %u: %s", seed, world_so_far().first);
+    if (world_current_result().broken) fail_msg("seed %u: %s", seed, world_current_result().first);
   }
   print_message("called off at the end: %u done, %u cancelled\n", done, cancelled);
   assert_true(done > 0 && cancelled > 0);
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -26,7 +26,7 @@
   world_submit(k_job_ids[1], "sweep", "standard", 6, 1, 1e6, 5);
   world_submit(k_job_ids[2], "gang", "high", 2, 3, 1e6, 5);
   sim_run_until(sim_now() + 20);
-  assert_int_equal(world_running(), 14);
+  assert_int_equal(world_running_tasks(), 14);
 }
 
 /* No controller reports more running tasks than there are. */
@@ -69,26 +69,27 @@
         unsigned round = k / 3;
         world_duplicate_heartbeat(m, k % WORLD_NODES, rows[i].in_s + 1.2 * round);
       }
-    world_hang(1, 1 + rows[i].hung_machines, rows[i].hang_s);
+    world_hang_machines(1, 1 + rows[i].hung_machines, rows[i].hang_s);
     double at = sim_now();
-    unsigned first = world_so_far().starts;
+    unsigned first = world_current_result().starts;
     if (rows[i].crash >= 0) {
       sim_run_until(at + rows[i].crash_s);
       world_crash((unsigned)rows[i].crash, 4);
     }
     sim_run_until(at + rows[i].in_s - 0.1);
-    unsigned starts = world_so_far().starts, stopped = world_ended("stopped"), fetching = world_fetching();
-    print_message("%s: %u started by then, %u run, %u fetch\n", rows[i].name, starts, world_running(), fetching);
+    unsigned starts = world_current_result().starts, stopped = world_exited_tasks("stopped"),
+             fetching = world_fetching_tasks();
+    print_message("%s: %u started by then, %u run, %u fetch\n", rows[i].name, starts, world_running_tasks(), fetching);
     check_row(rows[i].name, starts > first);
     for (unsigned k = 0; k < 12; k++) {
       sim_run_until(at + rows[i].in_s + 0.02 + k * 0.3);
       check_reported_running(rows[i].name);
     }
     /* Only tasks that were fetching their image before may start. */
-    check_row(rows[i].name, !rows[i].quiescent || world_so_far().starts - starts <= fetching);
-    check_row(rows[i].name, !rows[i].quiescent || world_ended("stopped") == stopped);
+    check_row(rows[i].name, !rows[i].quiescent || world_current_result().starts - starts <= fetching);
+    check_row(rows[i].name, !rows[i].quiescent || world_exited_tasks("stopped") == stopped);
     sim_run_until(at + 110);
-    if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%s: %s", rows[i].name, world_current_result().first);
     check_reported_running(rows[i].name);
     for (size_t k = 0; k < 3; k++) check_row(rows[i].name, world_tasks_of(k_job_ids[k]) == (k < 2 ? 6 : 2));
   }
@@ -153,13 +154,13 @@
       sim_run_until(at + k * 0.9);
       check_nothing_restarts(row->name);
     }
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
-    print_message("%s: %u started, %u ended\n", row->name, r.starts, world_ended("done"));
+    print_message("%s: %u started, %u ended\n", row->name, r.starts, world_exited_tasks("done"));
     for (unsigned k = 0; k < 3; k++) check_row(row->name, world_seen_terminal_state(k_job_ids[k]));
-    check_row(row->name, world_running() == 0 && r.late_starts == 0);
+    check_row(row->name, world_running_tasks() == 0 && r.late_starts == 0);
     /* Once each, except preempted tasks, some of which never had their image. */
-    check_row(row->name, r.starts >= 12 && r.starts + 4 <= 12 + world_ended("stopped"));
+    check_row(row->name, r.starts >= 12 && r.starts + 4 <= 12 + world_exited_tasks("stopped"));
     check_row(row->name, r.lease_kills == 0);
     check_reported_running(row->name);
   }
@@ -192,10 +193,10 @@
     check_row(rows[i].name, kv_has_key(key));
     for (unsigned k = 0; k < 9; k++)
       world_duplicate_heartbeat(dead, k % WORLD_NODES, rows[i].first_s + k * rows[i].every_s);
-    world_kill(dead, dead + 1);
+    world_terminate_machines(dead, dead + 1);
     double at = sim_now();
     if (rows[i].crash >= 0) world_crash((unsigned)rows[i].crash, 4);
-    while (world_running() < 14 && sim_now() < at + 90) sim_run_until(sim_now() + 0.25);
+    while (world_running_tasks() < 14 && sim_now() < at + 90) sim_run_until(sim_now() + 0.25);
     double took = sim_now() - at;
     print_message("%s: all run again after %.1f s\n", rows[i].name, took);
     if (rows[i].first_s >= 1e6) without_heartbeats = took;
@@ -203,9 +204,9 @@
     check_row(rows[i].name, took < without_heartbeats + 15);
     sim_run_until(at + 60);
     check_row(rows[i].name, !kv_has_key(key));
-    check_row(rows[i].name, world_running() == 14);
+    check_row(rows[i].name, world_running_tasks() == 14);
     check_reported_running(rows[i].name);
-    if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%s: %s", rows[i].name, world_current_result().first);
   }
 }
 
@@ -263,7 +264,7 @@
   submit_jobs_of_every_kind();
   world_lateness(row->least_s, row->most_s);
   world_late_writes(row->share);
-  world_cancel_at_end(0.3);
+  world_cancel_on_completion(0.3);
   if (row->crash >= 0) {
     sim_run_until(at + row->for_s / 2);
     world_crash((unsigned)row->crash, 4);
@@ -275,7 +276,7 @@
     sim_run_until(sim_now() + 1);
     world_check_released();
   }
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   if (r.broken) fail_msg("%s: %s", name, r.first);
   check_row(name, r.accepted == DELAY_JOBS);
   check_all_ended(name);
@@ -341,7 +342,7 @@
   submit_four_jobs();
   sim_run_until(at + row->from_s);
   world_late_writes(1);
-  if (row->report) world_machines_up(0, 2);
+  if (row->report) world_add_machines(0, 2);
   sim_run_until(at + row->to_s);
   world_late_writes(0);
   /* The last delayed transaction is applied by second 61 after `to_s`. */
@@ -350,11 +351,11 @@
   while (t < 180) {
     sim_run_until(at + t);
     if (t > row->to_s + 61) world_check_released();
-    if (t < 40) machines = world_machines();
+    if (t < 40) machines = world_machine_count();
     t += 0.5;
   }
-  world_result r = world_so_far();
-  print_message("%s: %u machines by then, %u in the end, %u starts\n", name, machines, world_machines(), r.starts);
+  world_result r = world_current_result();
+  print_message("%s: %u machines by then, %u in the end, %u starts\n", name, machines, world_machine_count(), r.starts);
   if (r.broken) fail_msg("%s: %s", name, r.first);
   for (unsigned k = 0; k < 4; k++) {
     const char *id = world_id(k);
@@ -419,11 +420,11 @@
     sim_run_until(at + 70);
     world_late_writes(0);
     sim_run_until(at + 230);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     print_message("%s: %u of 60 done, %u starts, %u leases over\n", name, r.finished, r.starts, r.lease_kills);
     if (r.broken) fail_msg("%s: %s", name, r.first);
     check_row(name, r.finished == 60);
-    for (unsigned n = 0; n < WORLD_NODES; n++) check_row(name, world_ask(n, "/ready") == 200);
+    for (unsigned n = 0; n < WORLD_NODES; n++) check_row(name, world_get_status(n, "/ready") == 200);
   }
 }
 
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -44,7 +44,7 @@
   sim_run_until(sim_now() + 20);
   g_first_starts = 0;
   g_first_starts = restarts();
-  assert_int_equal(world_running(), LONG_TASKS);
+  assert_int_equal(world_running_tasks(), LONG_TASKS);
 }
 
 /* Short jobs go on arriving. */
@@ -55,7 +55,7 @@
 }
 
 static void check_rules(const char *name) {
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   if (r.broken) fail_msg("row '%s': %u rules broken, first %s", name, r.broken, r.first);
 }
 
@@ -66,26 +66,27 @@
   world_submit(world_id(NEW_WORK), "sweep", "standard", 2, 1, 5, 0);
   world_submit(world_id(NEW_WORK + 1), "service", "standard", 2, 1, 1e6, 0); /* preempts nothing */
   while (sim_now() < over + within_s &&
-         !(world_began(world_id(NEW_WORK)) > 0 && world_began(world_id(NEW_WORK + 1)) > 0))
+         !(world_began_at(world_id(NEW_WORK)) > 0 && world_began_at(world_id(NEW_WORK + 1)) > 0))
     sim_run_until(sim_now() + 0.5);
-  double began = MAX(world_began(world_id(NEW_WORK)), world_began(world_id(NEW_WORK + 1)));
+  double began = MAX(world_began_at(world_id(NEW_WORK)), world_began_at(world_id(NEW_WORK + 1)));
   print_message("%s: new work after %.1f s", name, began - over);
   sim_run_until(over + 12); /* users ask every 4 to 6 s */
-  unsigned unanswered = world_unanswered(over), kills = world_so_far().lease_kills;
-  while (sim_now() < over + 90 && !(world_so_far().finished == finished + 1 && world_running() == running + 2))
+  unsigned unanswered = world_jobs_unanswered_since(over), kills = world_current_result().lease_kills;
+  while (sim_now() < over + 90 &&
+         !(world_current_result().finished == finished + 1 && world_running_tasks() == running + 2))
     sim_run_until(sim_now() + 1);
   sim_run_until(sim_now() + 20); /* longer than a lease: no late expiry */
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message(", %u unanswered, %u run, %u done, %u starts, %u lease kills, %u of tasks done before\n", unanswered,
-                world_running(), r.finished, r.starts, r.lease_kills, r.done_starts);
+                world_running_tasks(), r.finished, r.starts, r.lease_kills, r.starts_after_done);
   check_rules(name);
-  check_row(name, world_began(world_id(NEW_WORK)) > 0 && world_began(world_id(NEW_WORK + 1)) > 0);
+  check_row(name, world_began_at(world_id(NEW_WORK)) > 0 && world_began_at(world_id(NEW_WORK + 1)) > 0);
   check_row(name, unanswered == 0);
   check_row(name, r.lease_kills == kills); /* heartbeats are answered again */
   check_row(name, r.accepted == r.submitted);
   check_row(name, r.finished == finished + 1);
-  check_row(name, world_running() == running + 2);
-  for (unsigned n = 0; n < WORLD_NODES; n++) check_row(name, world_ask(n, "/api/jobs/job-000000") == 200);
+  check_row(name, world_running_tasks() == running + 2);
+  for (unsigned n = 0; n < WORLD_NODES; n++) check_row(name, world_get_status(n, "/api/jobs/job-000000") == 200);
 }
 
 /* Some of the changes fall into an outage of the key-value store. */
@@ -119,7 +120,7 @@
     }
     check_recovery(rows[i].name, 15, LONG_TASKS, done);
     /* Running tasks were found, not restarted. */
-    if (!rows[i].due) check_row(rows[i].name, world_so_far().lease_kills == 0 && restarts() == 0);
+    if (!rows[i].due) check_row(rows[i].name, world_current_result().lease_kills == 0 && restarts() == 0);
   }
 }
 
@@ -160,7 +161,7 @@
     done += submit_short_jobs(700, 8, 1);
     sim_run_until(away + last);
     check_recovery(rows[i].name, 15, LONG_TASKS, done);
-    check_row(rows[i].name, (world_so_far().lease_kills > 0) == rows[i].ends);
+    check_row(rows[i].name, (world_current_result().lease_kills > 0) == rows[i].ends);
     check_row(rows[i].name, rows[i].ends ? restarts() >= LONG_TASKS : restarts() == 0);
   }
 }
@@ -211,11 +212,11 @@
  * from the term, which is cancel_s - lease_s after its entry. */
 static void check_one_controller_serves(const char *name, unsigned node) {
   sim_run_until(sim_now() + 8);
-  world_users_to((int)node);
+  world_set_users_node((int)node);
   world_submit(world_id(800), "sweep", "standard", 2, 1, 3, 0);
   sim_run_until(sim_now() + 20);
-  check_row(name, world_began(world_id(800)) > 0);
-  world_users_to(-1);
+  check_row(name, world_began_at(world_id(800)) > 0);
+  world_set_users_node(-1);
 }
 
 static void play_return(const return_row *row, const unsigned *order, uint32_t seed) {
@@ -230,7 +231,7 @@
   }
   sim_run_until(MAX(back_at, sim_now()));
   check_recovery(name, 15, LONG_TASKS, done);
-  if (!row->ends) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
+  if (!row->ends) check_row(name, world_current_result().lease_kills == 0 && restarts() == 0);
 }
 
 /* All controllers crash, in every order, and one returns, also within a second, and crashes again
@@ -284,7 +285,7 @@
   /* Tasks take a whole machine: a shard has six, or three, so that some slices are handed over. */
   for (unsigned k = 0; k < G_N_ELEMENTS(k_array_tasks); k++) {
     world_job j = {.id = world_id(k), .kind = "sweep", .tasks = k_array_tasks[k], .gpus = 4, .run_s = 8, .in_s = 6};
-    j.later_s = 17 + k;
+    j.stagger_s = 17 + k;
     world_submit_job(&j);
   }
   sim_run_until(sim_now() + 10);
@@ -301,7 +302,7 @@
     } else {
       world_crash(n, row->back_s);
     }
-    if (row->ends < 3) world_users_to((int)(n + 1) % WORLD_NODES);
+    if (row->ends < 3) world_set_users_node((int)(n + 1) % WORLD_NODES);
   }
 }
 
@@ -311,7 +312,7 @@
   for (unsigned k = 0; k < G_N_ELEMENTS(k_array_tasks); k++) {
     double told = world_seen_done_at(world_id(k));
     check_row(row->name, told > 0);
-    longest_s = MAX(longest_s, told - world_ended_at(world_id(k)));
+    longest_s = MAX(longest_s, told - world_completed_at(world_id(k)));
   }
   return longest_s;
 }
@@ -327,18 +328,18 @@
     double end_at = sim_now() + row->at_s;
     if (row->die) {
       sim_run_until(end_at - 3);
-      world_kill(0, row->die);
+      world_terminate_machines(0, row->die);
     }
     crash_controllers(row, end_at);
     sim_run_until(end_at + 130);
-    world_result r = world_so_far();
-    for (unsigned n = 0; n < WORLD_NODES; n++) handed += (unsigned)world_counts(n).handed_over;
+    world_result r = world_current_result();
+    for (unsigned n = 0; n < WORLD_NODES; n++) handed += (unsigned)world_counters(n).handed_over;
     double last = check_reported_done(row);
     print_message("%s: %u starts, %u lease kills, told %.1f s after the end at most, %u handed over so far\n",
                   row->name, r.starts, r.lease_kills, last, handed);
     check_rules(row->name);
     /* No lease ends: one controller at least can be reached within it. */
-    check_row(row->name, r.lease_kills == 0 && r.done_starts == 0);
+    check_row(row->name, r.lease_kills == 0 && r.starts_after_done == 0);
     check_row(row->name, r.finished == G_N_ELEMENTS(k_array_tasks));
     /* A worker may first try one that has ended, and its user asks every 4 to 6 s. */
     check_row(row->name, last < 20);
@@ -393,7 +394,7 @@
 static void apply_fault(const unreachable_row *row, unsigned node) {
   unsigned from = row->from, to = row->to;
   double for_s = row->for_s;
-  if (row->fault == HUNG) world_hang(from, to, for_s);
+  if (row->fault == HUNG) world_hang_machines(from, to, for_s);
   if (row->fault == OUTBOUND_CUT) world_cut_outbound(from, to, for_s);
   if (row->fault == INBOUND_CUT) world_cut_inbound(from, to, for_s);
   if (row->fault == NODE_HELD) world_cut_node(node, for_s, SIM_HELD);
@@ -429,7 +430,7 @@
     check_recovery(name, 15, LONG_TASKS, done);
     unsigned gone = world_terminated_machines(0, MACHINES);
     print_message("%s: %u started again, %u returned\n", name, restarts(), gone);
-    if (row->kept) check_row(name, world_so_far().lease_kills == 0 && restarts() == 0);
+    if (row->kept) check_row(name, world_current_result().lease_kills == 0 && restarts() == 0);
   }
 }
 
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -53,9 +53,9 @@
     world_kv_limit(LATER_VALUE_KB, LATER_TXN_OPS, row->later_rps);
     if (row->crash) world_crash(0, 4);
     sim_run_until(sim_now() + 60);
-    unsigned early = world_so_far().over_rate;
+    unsigned early = world_current_result().over_rate;
     sim_run_until(sim_now() + LATER_S);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     print_message("%s: %u of %u accepted, %u done; %u transactions over the rate in the first minute, %u later\n",
                   row->name, r.accepted, r.submitted, r.finished, early, r.over_rate - early);
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
@@ -84,7 +84,7 @@
                                   .tasks = 24,
                                   .gpus = 0.25,
                                   .run_s = 40,
-                                  .later_s = 2.5,
+                                  .stagger_s = 2.5,
                                   .in_s = 8 + 0.5 * k});
   double from = sim_now() + 75;
   scene_submit(&(scene_jobs){.first = 100,
@@ -102,7 +102,7 @@
     double accepted = world_seen_accepted_at(world_id(100 + k));
     at_once += accepted > 0 && accepted < from + 0.5 * k + 1;
   }
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message("%u of %u accepted within a second, %u of %u done\n", at_once, (unsigned)SUBMITTED, r.finished,
                 r.submitted);
   if (r.broken) fail_msg("%s", r.first);
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -6,7 +6,7 @@
 /* Until so many jobs are done, for `most_s` at most. */
 static void run_until_done(unsigned jobs, double most_s) {
   double end = sim_now() + most_s;
-  while (sim_now() < end && world_so_far().finished < jobs) sim_run_until(MIN(end, sim_now() + 5));
+  while (sim_now() < end && world_current_result().finished < jobs) sim_run_until(MIN(end, sim_now() + 5));
 }
 
 typedef enum { KILLED, HUNG, CUT_OFF, OUTBOUND_CUT, INBOUND_CUT, SPOT_NOTICE } machine_fault;
@@ -14,10 +14,10 @@
 static void apply_fault(machine_fault what, unsigned machine, double for_s) {
   switch (what) {
     case KILLED:
-      world_kill(machine, machine + 1);
+      world_terminate_machines(machine, machine + 1);
       break;
     case HUNG:
-      world_hang(machine, machine + 1, for_s);
+      world_hang_machines(machine, machine + 1, for_s);
       break;
     case CUT_OFF:
       for (unsigned n = 0; n < WORLD_NODES; n++) world_cut_pair(n, machine, for_s, SIM_HELD);
@@ -29,7 +29,7 @@
       world_cut_inbound(machine, machine + 1, for_s);
       break;
     default:
-      world_notice(machine, 6);
+      world_preempt_machine(machine, 6);
   }
 }
 
@@ -90,7 +90,7 @@
     for (unsigned n = 0; n < rows[row].crashes; n++) world_crash(n, i % 2 ? 0.3 : 4);
     run_until_done(6, 110);
     sim_run_until(sim_now() + 10); /* services, too */
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s, %u: %s", rows[row].name, (unsigned)i, r.first);
     print_message("%s, %u: %u done, %u started\n", rows[row].name, (unsigned)i, r.finished, r.starts);
     check_row(rows[row].name, r.finished == 6);
@@ -126,7 +126,7 @@
 
 static unsigned handover_count(void) {
   unsigned moved = 0;
-  for (unsigned n = 0; n < WORLD_NODES; n++) moved += (unsigned)world_counts(n).handed_over;
+  for (unsigned n = 0; n < WORLD_NODES; n++) moved += (unsigned)world_counters(n).handed_over;
   return moved;
 }
 
@@ -153,7 +153,7 @@
   sim_run_until(sim_now() + 12);
   const unsigned moved = handover_count() - moved_before;
   for (unsigned m = 0; m < HANDOVER_MACHINES; m++)
-    if (world_node_of(m) == 2) world_hang(m, m + 1, row->hang_s);
+    if (world_node_of(m) == 2) world_hang_machines(m, m + 1, row->hang_s);
   world_crash(2, row->back_in_s);
   world_crash(1, row->back_in_s);
   double from = sim_now();
@@ -165,7 +165,7 @@
   }
   sim_run_until(from + row->back_in_s + 9);
   for (unsigned k = 0; k < HANDOVER_ARRAYS; k++) go_on += before[k] > 0 && world_starts_of(world_id(k)) > before[k];
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   if (r.broken) fail_msg("%s: %s", row->name, r.first);
   print_message("%s, %u: room for %u, %u moved, %u of %u go on\n", row->name, seed, freed, moved, go_on, had_begun);
   if (moved == 0 || had_begun == 0) return false;
@@ -239,10 +239,10 @@
     if (rows[i].state_too) world_kv_down(8);
     sim_run_until(back + 20);
     run_until_done(9, 55);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s, %u: %s", rows[i].name, (unsigned)i, r.first);
     print_message("%s, %u: %u done, %u returned, began %.1f s after it was back\n", rows[i].name, (unsigned)i,
-                  r.finished, world_terminated_machines(0, machines * 2), world_began("job-000021") - back);
+                  r.finished, world_terminated_machines(0, machines * 2), world_began_at("job-000021") - back);
     check_row(rows[i].name, world_terminated_machines(0, machines * 2) == 0);
     check_row(rows[i].name, r.finished == 9);
     check_row(rows[i].name, world_tasks_of("job-000005") == 3);
@@ -290,7 +290,7 @@
       .id = world_id(10), .kind = "sweep", .team = "blue", .tasks = 3, .gpus = 1, .run_s = 1e6, .in_s = 15});
   sim_run_until(sim_now() + 25);
   for (unsigned k = 0; k < LIMIT_SERVICES; k++) check_row(name, world_tasks_of(world_id(k)) == 3);
-  check_row(name, world_began(world_id(10)) == 0);
+  check_row(name, world_began_at(world_id(10)) == 0);
 }
 
 /* When the cancelled service's tasks are gone, and when the array's run; 0: not within 90 s. */
@@ -323,7 +323,7 @@
     world_cancel(world_id(0), -1, (double)(i % 3) * 1.5);
     double from = sim_now(), gone = 0, next = 0;
     wait_for_next_job(&gone, &next);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s, %u: %s", row->name, (unsigned)i, r.first);
     print_message("%s, %u: gone after %.1f s, the next all there %.1f s later\n", row->name, (unsigned)i, gone - from,
                   next - gone);
@@ -379,10 +379,10 @@
   double mean[4] = {0}, largest[4];
   for (unsigned r = 0; r < 4; r++) {
     for (unsigned k = 0; k <= PER_PRIORITY; k++) {
-      check_row(name, world_began(world_id(r * 100 + k)) > 0);
-      if (k < PER_PRIORITY) mean[r] += (world_began(world_id(r * 100 + k)) - sent[r][k]) / PER_PRIORITY;
+      check_row(name, world_began_at(world_id(r * 100 + k)) > 0);
+      if (k < PER_PRIORITY) mean[r] += (world_began_at(world_id(r * 100 + k)) - sent[r][k]) / PER_PRIORITY;
     }
-    largest[r] = world_began(world_id(r * 100 + PER_PRIORITY)) - sent[r][PER_PRIORITY];
+    largest[r] = world_began_at(world_id(r * 100 + PER_PRIORITY)) - sent[r][PER_PRIORITY];
     print_message(" %s %.1f s (largest %.1f)", k_priority_names[r], mean[r], largest[r]);
   }
   print_message("\n");
@@ -403,11 +403,11 @@
     sent_at sent;
     submit_of_all_priorities(sent);
     sim_run_until(sim_now() + 30);
-    world_kill(0, k_overloads[i].dead);
+    world_terminate_machines(0, k_overloads[i].dead);
     for (unsigned n = 0; n < k_overloads[i].crashes; n++) world_crash(n, 4);
     world_check_starvation(50);
     run_until_done(4 * (PER_PRIORITY + 1), 260);
-    world_result res = world_so_far();
+    world_result res = world_current_result();
     if (res.broken) fail_msg("%s: %s", k_overloads[i].name, res.first);
     print_message("%s: %u of %u done; mean wait", k_overloads[i].name, res.finished, 4 * (PER_PRIORITY + 1));
     check_queue_times(k_overloads[i].name, sent);
--- a/tests/test_repeat.c
+++ b/tests/test_repeat.c
@@ -51,14 +51,14 @@
   assert_int_equal(a->faults, b->faults);
   assert_int_equal(a->late_starts, b->late_starts);
   assert_int_equal(a->invalid_requests, b->invalid_requests);
-  assert_int_equal(a->served_least, b->served_least);
-  assert_int_equal(a->done_starts, b->done_starts);
+  assert_int_equal(a->min_served_percent, b->min_served_percent);
+  assert_int_equal(a->starts_after_done, b->starts_after_done);
   assert_int_equal(a->submissions, b->submissions);
   assert_int_equal(a->unanswered, b->unanswered);
   assert_int_equal(a->refused, b->refused);
-  assert_true(a->lease_left_s == b->lease_left_s);
+  assert_true(a->min_lease_left_s == b->min_lease_left_s);
   assert_int_equal(a->over_rate, b->over_rate);
-  assert_int_equal(a->questions, b->questions);
+  assert_int_equal(a->status_requests, b->status_requests);
   assert_int_equal(a->status_answers, b->status_answers);
   assert_int_equal(a->status_refusals, b->status_refusals);
 }
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -72,7 +72,7 @@
   double patience = at + 20;
   while (!world_seen_terminal_state(JOB_ID) && sim_now() < patience) sim_run_until(sim_now() + 0.002);
   const char *told = world_seen_terminal_state(JOB_ID);
-  g_snprintf(name, sizeof name, "%s, asked %+.3f s after the end, told %s", row->name, at - world_ended_at(JOB_ID),
+  g_snprintf(name, sizeof name, "%s, asked %+.3f s after the end, told %s", row->name, at - world_completed_at(JOB_ID),
              told ? told : "nothing");
   check_row(name, told);
   check_row(name, committed(told)); /* by the moment of the reply */
@@ -89,7 +89,7 @@
   check_row(name, committed(told));
   check_all_replies(name, told, k_body, row->slow_s <= 0);
   check_row(name, world_tasks_of(JOB_ID) == 0);
-  if (world_so_far().broken) fail_msg("%s: %s", name, world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s: %s", name, world_current_result().first);
   return told;
 }
 
@@ -109,8 +109,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     start_one_job(&rows[i]);
     double patience = sim_now() + 40;
-    while (world_ended_at(JOB_ID) <= 0 && sim_now() < patience) sim_run_until(sim_now() + 0.01);
-    double end = world_ended_at(JOB_ID);
+    while (world_completed_at(JOB_ID) <= 0 && sim_now() < patience) sim_run_until(sim_now() + 0.01);
+    double end = world_completed_at(JOB_ID);
     check_row(rows[i].name, end > 0);
     while (!committed("done") && sim_now() < end + 20) sim_run_until(sim_now() + 0.001);
     double write = sim_now();
@@ -301,14 +301,14 @@
   world_capacity(6, 0);
   world_keep_idle();
   world_start_nodes();
-  world_machines_up(0, 2);
-  world_machines_up(1, 2);
+  world_add_machines(0, 2);
+  world_add_machines(1, 2);
   world_submit("job-000001", "sweep", "standard", 2, 1, 2, 5);
   world_submit("job-000002", "service", "prod", 2, 1, 1e6, 5);
   world_submit("job-000003", "gang", "high", 40, 4, 10, 5);
   sim_run_until(sim_now() + 20);
   assert_string_equal(world_seen_terminal_state("job-000001"), "done");
-  assert_true(world_began("job-000002") > 0);
+  assert_true(world_began_at("job-000002") > 0);
 }
 
 static void check_known_jobs(const char *when, bool unavailable_allowed, double within_s) {
@@ -342,7 +342,7 @@
   sim_run_until(sim_now() + 40); /* archived by now */
   assert_true(kv_has_key("fc1over/job-000001"));
   check_known_jobs("later", false, IMMEDIATE_S);
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 /* One task of an array, or all tasks of a gang or service, must fit the limit on CPUs and on GPUs. */
@@ -366,7 +366,7 @@
       {"without gpus", "service", 30, 1, 0, 201},
   };
   world_set_up(22, 0);
-  world_limit(30, 3);
+  world_set_blue_quota(30, 3);
   world_start_nodes();
   sim_run_until(sim_now() + 6);
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -417,7 +417,7 @@
     check_infeasible(rows[i].name, 0, false, IMMEDIATE_S);
     check_known_jobs(rows[i].name, false, IMMEDIATE_S);
     check_refused_are_unknown(rows[i].name);
-    if (world_so_far().broken) fail_msg("%s: %s", rows[i].name, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%s: %s", rows[i].name, world_current_result().first);
   }
 }
 
@@ -462,7 +462,7 @@
   check_infeasible("after it", 1, false, IMMEDIATE_S);
   check_known_jobs("after it", false, IMMEDIATE_S);
   check_refused_are_unknown("after it");
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 /* Another controller that has not learned of the job yet must not call it unknown, malformed or
@@ -518,7 +518,7 @@
       g_free(body);
     }
     assert_true(check_malformed("types unknown", "job-600000", n, false, IMMEDIATE_S) > 100);
-    assert_int_equal(world_ask(n, "/ready"), 503);
+    assert_int_equal(world_get_status(n, "/ready"), 503);
   }
   check_refused_are_unknown("types unknown");
   world_cloud_down(false);
--- a/tests/test_restarted_workers.c
+++ b/tests/test_restarted_workers.c
@@ -38,7 +38,7 @@
 
 static void begin_fault(const restart_row *row) {
   if (row->held_by == HELD_BY_A_HANG) {
-    world_hang(0, row->machines, row->for_s);
+    world_hang_machines(0, row->machines, row->for_s);
   } else {
     world_cut_inbound(0, row->machines, row->for_s);
   }
@@ -64,7 +64,7 @@
   sim_run_until(fault_at + row->restart_in_s);
   world_restart_machines(0, row->machines);
   sim_run_until(fault_at + OBSERVED_S);
-  return world_so_far();
+  return world_current_result();
 }
 
 /* Plays all seeds of the rows before it fails: what one breaks hides nothing of the others. */
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -29,16 +29,16 @@
   world_set_up(5, 0);
   world_large(machines);
   world_start_nodes();
-  world_machines_up(0, machines / 2);
-  world_machines_up(1, machines / 2);
+  world_add_machines(0, machines / 2);
+  world_add_machines(1, machines / 2);
   scene_submit_services(services, 6, 0.02);
   world_submit("job-000500", "sweep", "standard", 150, 1, 1e6, 10);
   sim_run_until(sim_now() + 40);
-  assert_int_equal(world_so_far().starts, services * 6 + 150);
+  assert_int_equal(world_current_result().starts, services * 6 + 150);
   /* Idle: views hold no machines, and few workers are called. */
-  fc_counters before = world_counts(0);
+  fc_counters before = world_counters(0);
   sim_run_until(sim_now() + 20);
-  fc_counters after = world_counts(0);
+  fc_counters after = world_counters(0);
   assert_true(after.exchanges > before.exchanges);
   assert_true(after.machines_sent - before.machines_sent <= after.exchanges - before.exchanges);
   assert_true(after.heartbeats - before.heartbeats > machines / 3);
@@ -52,12 +52,12 @@
   world_submit("job-000602", "gang", "high", 16, 4, 1e6, 0);
   double asked = sim_now(); /* two of three tries go to nobody */
   sim_run_until(asked + 60);
-  assert_int_equal(world_ask(0, "/api/jobs/job-000000"), 200);
+  assert_int_equal(world_get_status(0, "/api/jobs/job-000000"), 200);
   for (unsigned k = 600; k <= 602; k++) {
     const char *id = world_id(k);
-    check_row(id, world_began(id) > 0);
+    check_row(id, world_began_at(id) > 0);
   }
-  after = world_counts(0);
+  after = world_counters(0);
   assert_true(after.heartbeats - before.heartbeats > (uint64_t)machines * 20);
   sim_run_until(sim_now() + 45);
   /* All restart at once. */
@@ -65,8 +65,8 @@
   sim_run_until(sim_now() + 8);
   world_submit("job-000700", "sweep", "standard", 150, 1, 1e6, 0);
   sim_run_until(sim_now() + 15);
-  assert_true(world_began("job-000700") > 0);
-  world_result r = world_so_far();
+  assert_true(world_began_at("job-000700") > 0);
+  world_result r = world_current_result();
   if (r.broken) fail_msg("%s", r.first);
   assert_int_equal(r.lease_kills, 0);
   /* Started once each. */
@@ -97,18 +97,18 @@
     sim_run_until(from + 10);
     if (rows[i].crash) world_crash(0, 4);
     for (int k = 0; k < 6; k++) {
-      if (rows[i].take_spot) (void)world_give_notice(5);
+      if (rows[i].take_spot) (void)world_preempt_any_spot(5);
       sim_run_until(sim_now() + 10);
     }
     sim_run_until(from + 240);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     for (unsigned g = 1; g <= rows[i].gangs; g++) {
       const char *id = world_id(g);
-      print_message("%s: gang %u began after %.1f s\n", rows[i].name, g, world_began(id) - from);
-      check_row(rows[i].name, world_began(id) > 0);
+      print_message("%s: gang %u began after %.1f s\n", rows[i].name, g, world_began_at(id) - from);
+      check_row(rows[i].name, world_began_at(id) > 0);
     }
-    check_row(rows[i].name, world_began("job-000003") > 0);
+    check_row(rows[i].name, world_began_at("job-000003") > 0);
   }
 }
 
@@ -124,18 +124,18 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_set_up(40 + (uint32_t)i, 0);
     world_start_nodes();
-    world_machines_up(0, 3);
-    world_machines_up(1, 3);
+    world_add_machines(0, 3);
+    world_add_machines(1, 3);
     submit_alike(6, "service", "prod", 1);
     sim_run_until(sim_now() + 40);
-    unsigned starts = world_so_far().starts;
+    unsigned starts = world_current_result().starts;
     assert_int_equal(starts, 12);
     world_partition_node(rows[i].node, rows[i].for_s);
     sim_run_until(sim_now() + 12);
-    check_row(rows[i].name, world_ask(rows[i].node, "/ready") == 503);
+    check_row(rows[i].name, world_get_status(rows[i].node, "/ready") == 503);
     sim_run_until(sim_now() + rows[i].for_s + 20);
-    check_row(rows[i].name, world_ask(rows[i].node, "/ready") == 200);
-    world_result r = world_so_far();
+    check_row(rows[i].name, world_get_status(rows[i].node, "/ready") == 200);
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     check_row(rows[i].name, r.lease_kills == 0);
     check_row(rows[i].name, r.starts == starts); /* no restarts */
@@ -162,10 +162,10 @@
     sim_run_until(sim_now() + 30);
     for (unsigned n = 0; n < rows[i].nodes_down; n++) world_crash(n, 1e6);
     sim_run_until(sim_now() + 30 * rows[i].nodes_down);
-    unsigned starts = world_so_far().starts;
+    unsigned starts = world_current_result().starts;
     world_cut_inbound(rows[i].from, rows[i].to, rows[i].for_s);
     sim_run_until(sim_now() + 40);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     print_message("%s: %u returned, %u started anew\n", rows[i].name,
                   world_terminated_machines(rows[i].from, rows[i].to), r.starts - starts);
@@ -199,13 +199,13 @@
                                .in_s = 5,
                                .every_s = 0.1});
     sim_run_until(sim_now() + 20);
-    world_kill(0, rows[i].dead);
+    world_terminate_machines(0, rows[i].dead);
     for (unsigned n = 0; n < rows[i].crashes; n++) {
       world_crash(n, 4);
       sim_run_until(sim_now() + 10);
     }
     sim_run_until(sim_now() + rows[i].within_s);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     print_message("%s: %u of 14 done\n", rows[i].name, r.finished);
     check_row(rows[i].name, r.finished == 14);
@@ -237,10 +237,10 @@
     sim_run_until(sim_now() + 30);
     check_row(rows[i].name, world_terminated_machines(rows[i].in_a, all) == 0);
     sim_run_until(sim_now() + 25);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
-    print_message("%s: %u tasks run, %u started\n", rows[i].name, world_running(), r.starts);
-    check_row(rows[i].name, world_running() == 24);
+    print_message("%s: %u tasks run, %u started\n", rows[i].name, world_running_tasks(), r.starts);
+    check_row(rows[i].name, world_running_tasks() == 24);
   }
 }
 
@@ -262,11 +262,11 @@
     for (unsigned n = 0; n < (rows[i].all ? 3 : 1); n++) world_pause_node(n, rows[i].for_s);
     submit_small_arrays(20, 0.5);
     sim_run_until(sim_now() + rows[i].for_s + 60);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
     check_row(rows[i].name, r.lease_kills == 0);
     check_row(rows[i].name, r.finished == 20);
-    check_row(rows[i].name, world_running() == 24);
+    check_row(rows[i].name, world_running_tasks() == 24);
   }
 }
 
@@ -278,17 +278,18 @@
   world_set_up(95, 0);
   world_large(machines);
   world_start_nodes();
-  world_machines_up(0, machines / 2);
-  world_machines_up(1, machines / 2);
+  world_add_machines(0, machines / 2);
+  world_add_machines(1, machines / 2);
   submit_alike(10, "service", "prod", 1e6);
   sim_run_until(sim_now() + 25);
   world_crash(1, 8);
   sim_run_until(sim_now() + 8);
-  uint64_t before = world_counts(0).worker_calls + world_counts(2).worker_calls;
+  uint64_t before = world_counters(0).worker_calls + world_counters(2).worker_calls;
   sim_run_until(sim_now() + 30);
-  uint64_t asked = world_counts(0).worker_calls + world_counts(1).worker_calls + world_counts(2).worker_calls - before;
+  uint64_t asked =
+      world_counters(0).worker_calls + world_counters(1).worker_calls + world_counters(2).worker_calls - before;
   print_message("%u machines, %u direct calls\n", machines, (unsigned)asked);
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   if (r.broken) fail_msg("%s", r.first);
   assert_int_equal(r.lease_kills, 0);
   /* Each is fenced once in the new term, and about a third return from a peer. */
--- a/tests/test_small.c
+++ b/tests/test_small.c
@@ -22,27 +22,27 @@
   submit_arrays(first, jobs, 1.0 / jobs, 20);
   sim_run_until(m.at + 60);
   print_since(name, phase, &m);
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   check_row(name, r.accepted - m.r.accepted == jobs);
   check_row(name, r.finished - m.r.finished == jobs);
   check_row(name, r.unanswered == m.r.unanswered);
   check_row(name, r.lease_kills == 0);
-  check_row(name, world_terms() == m.terms);
+  check_row(name, world_terms_written() == m.terms);
 }
 
 static void play_all_on_one(const char *name, unsigned jobs) {
   mark m = mark_now();
   world_crash(1, 90);
   world_crash(2, 90);
-  world_users_to(0);
+  world_set_users_node(0);
   sim_run_until(m.at + 30);
   print_since(name, "all workers on one", &m);
-  check_row(name, world_ask(0, "/ready") == 200);
-  check_row(name, world_so_far().lease_kills == 0);
+  check_row(name, world_get_status(0, "/ready") == 200);
+  check_row(name, world_current_result().lease_kills == 0);
   play_burst(name, "burst on one", 2000, jobs);
-  world_users_to(-1);
+  world_set_users_node(-1);
   sim_run_until(m.at + 90 + SETTLE_S);
-  check_row(name, world_so_far().lease_kills == 0);
+  check_row(name, world_current_result().lease_kills == 0);
 }
 
 /* Start, a burst of submissions, all workers on one controller, and a restart of all controllers. */
@@ -65,21 +65,21 @@
     unsigned tasks = services(0, rows[i].machines / 4, 0.1);
     world_checks_from(SETTLE_S);
     sim_run_until(sim_now() + SETTLE_S);
-    check_row(name, world_so_far().starts == tasks);
+    check_row(name, world_current_result().starts == tasks);
     mark m = mark_now();
     sim_run_until(m.at + 20);
     print_since(name, "idle", &m);
-    check_row(name, world_so_far().unanswered == 0);
-    check_row(name, world_terms() == m.terms); /* no member was removed */
+    check_row(name, world_current_result().unanswered == 0);
+    check_row(name, world_terms_written() == m.terms); /* no member was removed */
     play_burst(name, "burst", 1000, rows[i].play_burst);
     play_all_on_one(name, rows[i].play_burst);
     for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
     sim_run_until(sim_now() + 90);
     world_checks_end();
     check_rules(name);
-    check_row(name, world_unanswered(sim_now() - FORGOTTEN_S) == 0);
-    check_row(name, world_so_far().lease_kills == 0);
-    check_row(name, world_running() == tasks);
+    check_row(name, world_jobs_unanswered_since(sim_now() - FORGOTTEN_S) == 0);
+    check_row(name, world_current_result().lease_kills == 0);
+    check_row(name, world_running_tasks() == tasks);
   }
 }
 
--- a/tests/test_small_costs.c
+++ b/tests/test_small_costs.c
@@ -19,7 +19,7 @@
 } sample;
 
 static sample sample_now(unsigned node) {
-  return (sample){sim_load_of(WORLD_NODE_IP(node)), world_counts(node), heap_of(node)};
+  return (sample){sim_load_of(WORLD_NODE_IP(node)), world_counters(node), heap_of(node)};
 }
 
 /* Of the first controller while idle. */
@@ -109,9 +109,9 @@
   heap_mark();
   world_crash(1, 1e6);
   world_crash(2, 1e6);
-  world_users_to(0);
+  world_set_users_node(0);
   sim_run_until(sim_now() + 60);
-  assert_int_equal(world_running(), jobs * JOB_TASKS);
+  assert_int_equal(world_running_tasks(), jobs * JOB_TASKS);
   h.held = (double)heap_of(0).bytes;
   h.takeover_peak = (double)heap_of(0).peak;
   world_crash(0, 4);
@@ -144,7 +144,7 @@
   start_fleet(330, FLEET / 2, 0, 0, 0);
   for (unsigned k = 0; k < jobs; k++) world_submit(world_id(k), "sweep", "standard", 4, 1, 8, RECORDED_S + k * 0.25);
   sim_run_until(sim_now() + RECORDED_S + jobs * 0.25 + 45);
-  assert_int_equal(world_so_far().finished, jobs);
+  assert_int_equal(world_current_result().finished, jobs);
   check_rules("jobs that are over");
   return (double)heap_of(0).bytes;
 }
@@ -169,8 +169,8 @@
   world_set_up(320, 0);
   world_large(FLEET / 2); /* jobs are archived after 20 s */
   world_start_nodes();
-  world_machines_up(0, FLEET / 4);
-  world_machines_up(1, FLEET / 4);
+  world_add_machines(0, FLEET / 4);
+  world_add_machines(1, FLEET / 4);
   stream(0, 800);
   double from = sim_now() + RECORDED_S;
   size_t held[4];
@@ -183,7 +183,7 @@
       held[i] = MAX(held[i], heap_of(0).bytes);
     }
   }
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message("%zu, %zu, %zu and %zu kB, %u jobs done\n", held[0] >> 10, held[1] >> 10, held[2] >> 10, held[3] >> 10,
                 r.finished);
   check_rules("a long day");
--- a/tests/test_small_requests.c
+++ b/tests/test_small_requests.c
@@ -89,7 +89,7 @@
   sim_run_until(sim_now() + SETTLE_S);
   world_crash(1, 1e6);
   world_crash(2, 1e6);
-  world_users_to(0);
+  world_set_users_node(0);
   sim_run_until(sim_now() + 30);
   mark m = mark_now();
   flooding g = {.f = f, .until = sim_now() + FLOOD_S};
@@ -107,17 +107,17 @@
   print_since(f->name, "flood", &m);
   print_message("%s: %u of %u answered within %.2f s, %u refused within %.2f s, up to %zu routines\n", f->name,
                 g.answered, g.sent, g.longest_s, g.refused, g.refused_longest_s, most_routines);
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   if (*g.first_wrong) fail_msg("%s: %s", f->name, g.first_wrong);
   check_rules(f->name);
   check_row(f->name, g.answered == g.sent && g.longest_s <= f->within_s);
   check_row(f->name, g.refused_longest_s <= REFUSED_S);
   /* Other users are answered too. */
   check_row(f->name, r.status_answers + r.status_refusals - m.r.status_answers - m.r.status_refusals ==
-                         r.questions - m.r.questions);
-  check_row(f->name, r.lease_kills == 0 && r.lease_left_s >= LEASE_LEFT_S);
+                         r.status_requests - m.r.status_requests);
+  check_row(f->name, r.lease_kills == 0 && r.min_lease_left_s >= LEASE_LEFT_S);
   check_row(f->name, most_routines <= f->routines);
-  check_row(f->name, world_running() >= tasks);
+  check_row(f->name, world_running_tasks() >= tasks);
 }
 
 /* Statuses allowed, within: of what needs no read of the key-value store, a moment of a
--- a/tests/test_unused_shares.c
+++ b/tests/test_unused_shares.c
@@ -73,13 +73,13 @@
 
 static unsigned blue_arrays_done(void) {
   unsigned done = 0;
-  for (unsigned k = 0; k < ARRAYS; k++) done += world_ended_at(world_id(BLUE_ARRAY + k)) > 0;
+  for (unsigned k = 0; k < ARRAYS; k++) done += world_completed_at(world_id(BLUE_ARRAY + k)) > 0;
   return done;
 }
 
 /* Returns whether all arrays are done and none starved. */
 static bool arrays_went_on(const char *name, uint32_t seed) {
-  world_result r = world_so_far();
+  world_result r = world_current_result();
   print_message("%s, seed %u: %u of %u arrays done, %u broken %s\n", name, seed, blue_arrays_done(), ARRAYS, r.broken,
                 r.first);
   return r.broken == 0 && blue_arrays_done() == ARRAYS;
@@ -133,7 +133,7 @@
 
 static unsigned preempted_by_all(void) {
   unsigned preempted = 0;
-  for (unsigned node = 0; node < WORLD_NODES; node++) preempted += (unsigned)world_counts(node).preempted;
+  for (unsigned node = 0; node < WORLD_NODES; node++) preempted += (unsigned)world_counters(node).preempted;
   return preempted;
 }
 
@@ -166,7 +166,7 @@
     print_message("preempted for nothing, seed %u: %u preempted, %u starts of red's array\n", seed, preempted_by_all(),
                   world_starts_of(world_id(RED_ARRAY)));
     preempted += preempted_by_all();
-    assert_int_equal(world_so_far().broken, 0);
+    assert_int_equal(world_current_result().broken, 0);
   }
   assert_int_equal(preempted, 0);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -83,16 +83,16 @@
     if (row->trouble == CANCELLED)
       for (unsigned k = 1; k <= 2; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
     sim_run_until(sim_now() + 82);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     unsigned moved = 0;
     for (unsigned n = 0; n < WORLD_NODES; n++)
-      moved += (unsigned)(world_counts(n).handed_over + world_counts(n).machines_transferred);
+      moved += (unsigned)(world_counters(n).handed_over + world_counters(n).machines_transferred);
     print_message("%s: %u done, %u cancelled, %u handed over or lent, %u tasks ended by a lease\n", row->name,
                   r.finished, r.cancelled, moved, r.lease_kills);
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     check_row(row->name, r.finished == 5 && r.lease_kills == 0);
     check_row(row->name, r.cancelled == (row->trouble == CANCELLED ? 2 : 0));
-    check_row(row->name, world_running() == (SERVICES - r.cancelled) * 2);
+    check_row(row->name, world_running_tasks() == (SERVICES - r.cancelled) * 2);
   }
 }
 
@@ -120,10 +120,10 @@
   world_upgrade(2, 0.3);
   sim_run_until(sim_now() + 4);
   assert_int_equal(world_request(0, "POST", "/api/jobs", waits).status, 201);
-  for (unsigned n = 0; n < WORLD_NODES; n++) assert_int_equal(world_ask(n, "/api/jobs/job-000003"), 200);
+  for (unsigned n = 0; n < WORLD_NODES; n++) assert_int_equal(world_get_status(n, "/api/jobs/job-000003"), 200);
   g_free(waits);
   g_free(ready);
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 /* A controller that is rolled back starts none of the jobs with dependencies; they start once it is
@@ -143,16 +143,16 @@
                                     .in_s = 1,
                                     .dependencies = {world_id(k < 6 ? 1 : k - 4)}});
     sim_run_until(sim_now() + 6);
-    world_users_to((int)((back + 1) % WORLD_NODES)); /* the old version does not know the jobs */
+    world_set_users_node((int)((back + 1) % WORLD_NODES)); /* the old version does not know the jobs */
     world_downgrade(back, 0.5);
     sim_run_until(sim_now() + 30);
-    if (world_so_far().broken) fail_msg("%u back: %s", back, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%u back: %s", back, world_current_result().first);
     world_upgrade(back, 0.5);
     sim_run_until(sim_now() + 60);
     for (unsigned k = 1; k <= 9; k++)
       assert_true(world_seen_terminal_state(world_id(k)) &&
                   strcmp(world_seen_terminal_state(world_id(k)), "done") == 0);
-    if (world_so_far().broken) fail_msg("%u back: %s", back, world_so_far().first);
+    if (world_current_result().broken) fail_msg("%u back: %s", back, world_current_result().first);
   }
 }
 
@@ -183,7 +183,7 @@
                                     .cancel_in_s = k % 5 == 0 ? 1 : 0,
                                     .dependencies = {world_id(k - 20), world_id(k - 30)}});
     sim_run_until(sim_now() + 260);
-    world_result r = world_so_far();
+    world_result r = world_current_result();
     print_message("seed %u: %u done, %u cancelled of %u\n", seed, r.finished, r.cancelled, r.submitted);
     if (r.broken) fail_msg("seed %u: %s", seed, r.first);
     assert_int_equal(r.finished + r.cancelled, 50);
@@ -241,7 +241,7 @@
   g_free(body);
   sim_run_until(sim_now() + 25);
   assert_true(job_is("job-000004", "done"));
-  if (world_so_far().broken) fail_msg("%s", world_so_far().first);
+  if (world_current_result().broken) fail_msg("%s", world_current_result().first);
 }
 
 int main(void) {
