--- a/tests/sim/cancellations.c
+++ b/tests/sim/cancellations.c
@@ -53,10 +53,10 @@
          !task->job->cancel_requested;
 }
 
-/* Cancels up to `most` jobs with tasks on the machine; returns how many. */
-static unsigned cancel_on_machine(sim_worker *worker, unsigned most, double within_s, double hang_s) {
+/* Cancels up to `max_count` jobs with tasks on the machine; returns how many. */
+static unsigned cancel_on_machine(sim_worker *worker, unsigned max_count, double within_s, double hang_s) {
   unsigned count = 0;
-  for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < most; i++) {
+  for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < max_count; i++) {
     const sim_task *task = worker->tasks->pdata[i];
     if (!is_cancellable(task)) continue;
     cancel_in(task->job, -1, sim_draw(0, within_s));
@@ -77,23 +77,23 @@
 }
 
 typedef struct planned_burst {
-  sim_worker *on; /* NULL: any machine */
+  sim_worker *worker; /* NULL: any machine */
   unsigned count;
 } planned_burst;
 
 static void cancel_burst(void *arg) {
   planned_burst *planned = arg;
-  if (planned->on) {
-    (void)cancel_on_machine(planned->on, planned->count, BURST_WINDOW_S, 0);
+  if (planned->worker) {
+    (void)cancel_on_machine(planned->worker, planned->count, BURST_WINDOW_S, 0);
   } else {
     users_cancel_running(planned->count, BURST_WINDOW_S, 0);
   }
   g_free(planned);
 }
 
-static void cancel_burst_in(sim_worker *on, unsigned count, double in_s) {
+static void cancel_burst_in(sim_worker *worker, unsigned count, double in_s) {
   planned_burst *planned = g_new(planned_burst, 1);
-  *planned = (planned_burst){on, count};
+  *planned = (planned_burst){worker, count};
   sim_after(in_s, cancel_burst, planned);
 }
 
--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -154,9 +154,9 @@
          job->cancel_requested_at > job->seen_accepted_at + STARVATION_LIMIT_S;
 }
 
-static void check_served(const char *what, const char *name, GPtrArray *jobs, guint first) {
+static void check_served(const char *group, const char *name, GPtrArray *jobs, guint count) {
   unsigned all = 0, served = 0;
-  for (guint i = 0; i < first; i++) {
+  for (guint i = 0; i < count; i++) {
     const sim_job *job = jobs->pdata[i];
     all += counts_as_waiting(job);
     served += counts_as_waiting(job) && job->began_at > 0;
@@ -164,7 +164,7 @@
   if (all > 0) g_result.min_served_percent = MIN(g_result.min_served_percent, 100 * served / all);
   if (served * 2 >= all) return;
   char detail[160];
-  g_snprintf(detail, sizeof detail, "%s %s: %u of %u", what, name, served, all);
+  g_snprintf(detail, sizeof detail, "%s %s: %u of %u", group, name, served, all);
   world_rule_broken("fewer than half began", detail);
 }
 
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -12,7 +12,7 @@
   g_down = down;
 }
 
-static unsigned rented(int zone, bool spot) {
+static unsigned count_rented(int zone, bool spot) {
   unsigned count = 0;
   for (guint i = 0; i < g_worker_list->len; i++) {
     sim_worker *worker = g_worker_list->pdata[i];
@@ -29,9 +29,9 @@
     int zone = strcmp(json_string_value(json_object_get(message, "ground")), "a") == 0 ? 0 : 1;
     bool spot = json_is_true(json_object_get(message, "loaners"));
     json_int_t count = json_integer_value(json_object_get(message, "count"));
-    unsigned most = spot ? g_zone_spot_capacity : g_zone_capacity;
+    unsigned capacity = spot ? g_zone_spot_capacity : g_zone_capacity;
     json_t *ids = json_array();
-    while (count-- > 0 && rented(zone, spot) < most) {
+    while (count-- > 0 && count_rented(zone, spot) < capacity) {
       double boot = sim_chance(NEVER_BOOTS_SHARE) ? NEVER_BOOTS_S : sim_draw(0.5, 20);
       json_array_append_new(ids, json_string(worker_new(zone, spot, boot)->id));
     }
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -20,7 +20,7 @@
 } kv_limits;
 
 static kv_limits g_initial_limits, g_announced_limits;
-enum { PRESENT_VERSION, FORMER_VERSION };
+enum { CURRENT_VERSION, FORMER_VERSION };
 static bool g_former[WORLD_NODES];
 
 fc_settings *deployment_settings(unsigned node) {
@@ -189,7 +189,7 @@
 
 unsigned deployment_version_at(uint32_t ip) {
   int node = links_controller_at(ip);
-  return node >= 0 && g_former[node] ? FORMER_VERSION : PRESENT_VERSION;
+  return node >= 0 && g_former[node] ? FORMER_VERSION : CURRENT_VERSION;
 }
 
 /* Uses the version that sent the request, not the one that runs there when it arrives: transactions of
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -24,8 +24,8 @@
   *to = all;
   if (all == 0 || sim_chance(0.15)) return;
   *from = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)all);
-  unsigned few = (unsigned)sim_draw(1, 5);
-  *to = MIN(all, *from + few);
+  unsigned count = (unsigned)sim_draw(1, 5);
+  *to = MIN(all, *from + count);
 }
 
 static void lose_outbound(void) {
@@ -157,7 +157,7 @@
   next_leader_change(GUINT_TO_POINTER(LEADER_CHANGES));
 }
 
-/* Heartbeats with the present status arrive after a crash, possibly at new owners of the machines. */
+/* Heartbeats with the current status arrive after a crash, possibly at new owners of the machines. */
 static void deliver_heartbeats_late(void) {
   unsigned node = random_node(), from, to;
   draw_machines(&from, &to);
@@ -231,11 +231,11 @@
 };
 
 static void begin_incident(void *arg) {
-  unsigned which = GPOINTER_TO_UINT(arg);
+  unsigned index = GPOINTER_TO_UINT(arg);
   if (sim_now() > g_last_incident_at) return;
   g_result.faults++;
-  if (g_verbose) g_printerr("%.2f incident: %s\n", sim_now(), k_incidents[which].name);
-  k_incidents[which].begin_incident();
+  if (g_verbose) g_printerr("%.2f incident: %s\n", sim_now(), k_incidents[index].name);
+  k_incidents[index].begin_incident();
 }
 
 static void begin_some_incidents(void *arg) {
@@ -243,8 +243,8 @@
   if (sim_now() > g_last_incident_at) return;
   unsigned count = 1 + (unsigned)sim_draw(0, 3);
   for (unsigned i = 0; i < count; i++) {
-    guint which = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_incidents));
-    sim_after(i == 0 ? 0 : sim_draw(0, OVERLAP_S), begin_incident, GUINT_TO_POINTER(which));
+    guint index = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_incidents));
+    sim_after(i == 0 ? 0 : sim_draw(0, OVERLAP_S), begin_incident, GUINT_TO_POINTER(index));
   }
   sim_after(sim_draw(4, 40), begin_some_incidents, NULL);
 }
--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -110,14 +110,14 @@
   const char *id;
   int index; /* -1: any */
   unsigned count;
-  const sim_worker *on; /* the last machine found */
+  const sim_worker *worker; /* the last machine found */
 } task_search;
 
 static void count_task(sim_worker *worker, sim_task *task, void *arg) {
   task_search *search = arg;
   if (strcmp(task->job_id, search->id) != 0 || (search->index >= 0 && task->index != (unsigned)search->index)) return;
   search->count++;
-  search->on = worker;
+  search->worker = worker;
 }
 
 unsigned world_tasks_of(const char *id) {
@@ -135,5 +135,5 @@
   task_search search = {.id = id, .index = (int)index};
   tasks_each_resident(count_task, &search);
   guint machine;
-  return search.on && g_ptr_array_find(g_worker_list, search.on, &machine) ? (int)machine : -1;
+  return search.worker && g_ptr_array_find(g_worker_list, search.worker, &machine) ? (int)machine : -1;
 }
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -66,11 +66,11 @@
 
 /* Heartbeats arrive, but replies and commands don't; at one machine, sometimes at all. */
 static void lose_inbound(double until) {
-  bool many = sim_chance(0.15);
+  bool all = sim_chance(0.15);
   for (guint i = 0; i < g_worker_list->len; i++) {
-    sim_worker *worker = many ? g_worker_list->pdata[i] : random_worker();
+    sim_worker *worker = all ? g_worker_list->pdata[i] : random_worker();
     worker->inbound_lost_until = until;
-    if (!many) break;
+    if (!all) break;
   }
 }
 
--- a/tests/sim/random_jobs.c
+++ b/tests/sim/random_jobs.c
@@ -55,7 +55,7 @@
   double from_s = sim_draw(0, busy_s);
   unsigned count = 2 + (unsigned)sim_draw(0, 5);
   bool cancelled = sim_chance(0.25);
-  unsigned which = (unsigned)sim_draw(0, count);
+  unsigned cancelled_stage = (unsigned)sim_draw(0, count);
   sim_job *earlier = sim_chance(0.3) ? random_earlier_job() : NULL;
   if (earlier) g_ptr_array_add(stages, earlier);
   for (unsigned i = 0; i < count; i++) {
@@ -66,7 +66,7 @@
       job->priority = "high";
       job->deadline_s = sim_draw(30, 120);
     }
-    if (cancelled && i == which) job->cancel_delay_s = sim_draw(0, 30);
+    if (cancelled && i == cancelled_stage) job->cancel_delay_s = sim_draw(0, 30);
     job_add(job, (number + i) % IMAGES);
     g_ptr_array_add(stages, job);
   }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -30,13 +30,13 @@
   unsigned crashes, faults;
   unsigned late_starts;                      /* of tasks, after the user saw the job cancelled */
   unsigned invalid_requests;                 /* requests that must be refused or change nothing */
-  unsigned min_served_percent;               /* percent: the lowest share of jobs of a kind or team, or of the
-                                              * largest of a kind, that began */
+  unsigned min_served_percent;               /* the lowest share that began of the jobs of a kind or team, or of the
+                                              * largest jobs of a kind */
   unsigned starts_after_done;                /* starts of tasks that had completed before */
   unsigned submissions, unanswered, refused; /* sent; not answered; answered with 429 or 503 */
   double min_lease_left_s;                   /* the shortest remaining lease of a running worker */
   unsigned over_rate;                        /* transactions that the key-value store refused for their rate */
-  unsigned status_requests, status_answers, status_refusals; /* status requests; answered with 200; with 503 */
+  unsigned status_requests, status_answers, status_refusals; /* ended; answered with 200; with 503 */
 } world_result;
 
 world_result world_current_result(void);
@@ -47,7 +47,7 @@
 typedef struct world_day {
   bool overlapping_faults; /* add incidents that overlap */
   bool pipelines;          /* add jobs that depend on others */
-  bool upgrade;            /* controllers start with the previous version and are upgraded one by one */
+  bool upgrade;            /* controllers start with the former version and are upgraded one by one */
 } world_day;
 
 /* Simulates one day with the jobs and faults that follow from the seed; jobs are submitted during the
@@ -146,7 +146,7 @@
  * key-value store, and don't report the formats that they read. To be called after
  * world_kv_announce_limits() and before they start. */
 void world_former_version(void);
-/* Both kill the controller; it restarts with the current or the previous version after back_in_s. */
+/* Both kill the controller; it restarts with the current or the former version after back_in_s. */
 void world_upgrade(unsigned node, double back_in_s);
 void world_downgrade(unsigned node, double back_in_s);
 bool world_is_former(unsigned node);
@@ -200,7 +200,7 @@
  * false if there is none. */
 bool world_preempt_any_spot(double in_s);
 void world_preempt_machine(unsigned machine, double in_s);
-/* Delivers a heartbeat with the machine's present status to the controller after in_s. */
+/* Delivers a heartbeat with the machine's current status to the controller after in_s. */
 void world_duplicate_heartbeat(unsigned machine, unsigned node, double in_s);
 void world_cloud_down(bool down); /* it answers every request with 503 */
 
@@ -226,7 +226,7 @@
 
 /* Records a violation of the rule; detail: what violated it. */
 void world_rule_broken(const char *rule, const char *detail);
-/* Whether a controller of the previous version sent the request. */
+/* Whether a controller of the former version sent the request. */
 bool world_sent_by_former(const struct sim_exchange *exchange);
 /* Whether the key-value store refuses the sender of the request. */
 bool world_kv_refuses(const struct sim_exchange *exchange);
