--- a/tests/sim/cancellations.c
+++ b/tests/sim/cancellations.c
@@ -1,12 +1,12 @@
-/* When users cancel: one job, some of those that run, those of a machine, or a job at the very
- * moment at which it completes. */
+/* Cancellations by users: of one job, of some running jobs, of the jobs on a machine, and of jobs that
+ * are just completing. */
 #include "users.h"
 
-#define SAME_MOMENT_S 0.2 /* cancellations of several jobs are sent within */
+#define BURST_WINDOW_S 0.2 /* the cancellations of a burst are sent within it */
 
 double g_cancel_on_completion_share;
 
-void world_cancel_at_end(double share) {
+void world_cancel_on_completion(double share) {
   g_cancel_on_completion_share = share;
 }
 
@@ -17,11 +17,11 @@
 
 static void cancel_planned(void *arg) {
   planned_cancellation *planned = arg;
-  user_cancel_by(planned->job, planned->node >= 0 ? planned->node : world_any_node());
+  user_cancel_by(planned->job, planned->node >= 0 ? planned->node : world_random_node());
   g_free(planned);
 }
 
-/* Cancels the job later by that controller first; -1: by any. */
+/* Cancels the job after in_s, through that controller first; -1: any. */
 static void cancel_in(sim_job *job, int node, double in_s) {
   planned_cancellation *planned = g_new(planned_cancellation, 1);
   *planned = (planned_cancellation){job, node};
@@ -35,36 +35,36 @@
 void users_job_completed(sim_job *job) {
   job->completed_at = sim_now();
   if (g_cancel_on_completion_share <= 0 || !sim_chance(g_cancel_on_completion_share)) return;
-  /* Its user cancels it, asks for it and submits it again. */
+  /* The user cancels it, requests its status and submits it again at about the same time. */
   cancel_in(job, -1, sim_draw(0, 0.6));
-  user_ask_status(job, users_pick_node());
+  user_request_status(job, users_pick_node());
   user_repeat_submission(job, users_pick_node());
 }
 
 /* ---- running jobs ---- */
 
-static void hang_now(void *arg) {
+static void hang_machine(void *arg) {
   sim_worker *worker = arg;
   worker->hung_until = MAX(worker->hung_until, sim_now() + worker->planned_hang_s);
 }
 
-static bool may_cancel(const sim_task *task) {
+static bool is_cancellable(const sim_task *task) {
   return task->state != TASK_EXITED && task->job && task->job->seen_accepted && !task->job->terminal &&
          !task->job->cancel_requested;
 }
 
-/* Of the jobs with tasks on the machine, up to so many; returns how many. */
-static unsigned cancel_on_machine(sim_worker *worker, unsigned most, double within_s, double hang_s) {
+/* Cancels up to `max_count` jobs with tasks on the machine; returns how many. */
+static unsigned cancel_on_machine(sim_worker *worker, unsigned max_count, double within_s, double hang_s) {
   unsigned count = 0;
-  for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < most; i++) {
+  for (guint i = 0; !worker->terminated && i < worker->tasks->len && count < max_count; i++) {
     const sim_task *task = worker->tasks->pdata[i];
-    if (!may_cancel(task)) continue;
+    if (!is_cancellable(task)) continue;
     cancel_in(task->job, -1, sim_draw(0, within_s));
     count++;
   }
   if (count > 0 && hang_s > 0) {
     worker->planned_hang_s = hang_s;
-    sim_after(sim_draw(0, 1), hang_now, worker);
+    sim_after(sim_draw(0, 1), hang_machine, worker);
   }
   return count;
 }
@@ -77,23 +77,23 @@
 }
 
 typedef struct planned_burst {
-  sim_worker *on; /* NULL: any machine */
+  sim_worker *worker; /* NULL: any machine */
   unsigned count;
 } planned_burst;
 
 static void cancel_burst(void *arg) {
   planned_burst *planned = arg;
-  if (planned->on) {
-    (void)cancel_on_machine(planned->on, planned->count, SAME_MOMENT_S, 0);
+  if (planned->worker) {
+    (void)cancel_on_machine(planned->worker, planned->count, BURST_WINDOW_S, 0);
   } else {
-    users_cancel_running(planned->count, SAME_MOMENT_S, 0);
+    users_cancel_running(planned->count, BURST_WINDOW_S, 0);
   }
   g_free(planned);
 }
 
-static void cancel_burst_in(sim_worker *on, unsigned count, double in_s) {
+static void cancel_burst_in(sim_worker *worker, unsigned count, double in_s) {
   planned_burst *planned = g_new(planned_burst, 1);
-  *planned = (planned_burst){on, count};
+  *planned = (planned_burst){worker, count};
   sim_after(in_s, cancel_burst, planned);
 }
 
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -1,18 +1,18 @@
-/* A stand-in for the cloud: rents machines out while it has capacity; some of them never boot. */
+/* The simulated cloud: rents out machines while it has capacity; some of them never boot. */
 #include "stand_ins.h"
 
-#define NEVER_S 1e9
+#define NEVER_BOOTS_S 1e9
 #define NEVER_BOOTS_SHARE 0.05
-#define LIST_DELAY_S 10 /* a new machine is on the list so much later */
+#define LIST_DELAY_S 10 /* after its creation a machine is missing from the list for so long */
 
-static GHashTable *g_rentals; /* name of the request -> its reply */
+static GHashTable *g_rentals; /* name of the request -> reply (json_t), which is repeated for the same name */
 static bool g_down;
 
 void world_cloud_down(bool down) {
   g_down = down;
 }
 
-static unsigned rented(int zone, bool spot) {
+static unsigned count_rented(int zone, bool spot) {
   unsigned count = 0;
   for (guint i = 0; i < g_worker_list->len; i++) {
     sim_worker *worker = g_worker_list->pdata[i];
@@ -29,10 +29,10 @@
     int zone = strcmp(json_string_value(json_object_get(message, "ground")), "a") == 0 ? 0 : 1;
     bool spot = json_is_true(json_object_get(message, "loaners"));
     json_int_t count = json_integer_value(json_object_get(message, "count"));
-    unsigned most = spot ? g_zone_spot_capacity : g_zone_capacity;
+    unsigned capacity = spot ? g_zone_spot_capacity : g_zone_capacity;
     json_t *ids = json_array();
-    while (count-- > 0 && rented(zone, spot) < most) {
-      double boot = sim_chance(NEVER_BOOTS_SHARE) ? NEVER_S : sim_draw(0.5, 20);
+    while (count-- > 0 && count_rented(zone, spot) < capacity) {
+      double boot = sim_chance(NEVER_BOOTS_SHARE) ? NEVER_BOOTS_S : sim_draw(0.5, 20);
       json_array_append_new(ids, json_string(worker_new(zone, spot, boot)->id));
     }
     if (json_array_size(ids) > 0) {
@@ -64,13 +64,13 @@
   sim_answer(request->exchange, 200, "{}");
 }
 
-static void serve_list(const sim_request *request) {
+static void serve_machine_list(const sim_request *request) {
   json_t *list = json_array();
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
-    if (worker->terminated || sim_now() < worker->created_at + LIST_DELAY_S) continue; /* the list lags behind */
+    if (worker->terminated || sim_now() < worker->created_at + LIST_DELAY_S) continue;
     json_array_append_new(list, json_pack("{ss ss ss sb ss sf}", "id", worker->id, "build", "g4", "ground",
-                                          world_zones[worker->zone], "loaners", (int)worker->spot, "status",
+                                          k_zones[worker->zone], "loaners", (int)worker->spot, "status",
                                           worker->up ? "running" : "starting", "ageS", sim_now() - worker->created_at));
   }
   json_t *message = json_pack("{so sb}", "paddocks", list, "more", 0);
@@ -93,7 +93,7 @@
   } else if (strcmp(request->path, "/hosts/release") == 0) {
     serve_release(request);
   } else {
-    serve_list(request);
+    serve_machine_list(request);
   }
 }
 
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -1,26 +1,26 @@
-/* Settings of the simulated controllers, and the versions that they run: the former one knows
- * neither pipelines nor limits of the key-value store that are announced for later. */
+/* Settings of the simulated controllers, and the versions that they run. The former version knows
+ * neither pipelines nor announced limits of the key-value store. */
 #include "deployment.h"
 
 #include <arpa/inet.h>
 
 #include "stand_ins.h"
 
-#define KEEP_IDLE_SHARE 1e6    /* of idle machines: all */
-#define RETURN_IDLE_SHARE 0.01 /* of idle machines: none */
-#define DAY_OVER_KEEP_S 20     /* jobs are archived in the middle of the faults */
+#define KEEP_IDLE_SHARE 1e6    /* keeps all idle machines */
+#define RETURN_IDLE_SHARE 0.01 /* keeps no idle machine */
+#define DAY_OVER_KEEP_S 20     /* short, so that jobs are archived during faults */
 
 static fc_settings g_settings[WORLD_NODES];
 
 /* Limits of the key-value store. */
-typedef struct kv_sizes {
+typedef struct kv_limits {
   double value_kb;
   unsigned txn_ops;
   double write_rps;
-} kv_sizes;
+} kv_limits;
 
-static kv_sizes g_first_sizes, g_announced_sizes;
-enum { PRESENT_VERSION, FORMER_VERSION };
+static kv_limits g_initial_limits, g_announced_limits;
+enum { CURRENT_VERSION, FORMER_VERSION };
 static bool g_former[WORLD_NODES];
 
 fc_settings *deployment_settings(unsigned node) {
@@ -31,7 +31,7 @@
 
 /* The second controller is in the second zone. */
 static char *zone_name(int node) {
-  return (char *)world_zones[node == 1];
+  return (char *)k_zones[node == 1];
 }
 
 static void set_addresses(fc_settings *settings, int node) {
@@ -52,8 +52,8 @@
 
 static void set_zones_and_teams(fc_settings *settings) {
   settings->zone_count = ZONES;
-  settings->zones[0] = (char *)world_zones[0];
-  settings->zones[1] = (char *)world_zones[1];
+  settings->zones[0] = (char *)k_zones[0];
+  settings->zones[1] = (char *)k_zones[1];
   settings->team_count = 2;
   settings->teams[0] = (fc_team_settings){.name = (char *)"red", .gpus = 8};
   settings->teams[1] = (fc_team_settings){.name = (char *)"blue", .gpus = 6, .gpus_max = BLUE_GPUS_MAX};
@@ -75,7 +75,7 @@
   settings->fd_limit = 900;
 }
 
-static void set_usual(int node) {
+static void set_defaults(int node) {
   fc_settings *settings = &g_settings[node];
   memset(settings, 0, sizeof *settings);
   set_addresses(settings, node);
@@ -87,9 +87,10 @@
 
 void deployment_init(void) {
   memset(g_former, 0, sizeof g_former);
-  for (int node = 0; node < WORLD_NODES; node++) set_usual(node);
+  for (int node = 0; node < WORLD_NODES; node++) set_defaults(node);
   const fc_settings *settings = &g_settings[0];
-  g_first_sizes = g_announced_sizes = (kv_sizes){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
+  g_initial_limits = g_announced_limits =
+      (kv_limits){settings->kv_value_kb, settings->kv_txn_ops, settings->kv_write_rps};
 }
 
 void world_keep_idle(void) {
@@ -104,7 +105,7 @@
   for (int node = 0; node < WORLD_NODES; node++) g_settings[node].operator_settings.over_keep_s = for_s;
 }
 
-void world_limit(double cpus, double gpus) {
+void world_set_blue_quota(double cpus, double gpus) {
   for (int node = 0; node < WORLD_NODES; node++) {
     g_settings[node].teams[1].cpus_max = cpus;
     g_settings[node].teams[1].gpus_max = gpus;
@@ -129,7 +130,7 @@
   }
 }
 
-void world_lean(unsigned machines) {
+void world_large_constrained(unsigned machines) {
   world_large(machines);
   for (int node = 0; node < WORLD_NODES; node++) {
     fc_settings *settings = &g_settings[node];
@@ -139,17 +140,17 @@
     settings->memory_mb = 27;
     settings->cpu = 0.024;
     settings->fd_limit = 900;
-    fc_operator_settings usual;
-    fc_operator_defaults(&usual);
-    settings->operator_settings.over_keep_s = usual.over_keep_s;
+    fc_operator_settings defaults;
+    fc_operator_defaults(&defaults);
+    settings->operator_settings.over_keep_s = defaults.over_keep_s;
   }
 }
 
 /* ---- versions ---- */
 
-/* A version that doesn't know of announced limits takes the first ones for good. */
+/* A version without announced limits keeps to the initial ones. */
 static void set_known_limits(unsigned node) {
-  const kv_sizes *known = g_former[node] ? &g_first_sizes : &g_announced_sizes;
+  const kv_limits *known = g_former[node] ? &g_initial_limits : &g_announced_limits;
   fc_settings *settings = &g_settings[node];
   settings->kv_value_kb = known->value_kb;
   settings->kv_txn_ops = known->txn_ops;
@@ -158,9 +159,9 @@
 
 void world_kv_announce_limits(double value_kb, unsigned txn_ops, double write_rps) {
   const fc_settings *settings = &g_settings[0];
-  g_announced_sizes = (kv_sizes){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
-                                 MIN(settings->kv_write_rps, write_rps)};
-  kv_set_announced_limits(g_announced_sizes.value_kb, g_announced_sizes.txn_ops);
+  g_announced_limits = (kv_limits){MIN(settings->kv_value_kb, value_kb), MIN(settings->kv_txn_ops, txn_ops),
+                                   MIN(settings->kv_write_rps, write_rps)};
+  kv_set_announced_limits(g_announced_limits.value_kb, g_announced_limits.txn_ops);
   for (unsigned node = 0; node < WORLD_NODES; node++) set_known_limits(node);
 }
 
@@ -188,11 +189,11 @@
 
 unsigned deployment_version_at(uint32_t ip) {
   int node = links_controller_at(ip);
-  return node >= 0 && g_former[node] ? FORMER_VERSION : PRESENT_VERSION;
+  return node >= 0 && g_former[node] ? FORMER_VERSION : CURRENT_VERSION;
 }
 
-/* By the version that sent it, not by the one that runs there as it arrives: transactions of the former
- * version that came after its upgrade were judged by limits that it does not know. */
+/* Uses the version that sent the request, not the one that runs there when it arrives: transactions of
+ * the former version that arrived after its upgrade were checked against limits unknown to it. */
 bool world_sent_by_former(const struct sim_exchange *exchange) {
   return sim_sender_tag(exchange) == FORMER_VERSION;
 }
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -1,32 +1,31 @@
-/* Incidents that overlap: days with them draw one, two or three at a time, which begin within
- * seconds of each other. */
+/* Random incidents that overlap: one, two or three at a time start within seconds of each other. */
 #include "stand_ins.h"
 
-#define OVERLAP_S 4.0      /* incidents that are drawn together begin within */
-#define LEADER_CHANGES 10u /* in two minutes */
+#define OVERLAP_S 4.0      /* incidents of one group start within it */
+#define LEADER_CHANGES 10u /* of one incident, in about two minutes */
 
-static double g_last_incident_at; /* none begins after it */
+static double g_last_incident_at; /* none starts after it */
 
-/* Less than a worker's lease, more, or more than a cancellation may take. */
+/* Shorter than a worker's lease, longer, or longer than a cancellation may take. */
 static double random_length(void) {
   double choice = sim_draw(0, 1);
   if (choice < 0.4) return sim_draw(1, LEASE_S * 0.8);
   return choice < 0.75 ? sim_draw(LEASE_S, LEASE_S * 2) : sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4);
 }
 
-static unsigned any_node(void) {
-  return (unsigned)world_any_node();
+static unsigned random_node(void) {
+  return (unsigned)world_random_node();
 }
 
-/* One, a few neighbours, or now and then all. */
+/* Draws one machine, a few consecutive ones, or sometimes all. */
 static void draw_machines(unsigned *from, unsigned *to) {
   unsigned all = g_worker_list->len;
   *from = 0;
   *to = all;
   if (all == 0 || sim_chance(0.15)) return;
   *from = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)all);
-  unsigned few = (unsigned)sim_draw(1, 5);
-  *to = MIN(all, *from + few);
+  unsigned count = (unsigned)sim_draw(1, 5);
+  *to = MIN(all, *from + count);
 }
 
 static void lose_outbound(void) {
@@ -35,7 +34,7 @@
   world_cut_outbound(from, to, random_length());
 }
 
-/* Machines that hang later, by number. */
+/* Machines that will hang, by number. */
 typedef struct planned_hang {
   GArray *machines; /* unsigned */
   double for_s;
@@ -45,14 +44,14 @@
   planned_hang *hang = arg;
   for (guint i = 0; i < hang->machines->len; i++) {
     unsigned machine = g_array_index(hang->machines, unsigned, i);
-    world_hang(machine, machine + 1, hang->for_s);
+    world_hang_machines(machine, machine + 1, hang->for_s);
   }
   g_array_free(hang->machines, TRUE);
   g_free(hang);
 }
 
-/* Most machines reach no controller, while short jobs are started there by direct calls; about when
- * their leases expire they hang, with such calls under way, and go on in a later epoch. */
+/* Most machines reach no controller while short jobs are started on them by direct commands. At about the
+ * expiry of their leases they hang, with such commands in flight, and resume in a later epoch. */
 static void lose_outbound_then_hang(void) {
   planned_hang *hang = g_new(planned_hang, 1);
   hang->machines = g_array_new(FALSE, FALSE, sizeof(unsigned));
@@ -86,7 +85,7 @@
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, 0);
 }
 
-/* Their machines hang for seconds, or until their leases have long expired. */
+/* Their machines hang too, for seconds or possibly well past the expiry of their leases. */
 static void cancel_burst_and_hang(void) {
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : random_length());
 }
@@ -96,10 +95,10 @@
   world_kv_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
-/* The key-value store refuses one controller, users cancel, and a moment later nobody is
- * served. */
+/* The key-value store refuses one controller, users cancel jobs, and a moment later it is down for
+ * all. */
 static void refuse_one_then_outage(void) {
-  world_kv_refuse(any_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
+  world_kv_refuse(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
   while (at < in_s) {
@@ -109,47 +108,48 @@
   sim_after(in_s, begin_outage, NULL);
 }
 
-static void refuse_one(void) {
-  world_kv_refuse(any_node(), random_length());
+static void refuse_one_controller(void) {
+  world_kv_refuse(random_node(), random_length());
   if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, OVERLAP_S));
 }
 
 static void end_cancel_on_completion(void *arg) {
   (void)arg;
-  world_cancel_at_end(0);
+  world_cancel_on_completion(0);
 }
 
 static void cancel_on_completion(void) {
-  world_cancel_at_end(sim_draw(0.2, 0.8));
+  world_cancel_on_completion(sim_draw(0.2, 0.8));
   sim_after(random_length(), end_cancel_on_completion, NULL);
 }
 
-/* One controller and one worker; now and then users cancel jobs there. */
+/* Cuts the link between a controller and a worker; often users cancel jobs on that worker. */
 static void cut_controller_and_worker(void) {
   if (g_worker_list->len == 0) return;
-  unsigned node = any_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
+  unsigned node = random_node(), at = (unsigned)g_rand_int_range(sim_rand(), 0, (gint32)g_worker_list->len);
   world_cut_pair(node, at, random_length(), sim_chance(0.8) ? SIM_HELD : SIM_RESET);
   if (sim_chance(0.6)) users_cancel_on_machine_in(at, 2, sim_draw(0, OVERLAP_S));
 }
 
-/* A controller fails in one way or another: its shard moves to the others. */
-static void lose_one(void) {
+/* A controller crashes, is partitioned, is refused by the key-value store or pauses, so that its shard
+ * moves to the others. */
+static void fail_one_controller(void) {
   double choice = sim_draw(0, 5);
   if (choice < 2) {
-    world_crash(any_node(), sim_chance(0.3) ? sim_draw(0.05, 0.9) : sim_draw(2, 6));
+    world_crash(random_node(), sim_chance(0.3) ? sim_draw(0.05, 0.9) : sim_draw(2, 6));
   } else if (choice < 3) {
-    world_partition_node(any_node(), sim_draw(5, 11));
+    world_partition_node(random_node(), sim_draw(5, 11));
   } else if (choice < 4) {
-    world_kv_refuse(any_node(), sim_draw(5, 11));
+    world_kv_refuse(random_node(), sim_draw(5, 11));
   } else {
-    world_pause_node(any_node(), sim_draw(5, 11));
+    world_pause_node(random_node(), sim_draw(5, 11));
   }
 }
 
 static void next_leader_change(void *arg) {
   unsigned left = GPOINTER_TO_UINT(arg);
   if (left == 0 || sim_now() > g_last_incident_at) return;
-  lose_one();
+  fail_one_controller();
   sim_after(sim_draw(9, 15), next_leader_change, GUINT_TO_POINTER(left - 1));
 }
 
@@ -157,9 +157,9 @@
   next_leader_change(GUINT_TO_POINTER(LEADER_CHANGES));
 }
 
-/* Heartbeats of now arrive after a crash, at those that are leaders by then. */
+/* Heartbeats with the current status arrive after a crash, possibly at new owners of the machines. */
 static void deliver_heartbeats_late(void) {
-  unsigned node = any_node(), from, to;
+  unsigned node = random_node(), from, to;
   draw_machines(&from, &to);
   double back_in = sim_draw(0.1, LEASE_S * 1.5);
   double crash_in = sim_draw(0.1, 2);
@@ -176,16 +176,16 @@
   users_send_invalid(sim_now() + random_length());
 }
 
-/* It reaches only its workers and its users, and jobs are cancelled through the others. */
+/* A controller reaches only workers and users, while users cancel jobs. */
 static void isolate_controller(void) {
-  world_partition_node(any_node(), random_length());
+  world_partition_node(random_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
 }
 
-/* All crash; one of them is back within a second, or all of them are late. */
+/* All crash; either one of them is back within a second, or all stay down for longer. */
 static void crash_all(void) {
   bool soon = sim_chance(0.5);
-  unsigned first = any_node();
+  unsigned first = random_node();
   for (unsigned n = 0; n < WORLD_NODES; n++)
     world_crash(n, soon && n == first ? sim_draw(0.1, 1) : sim_draw(LEASE_S * 0.5, LEASE_S * 1.3));
 }
@@ -195,13 +195,13 @@
 }
 
 static void pause_one(void) {
-  world_pause_node(any_node(), random_length());
+  world_pause_node(random_node(), random_length());
 }
 
 static void lose_machines(void) {
   unsigned from, to;
   draw_machines(&from, &to);
-  world_kill(from, MIN(to, from + 3));
+  world_terminate_machines(from, MIN(to, from + 3));
 }
 
 static const struct {
@@ -215,27 +215,27 @@
     {"slow key-value store", slow_kv},
     {"cancellations", cancel_burst},
     {"cancellations, machines hang", cancel_burst_and_hang},
-    {"refused, then an outage", refuse_one_then_outage},
-    {"refused", refuse_one},
-    {"cancellations at the end", cancel_on_completion},
+    {"key-value store refuses one, then an outage", refuse_one_then_outage},
+    {"key-value store refuses one", refuse_one_controller},
+    {"cancellations on completion", cancel_on_completion},
     {"controller and worker cut off", cut_controller_and_worker},
     {"ten leader changes", change_leaders},
-    {"one lost", lose_one},
+    {"one controller fails", fail_one_controller},
     {"late heartbeats", deliver_heartbeats_late},
     {"invalid requests", send_invalid_requests},
     {"controller isolated", isolate_controller},
-    {"all crash", crash_all},
+    {"all controllers crash", crash_all},
     {"zone cut", cut_zone},
-    {"pause", pause_one},
-    {"machines lost", lose_machines},
+    {"controller pause", pause_one},
+    {"machines terminated", lose_machines},
 };
 
 static void begin_incident(void *arg) {
-  unsigned which = GPOINTER_TO_UINT(arg);
+  unsigned index = GPOINTER_TO_UINT(arg);
   if (sim_now() > g_last_incident_at) return;
   g_result.faults++;
-  if (g_verbose) g_printerr("%.2f incident: %s\n", sim_now(), k_incidents[which].name);
-  k_incidents[which].begin_incident();
+  if (g_verbose) g_printerr("%.2f incident: %s\n", sim_now(), k_incidents[index].name);
+  k_incidents[index].begin_incident();
 }
 
 static void begin_some_incidents(void *arg) {
@@ -243,19 +243,19 @@
   if (sim_now() > g_last_incident_at) return;
   unsigned count = 1 + (unsigned)sim_draw(0, 3);
   for (unsigned i = 0; i < count; i++) {
-    guint which = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_incidents));
-    sim_after(i == 0 ? 0 : sim_draw(0, OVERLAP_S), begin_incident, GUINT_TO_POINTER(which));
+    guint index = (guint)g_rand_int_range(sim_rand(), 0, G_N_ELEMENTS(k_incidents));
+    sim_after(i == 0 ? 0 : sim_draw(0, OVERLAP_S), begin_incident, GUINT_TO_POINTER(index));
   }
   sim_after(sim_draw(4, 40), begin_some_incidents, NULL);
 }
 
 void incidents_vary_job(sim_job *job) {
   bool sweep = strcmp(job->kind, "sweep") == 0, gang = strcmp(job->kind, "gang") == 0;
-  /* So that incidents hit jobs with a long time to run. Not the widest gangs: four of a thousand
-   * days had more work for the team with a quota than there was time. */
+  /* So that incidents affect jobs with a long remaining run time. Not the widest gangs: with them, four of
+   * a thousand days had more work for the team with a quota than could run in time. */
   bool longer = job->gpus < 2 && sim_chance(0.3);
   if (longer) job->run_s *= 3;
-  if (sim_chance(0.15)) job->zone = world_zones[g_rand_int_range(sim_rand(), 0, 2)];
+  if (sim_chance(0.15)) job->zone = k_zones[g_rand_int_range(sim_rand(), 0, 2)];
   if (job->zone) job->spread = false;
   if (sweep && sim_chance(0.2)) job->one_zone = true;
   if (sweep && !longer && sim_chance(0.2)) job->tasks += 12; /* more than one slice */
@@ -265,6 +265,6 @@
 double incidents_start(double end) {
   g_last_incident_at = end;
   sim_after(sim_draw(8, 20), begin_some_incidents, NULL);
-  /* The longest, and what is still held back then. */
+  /* The longest incident, and messages that are still held at its end. */
   return end + OVERLAP_S + CANCEL_DEADLINE_S * 1.6;
 }
--- a/tests/sim/kv_limits.c
+++ b/tests/sim/kv_limits.c
@@ -51,7 +51,7 @@
 
 void kv_check_announced_limits(const sim_request *request, const json_t *conditions, const json_t *changes) {
   const char *exceeded = exceeded_limit(request, conditions, changes, &g_announced_limits);
-  if (exceeded) world_broke("too large for the key-value store", exceeded);
+  if (exceeded) world_rule_broken("too large for the key-value store", exceeded);
 }
 
 bool kv_too_large(const sim_request *request, const json_t *conditions, const json_t *changes) {
--- a/tests/sim/machines.c
+++ b/tests/sim/machines.c
@@ -1,5 +1,5 @@
-/* Scenes' commands to simulated machines, and what scenes ask about them. Machines are numbered
- * in order of creation. */
+/* Control of simulated machines by scenes, and their state. Machines are numbered in order of
+ * creation. */
 #include "workers.h"
 
 static sim_worker *machine_at(unsigned number) {
@@ -16,11 +16,11 @@
   for (unsigned i = from; i < to; i++) machine_at(i)->outbound_lost_until = sim_now() + for_s;
 }
 
-void world_hang(unsigned from, unsigned to, double for_s) {
+void world_hang_machines(unsigned from, unsigned to, double for_s) {
   for (unsigned i = from; i < to; i++) machine_at(i)->hung_until = sim_now() + for_s;
 }
 
-void world_kill(unsigned from, unsigned to) {
+void world_terminate_machines(unsigned from, unsigned to) {
   for (unsigned i = from; i < to; i++) machine_at(i)->terminated = true;
 }
 
@@ -29,18 +29,18 @@
     if (!machine_at(i)->terminated) worker_restart_empty(machine_at(i));
 }
 
-void world_notice(unsigned machine, double in_s) {
+void world_preempt_machine(unsigned machine, double in_s) {
   sim_worker *worker = machine_at(machine);
   worker->preemption_notice_at = sim_now();
   worker->preempted_at = sim_now() + in_s;
   worker->status_changed = true;
 }
 
-bool world_give_notice(double in_s) {
+bool world_preempt_any_spot(double in_s) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     if (worker->terminated || !worker->up || !worker->spot || worker->tasks->len == 0) continue;
-    world_notice(i, in_s);
+    world_preempt_machine(i, in_s);
     return true;
   }
   return false;
@@ -53,15 +53,15 @@
   g_zone_spot_capacity = spot;
 }
 
-void world_machines_up(unsigned zone, unsigned count) {
+void world_add_machines(unsigned zone, unsigned count) {
   while (count-- > 0) (void)worker_new((int)zone, false, 0);
 }
 
-unsigned world_machines(void) {
+unsigned world_machine_count(void) {
   return g_worker_list->len;
 }
 
-/* ---- questions ---- */
+/* ---- state ---- */
 
 unsigned world_node_of(unsigned machine) {
   return (unsigned)machine_at(machine)->node;
@@ -83,41 +83,41 @@
   return count;
 }
 
-unsigned world_running(void) {
+unsigned world_running_tasks(void) {
   return count_tasks(TASK_RUNNING);
 }
 
-unsigned world_fetching(void) {
+unsigned world_fetching_tasks(void) {
   return count_tasks(TASK_FETCHING);
 }
 
-/* A machine that was returned is not taken back into use by a late heartbeat; its record is
- * removed a moment after its return. */
+/* The record of a machine is removed shortly after its return, and a late heartbeat must not register
+ * it again. */
 void world_check_released(void) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     char *key = g_strconcat("fc1/machine/", worker->id, NULL);
     if (worker->terminated && sim_now() > worker->released_at + HEARTBEAT_S * 2 && kv_has_key(key))
-      world_broke("returned machine on record", worker->id);
+      world_rule_broken("record left of a returned machine", worker->id);
     g_free(key);
   }
 }
 
-/* ---- questions about tasks ---- */
+/* ---- tasks of a job ---- */
 
-/* Tasks of a job that are on machines. */
+/* A search for tasks of a job on machines, and its result. */
 typedef struct task_search {
   const char *id;
   int index; /* -1: any */
   unsigned count;
-  const sim_worker *on; /* the last of their machines */
+  const sim_worker *worker; /* the last machine found */
 } task_search;
 
 static void count_task(sim_worker *worker, sim_task *task, void *arg) {
   task_search *search = arg;
   if (strcmp(task->job_id, search->id) != 0 || (search->index >= 0 && task->index != (unsigned)search->index)) return;
   search->count++;
-  search->on = worker;
+  search->worker = worker;
 }
 
 unsigned world_tasks_of(const char *id) {
@@ -135,5 +135,5 @@
   task_search search = {.id = id, .index = (int)index};
   tasks_each_resident(count_task, &search);
   guint machine;
-  return search.on && g_ptr_array_find(g_worker_list, search.on, &machine) ? (int)machine : -1;
+  return search.worker && g_ptr_array_find(g_worker_list, search.worker, &machine) ? (int)machine : -1;
 }
--- a/tests/sim/random_jobs.c
+++ b/tests/sim/random_jobs.c
@@ -1,13 +1,13 @@
 /* Random jobs and pipelines of a day. */
 #include "users.h"
 
-#define IMAGES 4u            /* container images that jobs have */
+#define IMAGES 4u            /* number of container images in use */
 #define JOB_NUMBER_STEP 7919 /* spreads the ids over the controllers' shards */
 #define JOB_NUMBERS 900000
 #define WIDE_GANG_GPUS 4
-#define BURST_JOB_SIZE 0.25   /* CPUs and GPUs */
-#define BURST_JOB_EVERY_S 0.5 /* on the average */
-#define LATE_STAGE_S 40       /* the stages before it may be done by then */
+#define BURST_JOB_SIZE 0.25      /* CPUs and GPUs */
+#define BURST_JOB_INTERVAL_S 0.5 /* mean */
+#define LATE_STAGE_DELAY_S 40    /* the earlier stages may be done by then */
 
 /* ---- pipelines ---- */
 
@@ -15,8 +15,8 @@
   return strcmp((*(sim_job *const *)left)->id, (*(sim_job *const *)right)->id);
 }
 
-/* An earlier job that may be needed; NULL: there is none. */
-static sim_job *any_earlier(void) {
+/* A random job of those so far that others can depend on; NULL: there is none. */
+static sim_job *random_earlier_job(void) {
   GPtrArray *jobs = g_ptr_array_new();
   GHashTableIter iter;
   gpointer value;
@@ -29,7 +29,7 @@
   return job;
 }
 
-/* One job of a pipeline, which needs the last of `before` and some of the others. */
+/* A job of a pipeline that depends on the last of `before` and some of the others. */
 static sim_job *new_stage(unsigned number, double submit_delay_s, const GPtrArray *before) {
   sim_job *job = g_new0(sim_job, 1);
   g_snprintf(job->id, sizeof job->id, "job-%06u", FIRST_PIPELINE_JOB + number);
@@ -44,9 +44,9 @@
   job->one_zone = gang;
   job->spot = !gang;
   job->submit_delay_s = submit_delay_s;
-  job->needs = g_ptr_array_new();
+  job->dependencies = g_ptr_array_new();
   for (guint i = 0; i < before->len; i++)
-    if (i + 1 == before->len || sim_chance(0.4)) g_ptr_array_add(job->needs, before->pdata[i]);
+    if (i + 1 == before->len || sim_chance(0.4)) g_ptr_array_add(job->dependencies, before->pdata[i]);
   return job;
 }
 
@@ -55,18 +55,18 @@
   double from_s = sim_draw(0, busy_s);
   unsigned count = 2 + (unsigned)sim_draw(0, 5);
   bool cancelled = sim_chance(0.25);
-  unsigned which = (unsigned)sim_draw(0, count);
-  sim_job *earlier = sim_chance(0.3) ? any_earlier() : NULL;
+  unsigned cancelled_stage = (unsigned)sim_draw(0, count);
+  sim_job *earlier = sim_chance(0.3) ? random_earlier_job() : NULL;
   if (earlier) g_ptr_array_add(stages, earlier);
   for (unsigned i = 0; i < count; i++) {
-    /* Some submit the last only when the others may be done. */
+    /* In some pipelines the last job is submitted only when the others may be done. */
     bool last = i + 1 == count;
-    sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_S : from_s, stages);
+    sim_job *job = new_stage(number + i, last && sim_chance(0.2) ? from_s + LATE_STAGE_DELAY_S : from_s, stages);
     if (last) {
       job->priority = "high";
       job->deadline_s = sim_draw(30, 120);
     }
-    if (cancelled && i == which) job->cancel_delay_s = sim_draw(0, 30);
+    if (cancelled && i == cancelled_stage) job->cancel_delay_s = sim_draw(0, 30);
     job_add(job, (number + i) % IMAGES);
     g_ptr_array_add(stages, job);
   }
@@ -87,12 +87,12 @@
 
 static unsigned random_tasks(const sim_job *job) {
   if (!is_kind(job, "sweep")) return 1 + (unsigned)sim_draw(0, 3);
-  /* The first factor is drawn first. */
+  /* Drawn before the second factor: C leaves the order of operands open. */
   double share = sim_draw(0, 1);
   return 1 + (unsigned)(share * sim_draw(0, 10));
 }
 
-/* Services are cancelled in the end, others now and then. */
+/* Services are always cancelled, as they never complete; others sometimes. */
 static void draw_cancellation(sim_job *job) {
   if (is_kind(job, "service")) {
     job->cancel_delay_s = sim_draw(20, 100);
@@ -124,7 +124,7 @@
 
 /* ---- bursts ---- */
 
-static unsigned g_burst_jobs; /* so far, of the day */
+static unsigned g_burst_jobs; /* submitted in bursts so far this day */
 
 void random_jobs_init(void) {
   g_burst_jobs = 0;
@@ -144,6 +144,6 @@
     job->spot = true;
     job->submit_delay_s = in_s;
     job_add(job, g_burst_jobs % IMAGES);
-    in_s += sim_draw(0, 2 * BURST_JOB_EVERY_S);
+    in_s += sim_draw(0, 2 * BURST_JOB_INTERVAL_S);
   }
 }
--- a/tests/sim/task_checks.c
+++ b/tests/sim/task_checks.c
@@ -1,16 +1,16 @@
-/* Rules about tasks on simulated machines: where and when one may start, that none outlasts its
- * job's cancellation, and that no job stays pending although it fits. */
+/* Rules for tasks on simulated machines: where and when a task may start, that none runs past the
+ * cancellation deadline of its job, and that no job stays pending although it fits. */
 #include "workers.h"
 
 #define PENDING_CHECK_S 1
 
 /* ---- starts ---- */
 
-/* What is on machines as a task starts, itself included. */
+/* What is on machines when a task starts, itself included. */
 typedef struct start_check {
   const sim_worker *worker;
   const sim_task *task;
-  double cpus, gpus;           /* of its team */
+  double cpus, gpus;           /* in use by its team */
   unsigned in_zone, elsewhere; /* tasks of its job */
 } start_check;
 
@@ -25,7 +25,7 @@
   if (other->index == check->task->index && (on != check->worker || other != check->task)) {
     char detail[160];
     g_snprintf(detail, sizeof detail, "%s/%u on %s and %s", other->job->id, other->index, on->id, check->worker->id);
-    world_broke("ran_twice", detail);
+    world_rule_broken("ran_twice", detail);
   }
   check->in_zone += on->zone == check->worker->zone;
   check->elsewhere += on->zone != check->worker->zone;
@@ -35,7 +35,7 @@
   g_result.starts++;
   job->starts++;
   job->last_started_at = sim_now();
-  g_result.done_starts += job->done[index];
+  g_result.starts_after_done += job->done[index];
   if (!job->first_started_at) job->first_started_at = sim_now();
   if (!job->began_at && strcmp(job->kind, "gang") != 0) job->began_at = sim_now();
 }
@@ -43,15 +43,16 @@
 static void check_start_place(const start_check *check) {
   const sim_job *job = check->task->job;
   const sim_worker *worker = check->worker;
-  if (strcmp(job->team, "blue") == 0 && check->gpus > BLUE_GPUS_MAX + ROUNDING) world_broke("quota", job->id);
-  if (worker->spot && !job->spot) world_broke("wrong_place", "spot");
-  if (job->one_zone && check->elsewhere > 0) world_broke("wrong_place", job->id);
-  if (job->spread && check->in_zone > (job->tasks + 1) / 2) world_broke("wrong_place", job->id);
+  if (strcmp(job->team, "blue") == 0 && check->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE)
+    world_rule_broken("quota", job->id);
+  if (worker->spot && !job->spot) world_rule_broken("task on a machine that its job excludes", "spot");
+  if (job->one_zone && check->elsewhere > 0) world_rule_broken("tasks in more than one zone", job->id);
+  if (job->spread && check->in_zone > (job->tasks + 1) / 2) world_rule_broken("too many tasks in one zone", job->id);
 }
 
 static void check_start_time(const sim_job *job) {
   if (job->seen_cancelled && sim_now() > job->seen_cancelled_at + CANCEL_DEADLINE_S)
-    world_broke("ran_cancelled", job->id);
+    world_rule_broken("task on a machine after its cancellation deadline", job->id);
   if (job->seen_cancelled) g_result.late_starts++;
 }
 
@@ -61,20 +62,20 @@
   start_check check = {.worker = worker, .task = task};
   tasks_each_resident(count_other_task, &check);
   if (g_verbose)
-    g_printerr("%.2f on machine %s/%u %s team=%s gpus=%.0f in use=%.0f\n", sim_now(), job->id, task->index, worker->id,
-               job->team, job->gpus, check.gpus);
+    g_printerr("%.2f task start %s/%u machine=%s team=%s gpus=%.0f team_gpus=%.0f\n", sim_now(), job->id, task->index,
+               worker->id, job->team, job->gpus, check.gpus);
   check_start_place(&check);
   check_start_time(job);
-  if (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0) world_broke("wrong_place", job->id);
-  if (!job->seen_accepted && !job->submitting) world_broke("invented", job->id);
-  if (isinf(job_ready_at(job))) world_broke("too_early", job->id);
+  if (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0) world_rule_broken("task in the wrong zone", job->id);
+  if (!job->seen_accepted && !job->submitting) world_rule_broken("task of a job that was not submitted", job->id);
+  if (isinf(job_ready_at(job))) world_rule_broken("task started before its dependencies were done", job->id);
 }
 
 void check_task_cancelled(const sim_task *task) {
   const sim_job *job = task->job;
   if (job && task->state != TASK_EXITED && task->state != TASK_FETCHING && job->seen_cancelled &&
       sim_now() > job->seen_cancelled_at + CANCEL_DEADLINE_S)
-    world_broke("ran_cancelled", job->id);
+    world_rule_broken("task on a machine after its cancellation deadline", job->id);
 }
 
 /* ---- pending jobs ---- */
@@ -82,13 +83,13 @@
 /* How many more tasks of the job fit on the machine. */
 static unsigned room_for(const sim_worker *worker, const sim_job *job) {
   if (worker->terminated || !worker->up || worker->hung_until > sim_now() || worker->preemption_notice_at > 0) return 0;
-  if ((worker->spot && !job->spot) || (job->zone && strcmp(job->zone, world_zones[worker->zone]) != 0)) return 0;
+  if ((worker->spot && !job->spot) || (job->zone && strcmp(job->zone, k_zones[worker->zone]) != 0)) return 0;
   double cpus, gpus;
   worker_free_room(worker, &cpus, &gpus);
-  return (unsigned)MAX(0, MIN(cpus / job->cpus, gpus / job->gpus) + ROUNDING);
+  return (unsigned)MAX(0, MIN(cpus / job->cpus, gpus / job->gpus) + ROUNDING_TOLERANCE);
 }
 
-/* Is a task of the job on a machine, or on the way there? */
+/* Whether a task of the job runs, waits or fetches its image on any machine. */
 static bool has_task_somewhere(const sim_job *job) {
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
@@ -111,13 +112,13 @@
   if (task->job && strcmp(task->job->team, use->team) == 0) use->gpus += task->job->gpus;
 }
 
-/* Could it begin now? Of a gang all tasks at once. */
+/* Whether a task of it fits now; for a gang, whether all tasks fit at once. */
 static bool could_begin(const sim_job *job) {
   bool gang = strcmp(job->kind, "gang") == 0;
   unsigned need = gang ? job->tasks : 1, room[ZONES] = {0, 0};
   team_use use = {.team = job->team};
   tasks_each_resident(add_team_use, &use);
-  if (strcmp(job->team, "blue") == 0 && use.gpus + need * job->gpus > BLUE_GPUS_MAX + ROUNDING) return false;
+  if (strcmp(job->team, "blue") == 0 && use.gpus + need * job->gpus > BLUE_GPUS_MAX + ROUNDING_TOLERANCE) return false;
   for (guint i = 0; i < g_worker_list->len; i++) {
     const sim_worker *worker = g_worker_list->pdata[i];
     room[worker->zone] += room_for(worker, job);
@@ -133,7 +134,7 @@
   } else if (!job->pending_since) {
     job->pending_since = sim_now();
   } else if (sim_now() > job->pending_since + PENDING_LIMIT_S) {
-    world_broke("pending although it fits", job->id);
+    world_rule_broken("pending although it fits", job->id);
   }
 }
 
--- a/tests/sim/tasks.c
+++ b/tests/sim/tasks.c
@@ -1,21 +1,21 @@
-/* Tasks on simulated machines: commands, image fetches, runs, and gangs, whose tasks begin and
- * complete together. */
+/* Tasks on simulated machines: commands, image fetches, runs, and gangs, whose tasks begin and complete
+ * together. */
 #include "workers.h"
 
-#define GANG_PEER_SHARE 0.8 /* of the time in which a missing task of a gang has to be noticed */
-#define FASTEST_IMAGE_FETCH_S 0.2
+#define GANG_PEER_SHARE 0.8 /* of GANG_PEER_S, after which a task detects the loss of another of its gang */
+#define IMAGE_FETCH_MIN_S 0.2
 
-static GHashTable *g_exits_by_cause; /* cause -> how many tasks have exited for it */
+static GHashTable *g_exits_by_cause; /* cause -> number of tasks that exited with it */
 
 void tasks_init(void) {
   g_exits_by_cause = g_hash_table_new(g_str_hash, g_str_equal);
 }
 
-unsigned world_ended(const char *cause) {
+unsigned world_exited_tasks(const char *cause) {
   return GPOINTER_TO_UINT(g_hash_table_lookup(g_exits_by_cause, cause));
 }
 
-static bool resident(const sim_worker *worker, const sim_task *task) {
+static bool is_resident(const sim_worker *worker, const sim_task *task) {
   if (worker->terminated || !worker->up) return false;
   if (task->state != TASK_WAITING && task->state != TASK_RUNNING) return false;
   return sim_now() <= worker->lease_renewed_at + LEASE_S;
@@ -26,7 +26,7 @@
     sim_worker *worker = g_worker_list->pdata[i];
     for (guint k = 0; k < worker->tasks->len; k++) {
       sim_task *task = worker->tasks->pdata[k];
-      if (resident(worker, task)) fn(worker, task, arg);
+      if (is_resident(worker, task)) fn(worker, task, arg);
     }
   }
 }
@@ -38,14 +38,14 @@
 
 /* ---- commands ---- */
 
-/* Which task a command is about. */
+/* The attempt of a task that a command names. */
 typedef struct task_name {
   char job_id[32];
   unsigned index;
   uint64_t attempt;
 } task_name;
 
-/* A new task on the machine; the state is the caller's to set. */
+/* Adds a task to the machine; the caller sets the state. */
 static sim_task *add_task(sim_worker *worker, const task_name *name) {
   sim_task *task = g_new0(sim_task, 1);
   g_strlcpy(task->job_id, name->job_id, sizeof task->job_id);
@@ -66,17 +66,17 @@
   sim_task *task = add_task(worker, name);
   task->state = TASK_FETCHING;
   task->ends_at = sim_now();
-  if (g_image_fetch_max_s > 0) task->ends_at += sim_draw(FASTEST_IMAGE_FETCH_S, g_image_fetch_max_s);
+  if (g_image_fetch_max_s > 0) task->ends_at += sim_draw(IMAGE_FETCH_MIN_S, g_image_fetch_max_s);
 }
 
 static void exit_task(sim_worker *worker, sim_task *task, const char *cause) {
-  g_hash_table_insert(g_exits_by_cause, (gpointer)cause, GUINT_TO_POINTER(world_ended(cause) + 1));
+  g_hash_table_insert(g_exits_by_cause, (gpointer)cause, GUINT_TO_POINTER(world_exited_tasks(cause) + 1));
   task->state = TASK_EXITED;
   task->cause = cause;
   worker->status_changed = true;
 }
 
-/* A repeated start is ignored; another attempt of a task that is here is refused. */
+/* A repeated start is ignored; another attempt of a task on this machine is refused. */
 static void start_task(sim_worker *worker, const task_name *name) {
   double cpus = MACHINE_CPUS, gpus = MACHINE_GPUS;
   for (guint i = 0; i < worker->tasks->len; i++) {
@@ -95,7 +95,7 @@
   worker->status_changed = true;
   if (!job) {
     add_exited(worker, name, "unknown");
-  } else if (job->cpus > cpus + ROUNDING || job->gpus > gpus + ROUNDING) {
+  } else if (job->cpus > cpus + ROUNDING_TOLERANCE || job->gpus > gpus + ROUNDING_TOLERANCE) {
     add_exited(worker, name, "no_room");
   } else {
     add_fetching(worker, name);
@@ -106,7 +106,7 @@
   return strcmp(task->job_id, name->job_id) == 0 && task->index == name->index && task->attempt == name->attempt;
 }
 
-/* Stops a task, or forgets one that has exited. */
+/* Stops a task, or removes one that has exited. */
 static void end_task(sim_worker *worker, const task_name *name, const char *command) {
   for (guint i = worker->tasks->len; i-- > 0;) {
     sim_task *task = worker->tasks->pdata[i];
@@ -144,16 +144,17 @@
 
 /* ---- runs ---- */
 
-/* How many tasks of a gang's attempt run or wait. */
-typedef struct gang_view {
+/* The number of tasks that run or wait in the same attempt of a gang. */
+typedef struct gang_presence {
   const sim_task *task; /* one of them */
   unsigned present;
-} gang_view;
+} gang_presence;
 
 static void count_gang_task(sim_worker *worker, sim_task *task, void *arg) {
-  gang_view *view = arg;
-  if (task->job != view->task->job || task->attempt != view->task->attempt || worker->hung_until > sim_now()) return;
-  view->present++;
+  gang_presence *presence = arg;
+  if (task->job != presence->task->job || task->attempt != presence->task->attempt || worker->hung_until > sim_now())
+    return;
+  presence->present++;
 }
 
 static void complete_task(sim_worker *worker, sim_task *task) {
@@ -176,7 +177,7 @@
   task->ends_at = sim_now() + job->run_s + job->stagger_s * task->index;
   worker->status_changed = true;
   check_task_start(worker, task);
-  /* The result of an earlier run is still there. */
+  /* The result of an earlier run is still available. */
   if (job->done[task->index]) complete_task(worker, task);
 }
 
@@ -213,12 +214,12 @@
 }
 
 static void gang_step(sim_worker *worker, sim_task *task) {
-  gang_view view = {.task = task};
-  tasks_each_resident(count_gang_task, &view);
+  gang_presence presence = {.task = task};
+  tasks_each_resident(count_gang_task, &presence);
   if (task->state == TASK_WAITING) {
-    waiting_gang_step(worker, task, view.present);
+    waiting_gang_step(worker, task, presence.present);
   } else {
-    running_gang_step(worker, task, view.present);
+    running_gang_step(worker, task, presence.present);
   }
 }
 
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -1,5 +1,5 @@
-/* The simulated deployment as a whole: what all stand-ins share, its set-up before a scene
- * or a day, and the record of the rules that were broken. */
+/* The simulated deployment as a whole: state that all stand-ins share, the set-up of a scene or a day,
+ * and the count of violated rules. */
 #include "deployment.h"
 #include "stand_ins.h"
 
@@ -10,29 +10,29 @@
 bool g_verbose;
 unsigned g_zone_capacity, g_zone_spot_capacity;
 
-const char *const world_zones[ZONES] = {"a", "b"};
+const char *const k_zones[ZONES] = {"a", "b"};
 
-/* Machines that the cloud has in a zone unless a scene says otherwise. */
-#define USUAL_CAPACITY 5
-#define USUAL_SPOT_CAPACITY 3
+/* Machines that the cloud has in each zone by default. */
+#define DEFAULT_CAPACITY 5
+#define DEFAULT_SPOT_CAPACITY 3
 
-int world_any_node(void) {
+int world_random_node(void) {
   return g_rand_int_range(sim_rand(), 0, WORLD_NODES);
 }
 
-void world_broke(const char *rule, const char *detail) {
+void world_rule_broken(const char *rule, const char *detail) {
   if (g_verbose) g_printerr("%.2f broke %s: %s\n", sim_now(), rule, detail);
   g_result.ran_twice += strcmp(rule, "ran_twice") == 0;
-  g_result.over_limit += strcmp(rule, "quota") == 0;
+  g_result.over_quota += strcmp(rule, "quota") == 0;
   if (g_result.broken++ == 0) g_snprintf(g_result.first, sizeof g_result.first, "%.2f %s: %s", sim_now(), rule, detail);
 }
 
-world_result world_so_far(void) {
+world_result world_current_result(void) {
   return g_result;
 }
 
-void world_watch_leases(void) {
-  g_result.lease_left_s = LEASE_S;
+void world_reset_min_lease_left(void) {
+  g_result.min_lease_left_s = LEASE_S;
 }
 
 void world_checks_from(double in_s) {
@@ -45,7 +45,7 @@
   checks_end();
 }
 
-/* With simulated time and the controller's number. */
+/* Writes a line with the simulated time and the controller's number. */
 static GLogWriterOutput log_line(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data) {
   (void)level;
   (void)data;
@@ -55,7 +55,7 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* With WORLD_VERBOSE set, the controllers' log goes to standard error. */
+/* With WORLD_VERBOSE set, the controllers' log is written to standard error. */
 static void set_up_logging(void) {
   static bool logging;
   g_verbose = g_getenv("WORLD_VERBOSE") != NULL;
@@ -66,9 +66,9 @@
 void world_set_up(uint32_t seed, double lose) {
   set_up_logging();
   memset(&g_result, 0, sizeof g_result);
-  world_watch_leases();
+  world_reset_min_lease_left();
   g_duplicate_share = g_faults_end_at = g_cancel_on_completion_share = 0;
-  world_capacity(USUAL_CAPACITY, USUAL_SPOT_CAPACITY);
+  world_capacity(DEFAULT_CAPACITY, DEFAULT_SPOT_CAPACITY);
   users_init();
   workers_init();
   controllers_init();
