--- a/tests/scene.h
+++ b/tests/scene.h
@@ -1,4 +1,5 @@
-/* How scenes over whole controllers begin: the deployment, its machines, and jobs alike. */
+/* Set-up that scenes (tests of whole controllers in the simulated world) have in common: the deployment,
+ * its machines, and series of similar jobs. */
 #ifndef FC_TESTS_SCENE_H
 #define FC_TESTS_SCENE_H
 
@@ -8,13 +9,13 @@
 
 typedef struct scene_setup {
   uint32_t seed;
-  unsigned capacity, spot_capacity; /* of a zone: machines that the cloud rents out */
+  unsigned capacity, spot_capacity; /* ordinary and spot machines that the cloud can rent out in each zone */
   bool keep_idle;                   /* idle machines are not returned */
-  bool images_cached;               /* no machine has to fetch an image */
-  unsigned machines[2];             /* by zone: ordinary ones that are there from the start */
+  bool images_cached;               /* machines have every container image */
+  unsigned machines[2];             /* by zone: ordinary machines that run from the start */
 } scene_setup;
 
-/* All that has to be said before the controllers start; scenes may add to it. */
+/* Everything that is set before the controllers start; a scene may set more before scene_start(). */
 static inline void scene_prepare(const scene_setup *setup) {
   world_set_up(setup->seed, 0);
   world_capacity(setup->capacity, setup->spot_capacity);
@@ -33,13 +34,13 @@
   scene_start(setup);
 }
 
-/* Jobs that differ in their ids and the time of their submission alone. */
+/* Jobs that differ only in their ids and submission times. */
 typedef struct scene_jobs {
-  unsigned first, count; /* numbers of their ids */
+  unsigned first, count; /* the number in the first id; the ids are consecutive */
   const char *kind, *priority;
   unsigned tasks;
   double gpus, run_s;
-  double in_s, every_s; /* the first is submitted in so long, each after it so much later */
+  double in_s, every_s; /* delay until the first submission; interval between submissions */
 } scene_jobs;
 
 static inline void scene_submit(const scene_jobs *jobs) {
@@ -48,8 +49,8 @@
                  jobs->in_s + k * jobs->every_s);
 }
 
-/* Services of priority prod whose tasks have a GPU each and run until they are cancelled; the first
- * is submitted in 5 s. */
+/* Services of priority prod with one GPU per task, which run until they are cancelled; the first is
+ * submitted in 5 s. */
 static inline void scene_submit_services(unsigned count, unsigned tasks, double every_s) {
   scene_submit(&(scene_jobs){.count = count,
                              .kind = "service",
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -1,5 +1,5 @@
-/* Replies of whole controllers to users, and failover of rentals and gangs; over the simulated
- * transport, so that response times can be measured. */
+/* Replies of whole controllers to users, with their response times; also a rental intent after a
+ * failover, and a gang on a machine with a spot notice. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -24,36 +24,36 @@
   static const struct {
     const char *name, *method, *path, *body;
     int node, status;
-    const char *says;
+    const char *body_contains;
   } rows[] = {
       {"a new job", "POST", "/api/jobs", k_job, 0, 201, "pending"},
-      {"the same to another controller", "POST", "/api/jobs", k_job, 1, 200, "\"id\":\"job-000001\""},
-      {"known, with another body", "POST", "/api/jobs", JOB("job-000001", "none", "99"), 2, 200, "job-000001"},
-      {"known, malformed otherwise", "POST", "/api/jobs", "{\"id\":\"job-000001\"}", 2, 200, "job-000001"},
+      {"the same job, on another controller", "POST", "/api/jobs", k_job, 1, 200, "\"id\":\"job-000001\""},
+      {"known id, with another body", "POST", "/api/jobs", JOB("job-000001", "none", "99"), 2, 200, "job-000001"},
+      {"known id, otherwise malformed", "POST", "/api/jobs", "{\"id\":\"job-000001\"}", 2, 200, "job-000001"},
       {"unknown team", "POST", "/api/jobs", JOB("job-000002", "none", "1"), 0, 422, "team"},
       {"fits no machine", "POST", "/api/jobs", JOB("job-000003", "red", "5"), 0, 422, "machine"},
       {"malformed", "POST", "/api/jobs", "{\"id\":\"job-000004\"}", 0, 400, "squad"},
       {"not JSON", "POST", "/api/jobs", "hello", 0, 400, "JSON"},
-      {"nobody's job", "GET", "/api/jobs/job-999999", "", 1, 404, ""},
-      {"refused jobs are nobody's", "GET", "/api/jobs/job-000002", "", 1, 404, ""},
-      {"asked at once elsewhere", "GET", "/api/jobs/job-000001", "", 2, 200, "\"done\":"},
+      {"unknown job", "GET", "/api/jobs/job-999999", "", 1, 404, ""},
+      {"a refused job is unknown", "GET", "/api/jobs/job-000002", "", 1, 404, ""},
+      {"queried at once, on another controller", "GET", "/api/jobs/job-000001", "", 2, 200, "\"done\":"},
       {"no such path", "GET", "/api/job", "", 0, 404, ""},
       {"wrong method", "PUT", "/api/jobs", "", 0, 405, ""},
       {"cancelled", "POST", "/api/jobs/job-000001/withdraw", "", 1, 200, "cancelled"},
       {"cancelled again", "POST", "/api/jobs/job-000001/withdraw", "", 2, 200, "cancelled"},
       {"stays cancelled", "GET", "/api/jobs/job-000001", "", 0, 200, "cancelled"},
-      {"submitted again after the end", "POST", "/api/jobs", k_job, 0, 200, "cancelled"},
+      {"submitted again after it ended", "POST", "/api/jobs", k_job, 0, 200, "cancelled"},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_reply r = world_request(rows[i].node, rows[i].method, rows[i].path, rows[i].body);
     if (r.status != rows[i].status) print_message("row '%s': %d %s\n", rows[i].name, r.status, r.body);
-    check_row(rows[i].name, r.status == rows[i].status && strstr(r.body, rows[i].says));
+    check_row(rows[i].name, r.status == rows[i].status && strstr(r.body, rows[i].body_contains));
     check_row(rows[i].name, r.took < 1);
   }
 }
 
-/* Without the key-value store final states are still reported, anything uncertain is refused, and no
- * request waits until the user gives up. */
+/* While the key-value store is down, terminal states are still reported, anything uncertain is refused,
+ * and no request waits until the user's timeout. */
 static void replies_in_a_kv_store_outage(void **state) {
   (void)state;
   world_set_up(2, 0);
@@ -70,56 +70,56 @@
     const char *name, *method, *path, *body;
     int status;
   } rows[] = {
-      {"a final state, from any that knows it", "GET", "/api/jobs/job-000001", "", 200},
-      {"one that may have changed", "GET", "/api/jobs/job-000002", "", 503},
-      {"one that may exist by now", "GET", "/api/jobs/job-000003", "", 503},
-      {"a new job", "POST", "/api/jobs", JOB("job-000003", "red", "1"), 503},
-      {"a cancellation", "POST", "/api/jobs/job-000002/withdraw", "", 503},
-      {"health: nobody reaches the key-value store", "GET", "/ready", "", 200},
+      {"terminal state, on a controller that knows it", "GET", "/api/jobs/job-000001", "", 200},
+      {"state that may have changed", "GET", "/api/jobs/job-000002", "", 503},
+      {"job that may have been submitted since", "GET", "/api/jobs/job-000003", "", 503},
+      {"new job", "POST", "/api/jobs", JOB("job-000003", "red", "1"), 503},
+      {"cancellation", "POST", "/api/jobs/job-000002/withdraw", "", 503},
+      {"health check while no controller reaches the key-value store", "GET", "/ready", "", 200},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_reply r = world_request(1, rows[i].method, rows[i].path, rows[i].body);
     if (r.status != rows[i].status) print_message("row '%s': %d %s\n", rows[i].name, r.status, r.body);
     check_row(rows[i].name, r.status == rows[i].status);
-    check_row(rows[i].name, r.took < 0.1); /* what is hopeless is refused at once */
+    check_row(rows[i].name, r.took < 0.1); /* a request that can't succeed is refused at once */
   }
 }
 
-/* Transactions without a response, or with a late one, do not block others. */
+/* Transactions that get no response or are applied late don't delay others. */
 static void submissions_beside_lost_transactions(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double share;  /* of the transactions without a response */
-    unsigned soon; /* of twenty accepted within half a second */
-  } rows[] = {{"none is lost", 0, 20}, {"one in four", 0.25, 12}, {"one in two", 0.5, 6}};
+    double lost_share;             /* of the transactions: no response, applied late */
+    unsigned min_accepted_in_time; /* of twenty submissions, within half a second */
+  } rows[] = {{"none lost", 0, 20}, {"one in four lost", 0.25, 12}, {"one in two lost", 0.5, 6}};
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_set_up(30, 0);
     world_start_nodes();
     sim_run_until(sim_now() + 10);
-    world_late_writes(rows[i].share);
+    world_late_writes(rows[i].lost_share);
     double from = sim_now();
     scene_submit(&(scene_jobs){
         .count = 20, .kind = "sweep", .priority = "standard", .tasks = 1, .gpus = 1, .run_s = 5, .every_s = 0.4});
     sim_run_until(sim_now() + 90);
     world_result r = world_so_far();
-    unsigned soon = 0;
+    unsigned accepted_in_time = 0;
     for (unsigned k = 0; k < 20; k++) {
       const char *id = world_id(k);
-      soon += world_seen_accepted_at(id) < from + k * 0.4 + 0.5;
+      accepted_in_time += world_seen_accepted_at(id) < from + k * 0.4 + 0.5;
     }
-    print_message("%s: %u of 20 at once\n", rows[i].name, soon);
+    print_message("%s: %u of 20 accepted within 0.5 s\n", rows[i].name, accepted_in_time);
     if (r.broken) fail_msg("%s: %s", rows[i].name, r.first);
-    check_row(rows[i].name, soon >= rows[i].soon);
+    check_row(rows[i].name, accepted_in_time >= rows[i].min_accepted_in_time);
     check_row(rows[i].name, r.accepted == 20 && r.finished == 20);
   }
 }
 
-/* The users of many archived jobs all poll, every eight seconds: nearly every query is answered at the
- * first try. */
+/* The users of many archived jobs poll them every eight seconds: over 95% of the queries are answered with
+ * 200, not refused with 503. */
 static void polling_of_many_archived_jobs(void **state) {
   (void)state;
-  enum { JOBS = 120, EVERY_S = 8, ROUNDS = 6 };
+  enum { JOBS = 120, POLL_INTERVAL_S = 8, POLLS = 6 };
   scene_begin(&(scene_setup){.seed = 6, .capacity = 8, .keep_idle = true, .images_cached = true, .machines = {8}});
   scene_submit(&(scene_jobs){.count = JOBS,
                              .kind = "sweep",
@@ -133,17 +133,17 @@
   world_result before = world_so_far();
   assert_int_equal(before.finished, JOBS);
   assert_true(kv_has_key("fc1over/job-000000") && kv_has_key("fc1over/job-000119"));
-  sim_run_until(sim_now() + EVERY_S * ROUNDS);
+  sim_run_until(sim_now() + POLL_INTERVAL_S * POLLS);
   world_result r = world_so_far();
-  unsigned asked = r.questions - before.questions, put_off = r.status_refusals - before.status_refusals;
-  print_message("%u questions about archived jobs, %u put off\n", asked, put_off);
-  assert_true(asked > JOBS * ROUNDS * 3 / 4);
-  assert_true(put_off * 20 < asked);
+  unsigned queries = r.questions - before.questions, refused = r.status_refusals - before.status_refusals;
+  print_message("%u queries about archived jobs, %u refused with 503\n", queries, refused);
+  assert_true(queries > JOBS * POLLS * 3 / 4);
+  assert_true(refused * 20 < queries);
   if (r.broken) fail_msg("%s", r.first);
 }
 
-/* An archived job leaves every controller's memory, and its state is still reported, also after all
- * of them restarted. */
+/* An archived job is removed from the controllers' memory; its state is still reported, also after all
+ * controllers have restarted. */
 static void replies_about_archived_jobs(void **state) {
   (void)state;
   world_set_up(5, 0);
@@ -152,30 +152,30 @@
   assert_int_equal(world_request(0, "POST", "/api/jobs", k_job).status, 201);
   assert_int_equal(world_request(0, "POST", "/api/jobs/job-000001/withdraw", "").status, 200);
   sim_run_until(sim_now() + 60);
-  world_reply held = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/job/&page=10", "");
-  assert_non_null(strstr(held.body, "\"rows\":[]"));
+  world_reply unarchived = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/job/&page=10", "");
+  assert_non_null(strstr(unarchived.body, "\"rows\":[]"));
   assert_int_equal(world_request_to(WORLD_KV_IP, "GET", "/keys/fc1over/job-000001", "").status, 200);
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 1);
   sim_run_until(sim_now() + 12);
   static const struct {
     const char *name, *method, *path, *body;
     int status;
-    const char *says;
+    const char *body_contains;
   } rows[] = {
-      {"asked about", "GET", "/api/jobs/job-000001", "", 200, "cancelled"},
+      {"queried", "GET", "/api/jobs/job-000001", "", 200, "cancelled"},
       {"submitted again", "POST", "/api/jobs", k_job, 200, "cancelled"},
       {"submitted again, for an unknown team", "POST", "/api/jobs", JOB("job-000001", "none", "1"), 200, "cancelled"},
       {"submitted again, malformed", "POST", "/api/jobs", "{\"id\":\"job-000001\"}", 200, "cancelled"},
       {"cancelled again", "POST", "/api/jobs/job-000001/withdraw", "", 200, "cancelled"},
-      {"one that never was", "GET", "/api/jobs/job-000009", "", 404, ""},
+      {"a job that never existed", "GET", "/api/jobs/job-000009", "", 404, ""},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     world_reply r = world_request(i % WORLD_NODES, rows[i].method, rows[i].path, rows[i].body);
     if (r.status != rows[i].status) print_message("row '%s': %d %s\n", rows[i].name, r.status, r.body);
-    check_row(rows[i].name, r.status == rows[i].status && strstr(r.body, rows[i].says));
+    check_row(rows[i].name, r.status == rows[i].status && strstr(r.body, rows[i].body_contains));
     sim_run_until(sim_now() + 1);
   }
-  /* Many queries about unknown jobs: each is answered at once. */
+  /* Each of many queries about unknown jobs is answered at once. */
   for (unsigned i = 0; i < 60; i++) {
     char path[64];
     g_snprintf(path, sizeof path, "/api/jobs/job-%06u", 900000 + i);
@@ -185,8 +185,8 @@
   }
 }
 
-/* A rental intent of a dead controller is repeated under the same name, so that its machines are
- * found and not rented twice. */
+/* A rental intent of a controller that has ended is executed again under the same name, so that its
+ * machines are found and not rented twice. */
 static void rental_intent_after_failover(void **state) {
   (void)state;
   world_set_up(3, 0);
@@ -200,15 +200,15 @@
   world_start_nodes();
   sim_run_until(sim_now() + 12);
   assert_int_equal(world_machines(), 2);
-  world_reply left = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/hire/&page=10", "");
-  assert_non_null(strstr(left.body, "\"rows\":[]"));
-  world_reply known = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/machine/&page=10", "");
-  assert_non_null(strstr(known.body, "fc1/machine/vm-000000"));
-  assert_non_null(strstr(known.body, "fc1/machine/vm-000001"));
+  world_reply intents = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/hire/&page=10", "");
+  assert_non_null(strstr(intents.body, "\"rows\":[]"));
+  world_reply machines = world_request_to(WORLD_KV_IP, "GET", "/keys?prefix=fc1/machine/&page=10", "");
+  assert_non_null(strstr(machines.body, "fc1/machine/vm-000000"));
+  assert_non_null(strstr(machines.body, "fc1/machine/vm-000001"));
 }
 
-/* A machine with a spot notice holds one task of a gang: all its tasks are stopped together, none
- * fails because its peers are gone. */
+/* A machine with a preemption notice runs one task of a gang: all tasks of the gang are stopped together, and
+ * none fails because its peers are gone. */
 static void gang_drained_on_a_spot_notice(void **state) {
   (void)state;
   world_set_up(4, 0);
@@ -221,10 +221,10 @@
       "\"samePlace\":false,\"scatter\":false,\"loaners\":true,\"expectS\":60,\"markS\":10,\"stowS\":2,\"whistleS\":"
       "null}";
   assert_int_equal(world_request(0, "POST", "/api/jobs", gang).status, 201);
-  double patience = sim_now() + 60;
-  while (sim_now() < patience && !strstr(world_request(1, "GET", "/api/jobs/job-000007", "").body, "\"running\":2"))
+  double deadline = sim_now() + 60;
+  while (sim_now() < deadline && !strstr(world_request(1, "GET", "/api/jobs/job-000007", "").body, "\"running\":2"))
     sim_run_until(sim_now() + 1);
-  assert_true(sim_now() < patience);
+  assert_true(sim_now() < deadline);
   assert_true(world_give_notice(20));
   sim_run_until(sim_now() + 15);
   assert_int_equal(world_ended("stopped"), 2);
--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -1,30 +1,30 @@
-/* Days with seeded faults: several whole controllers against stand-ins that
- * check every rule of the protocol. The same seed plays the same day. */
+/* Simulated days with random faults: whole controllers against stand-ins that check every rule of the
+ * protocol. Everything is drawn from the seed, so that a seed always gives the same day. */
 #include "check.h"
 
 #include <stdlib.h>
 
 #include "sim/world.h"
 
-#define BUSY_S 240
+#define BUSY_S 240 /* the first part of a day, in which jobs arrive and faults occur */
 #define SEEDS 64u
 #define SEEDS_WITH_MEETINGS 30u
 #define SEEDS_WITH_PIPELINES 16u
 #define SEEDS_WITH_UPGRADES 16u
 
-static void play_days(const world_day *day, uint32_t seeds) {
-  const char *only = g_getenv("FAULT_SEED"), *many = g_getenv("FAULT_SEEDS");
-  uint32_t first = only ? (uint32_t)atoi(only) : 1;
-  uint32_t count = many ? (uint32_t)atoi(many) : only ? 1 : seeds;
+static void run_days(const world_day *day, uint32_t seeds) {
+  const char *first_text = g_getenv("FAULT_SEED"), *count_text = g_getenv("FAULT_SEEDS");
+  uint32_t first = first_text ? (uint32_t)atoi(first_text) : 1;
+  uint32_t count = count_text ? (uint32_t)atoi(count_text) : first_text ? 1 : seeds;
   unsigned unaccepted = 0, unfinished = 0, starts = 0, late_starts = 0, broken = 0, invalid = 0;
   for (uint32_t seed = first; seed < first + count; seed++) {
     world_result r = world_play(seed, BUSY_S, day);
     print_message(
         "seed %u: %u faults, %u crashes, %u starts, %u lease kills; %u jobs: %u accepted, %u done, %u "
-        "cancelled, %u open; %u late starts, %u%% served at least, %u odd requests\n",
+        "cancelled, %u open; %u late starts, %u%% served at least, %u invalid requests\n",
         seed, r.faults, r.crashes, r.starts, r.lease_kills, r.submitted, r.accepted, r.finished, r.cancelled,
         r.unfinished, r.late_starts, r.served_least, r.invalid_requests);
-    /* All seeds are played: what one breaks hides nothing of the others. */
+    /* Go on with the other seeds, so that one failure doesn't hide others. */
     if (r.broken) print_message("seed %u broke %u rules, first at %s\n", seed, r.broken, r.first);
     broken += r.broken;
     unaccepted += r.submitted - r.accepted;
@@ -38,39 +38,40 @@
   assert_true(starts > 50 * count);
   assert_true(!day->overlapping_faults || count == 1 || invalid > 0);
   assert_int_equal(unaccepted, 0);
-  /* In the quiet end every accepted job has to get there. */
+  /* The day ends without faults: every accepted job has to finish. */
   assert_int_equal(unfinished, 0);
 }
 
 static void days_with_faults(void **state) {
   (void)state;
-  play_days(&(world_day){0}, SEEDS);
+  run_days(&(world_day){0}, SEEDS);
 }
 
 static void days_with_meetings(void **state) {
   (void)state;
-  play_days(&(world_day){.overlapping_faults = true}, SEEDS_WITH_MEETINGS);
+  run_days(&(world_day){.overlapping_faults = true}, SEEDS_WITH_MEETINGS);
 }
 
 static void days_with_pipelines(void **state) {
   (void)state;
-  play_days(&(world_day){.pipelines = true}, SEEDS_WITH_PIPELINES);
+  run_days(&(world_day){.pipelines = true}, SEEDS_WITH_PIPELINES);
 }
 
 static void days_with_pipelines_and_meetings(void **state) {
   (void)state;
-  play_days(&(world_day){.pipelines = true, .overlapping_faults = true}, SEEDS_WITH_PIPELINES);
+  run_days(&(world_day){.pipelines = true, .overlapping_faults = true}, SEEDS_WITH_PIPELINES);
 }
 
-/* From the version before pipelines to this one, with its late writes and lower limits. */
+/* Controllers are upgraded one by one from the version before pipelines; some writes are applied late, and the
+ * key-value store lowers its limits. */
 static void days_with_upgrades(void **state) {
   (void)state;
-  play_days(&(world_day){.pipelines = true, .upgrade = true}, SEEDS_WITH_UPGRADES);
+  run_days(&(world_day){.pipelines = true, .upgrade = true}, SEEDS_WITH_UPGRADES);
 }
 
 static void days_with_upgrades_and_meetings(void **state) {
   (void)state;
-  play_days(&(world_day){.pipelines = true, .upgrade = true, .overlapping_faults = true}, SEEDS_WITH_UPGRADES);
+  run_days(&(world_day){.pipelines = true, .upgrade = true, .overlapping_faults = true}, SEEDS_WITH_UPGRADES);
 }
 
 int main(void) {
@@ -78,7 +79,7 @@
       cmocka_unit_test(days_with_faults),    cmocka_unit_test(days_with_meetings),
       cmocka_unit_test(days_with_pipelines), cmocka_unit_test(days_with_pipelines_and_meetings),
       cmocka_unit_test(days_with_upgrades),  cmocka_unit_test(days_with_upgrades_and_meetings)};
-  /* One of them: FAULT_TEST=days_with_meetings */
+  /* Runs a single test, such as FAULT_TEST=days_with_meetings. */
   cmocka_set_test_filter(g_getenv("FAULT_TEST"));
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,5 +1,5 @@
-/* The key-value store lowers its limits while controllers serve: sizes keep to the announced limits
- * from the start, the write rate adapts to refusals. The stand-in reports anything too large. */
+/* The key-value store lowers its limits while controllers run. Values and transactions keep to the announced
+ * sizes from the start, which the stand-in checks; the write rate adapts to refusals. */
 #include "check.h"
 
 #include "scene.h"
@@ -9,24 +9,24 @@
 
 typedef struct limits_row {
   const char *name;
-  double later_rps; /* of changes */
-  double lowered_s; /* after the controllers' start */
-  bool crash;       /* one controller ends as the limits are lowered */
-  unsigned refused; /* transactions in the first minute, at most */
+  double later_rps;     /* changes per second */
+  double lowered_s;     /* after the controllers' start */
+  bool crash;           /* a controller crashes as the limits are lowered */
+  unsigned max_refused; /* transactions, in the first minute */
 } limits_row;
 
 static const limits_row k_rows[] = {
-    {"before any work", 15, 3, false, 40},
-    {"while jobs come", 15, 30, false, 40},
-    {"while jobs come, one ends", 15, 30, true, 40},
+    {"before any job", 15, 3, false, 40},
+    {"while jobs are submitted", 15, 30, false, 40},
+    {"while jobs are submitted, and a controller crashes", 15, 30, true, 40},
     {"to a tenth", 4, 30, false, 70},
-    {"not at all", 40, 30, false, 0},
+    {"write rate unchanged", 40, 30, false, 0},
 };
 
 #define JOBS 200u
 #define LATER_S 180
 
-/* Ten small arrays a second, and a wide one. */
+/* Ten small arrays per second, and one with many tasks. */
 static void submit_jobs(void) {
   scene_submit(&(scene_jobs){.count = JOBS,
                              .kind = "sweep",
@@ -61,14 +61,14 @@
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     check_row(row->name, r.accepted == JOBS + 1);
     check_row(row->name, r.finished == JOBS + 1);
-    /* Each of three needs a few refusals to adapt, and while writes are pending each probes for a
-     * higher rate every thirteen seconds (bookkeeping/write_rate.c). */
-    check_row(row->name, early <= row->refused && r.over_rate - early <= LATER_S * WORLD_NODES / 13);
+    /* Each of the three controllers needs a few refusals to adapt. While writes are pending, it tries a higher
+     * rate every 13 s (bookkeeping/write_rate.c). */
+    check_row(row->name, early <= row->max_refused && r.over_rate - early <= LATER_S * WORLD_NODES / 13);
   }
 }
 
-/* Many arrays whose tasks complete one by one: those writes, which are not urgent before the last one,
- * leave the write rate to submissions. */
+/* Many arrays whose tasks complete one by one: the writes of these completions, which are not urgent except
+ * for an array's last task, leave the write rate to submissions. */
 static void completions_leave_write_rate_for_submissions(void **state) {
   (void)state;
   enum { ARRAYS = 45, SUBMITTED = 60 };
@@ -97,17 +97,17 @@
                              .in_s = 75,
                              .every_s = 0.5});
   sim_run_until(from + 120);
-  unsigned at_once = 0;
+  unsigned accepted_in_time = 0;
   for (unsigned k = 0; k < SUBMITTED; k++) {
     double accepted = world_seen_accepted_at(world_id(100 + k));
-    at_once += accepted > 0 && accepted < from + 0.5 * k + 1;
+    accepted_in_time += accepted > 0 && accepted < from + 0.5 * k + 1;
   }
   world_result r = world_so_far();
-  print_message("%u of %u accepted within a second, %u of %u done\n", at_once, (unsigned)SUBMITTED, r.finished,
+  print_message("%u of %u accepted within a second, %u of %u done\n", accepted_in_time, (unsigned)SUBMITTED, r.finished,
                 r.submitted);
   if (r.broken) fail_msg("%s", r.first);
   assert_int_equal(r.finished, ARRAYS + SUBMITTED);
-  assert_true(at_once >= SUBMITTED * 95 / 100);
+  assert_true(accepted_in_time >= SUBMITTED * 95 / 100);
 }
 
 int main(void) {
--- a/tests/test_repeat.c
+++ b/tests/test_repeat.c
@@ -1,39 +1,40 @@
-/* A seeded day repeats exactly, wherever in memory its jobs and tables lie. */
+/* A simulated day repeats exactly with the same seed, at whatever addresses its jobs and tables are
+ * allocated. */
 #include "check.h"
 
 #include <stdlib.h>
 
 #include "sim/world.h"
 
-/* A day in which several cancellations with an awaited job are recorded at a time. */
+/* In this day the cancellations of several jobs that depend on a cancelled one are recorded at a time. */
 #define SEED 3006u
 #define BUSY_S 240
-#define PLAYS 4u
+#define RUNS 4u
 #define BLOCKS 20000u
-#define BLOCK_BYTES_MOST 700u
+#define BLOCK_MAX_BYTES 700u
 
-/* All that a day yields: its result, and what each controller sent and got. */
+/* The result of a day, and each controller's load and traffic. */
 typedef struct outcome {
   world_result result;
   sim_load loads[WORLD_NODES];
 } outcome;
 
-static outcome play(void) {
+static outcome run_day(void) {
   outcome o = {.result = world_play(SEED, BUSY_S, &(world_day){.pipelines = true, .overlapping_faults = true})};
   for (unsigned node = 0; node < WORLD_NODES; node++) o.loads[node] = sim_load_of(WORLD_NODE_IP(node));
   return o;
 }
 
-/* Takes blocks of many sizes and gives back two in three of them, in no order, so that what is
- * taken next comes to lie in the holes, at other addresses than before. */
+/* Allocates blocks of random sizes and frees two in three of them, in random order, so that later
+ * allocations fill the gaps, at other addresses than before. */
 static void disturb_heap(uint32_t seed) {
   GRand *sizes = g_rand_new_with_seed(seed);
   GPtrArray *blocks = g_ptr_array_new();
   for (unsigned i = 0; i < BLOCKS; i++)
-    g_ptr_array_add(blocks, g_malloc((gsize)g_rand_int_range(sizes, 1, BLOCK_BYTES_MOST)));
+    g_ptr_array_add(blocks, g_malloc((gsize)g_rand_int_range(sizes, 1, BLOCK_MAX_BYTES)));
   for (guint kept = BLOCKS / 3; blocks->len > kept;)
     g_free(g_ptr_array_remove_index_fast(blocks, (guint)g_rand_int_range(sizes, 0, (gint32)blocks->len)));
-  g_ptr_array_free(blocks, TRUE); /* the blocks that are left stay taken */
+  g_ptr_array_free(blocks, TRUE); /* the remaining blocks stay allocated */
   g_rand_free(sizes);
 }
 
@@ -80,11 +81,11 @@
 
 static void a_day_repeats_at_other_addresses(void **state) {
   (void)state;
-  const outcome first = play();
+  const outcome first = run_day();
   assert_true(first.result.starts > 0);
-  for (unsigned n = 1; n < PLAYS; n++) {
+  for (unsigned n = 1; n < RUNS; n++) {
     disturb_heap(n);
-    const outcome again = play();
+    const outcome again = run_day();
     assert_same_result(&first.result, &again.result);
     for (unsigned node = 0; node < WORLD_NODES; node++) assert_same_load(&first.loads[node], &again.loads[node]);
   }
