--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -1,12 +1,12 @@
-/* Tasks of cancelled jobs end in time, whichever controller acknowledged the cancellation and whatever
- * fails just then. */
+/* Tasks of cancelled jobs end within the cancellation deadline, whichever controller acknowledged the
+ * cancellation and whatever fails at that time. */
 #include "check.h"
 
 #include <stdlib.h>
 
 #include "scene.h"
 
-/* Six machines in each zone and so many services of two tasks. */
+/* Six machines in each zone, and services of two tasks each. */
 static void start_services(uint32_t seed, unsigned jobs) {
   scene_begin(&(scene_setup){.seed = seed, .keep_idle = true, .images_cached = true, .machines = {6, 6}});
   scene_submit_services(jobs, 2, 0);
@@ -16,114 +16,119 @@
 
 typedef struct outage_row {
   const char *name;
-  double refused_at, cancel_at, down_at; /* seconds from the same moment */
-  enum { WRITER, FROM_CACHE, RESTARTED, DYING } by;
-  bool blind;     /* no controller reads changes from the cancellation on */
-  bool linked;    /* the refused controller is connected to its peers */
-  bool passed_on; /* the acknowledged cancellations can reach every controller */
+  /* Seconds from a common start: when the key-value store begins to refuse one controller, when users
+   * cancel, and when the store goes down. */
+  double refused_at, cancel_at, down_at;
+  /* Which controller acknowledges: the one that writes the cancellation; also another, from its cache;
+   * the writer, once more after a restart; the writer, which crashes right after. */
+  enum { WRITER, FROM_CACHE, RESTARTED, CRASHED } by;
+  bool watches_silent;  /* no controller's watch is answered from the cancellation on */
+  bool peers_connected; /* the refused controller is connected to its peers */
+  bool forwarded;       /* acknowledged cancellations can reach every controller */
 } outage_row;
 
 static const outage_row k_outages[] = {
     {"refused a second before", -1.0, 0, 0.3, WRITER, false, true, true},
     {"refused just before", -0.02, 0, 0.1, WRITER, false, true, true},
     {"refused just after", 0.02, 0, 0.1, WRITER, false, true, true},
-    {"down while the answer is on its way", -1.0, 0, 0.01, WRITER, false, true, true},
+    {"down while the answer is in transit", -1.0, 0, 0.01, WRITER, false, true, true},
     {"refused long before", -9.0, 0, 1.0, WRITER, false, true, true},
-    {"nobody reads of it, the writer neither", -1.0, 0, 1.5, WRITER, true, true, true},
-    {"another confirms it from its cache", -1.0, 0, 0.7, FROM_CACHE, false, true, true},
-    {"refused long before, another confirms it", -9.0, 0, 2.0, FROM_CACHE, false, true, true},
-    {"one that restarted confirms it", -9.0, -6.0, 2.0, RESTARTED, false, true, true},
-    {"the writer ends before it passes it on", -1.0, 0, 0.02, DYING, true, true, false},
-    {"no message gets through", -1.0, 0, 0.3, WRITER, false, false, false},
+    {"no watch is answered, not even the writer's", -1.0, 0, 1.5, WRITER, true, true, true},
+    {"another acknowledges it from its cache", -1.0, 0, 0.7, FROM_CACHE, false, true, true},
+    {"refused long before, another acknowledges it", -9.0, 0, 2.0, FROM_CACHE, false, true, true},
+    {"the writer acknowledges it again after a restart", -9.0, -6.0, 2.0, RESTARTED, false, true, true},
+    {"the writer crashes before it forwards it", -1.0, 0, 0.02, CRASHED, true, true, false},
+    {"the refused controller is cut off from its peers", -1.0, 0, 0.3, WRITER, false, false, false},
 };
 
-enum { OUTAGE_JOBS = 8, OUTAGE_CANCELLED = 4 };
+enum { OUTAGE_JOBS = 8, OUTAGE_CANCELLED = 4, REFUSED_S = 14, DOWN_S = 54 };
 
 static void cancel_through(unsigned node) {
   for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) world_cancel(world_id(k), (int)node, 0);
 }
 
-/* Users cancel through `writer`, to which the row's fault happens, or another controller. */
-static void play_cancellations(const outage_row *row, double zero, unsigned writer, unsigned other) {
+/* Users cancel through `writer`, and through `other` too if it is to acknowledge from its cache. */
+static void cancel_with_faults(const outage_row *row, double start, unsigned writer, unsigned other) {
   cancel_through(writer);
   if (row->by == FROM_CACHE) {
-    sim_run_until(zero + 0.5);
+    sim_run_until(start + 0.5);
     cancel_through(other);
   } else if (row->by == RESTARTED) {
-    /* The new incarnation knows the cancellation only from its first read. */
-    sim_run_until(zero + row->cancel_at + 0.006);
+    /* The restarted controller knows the cancellation only from its first read of the key-value store. */
+    sim_run_until(start + row->cancel_at + 0.006);
     world_crash(writer, 0.3);
-    sim_run_until(zero + 1.5);
+    sim_run_until(start + 1.5);
     cancel_through(writer);
-  } else if (row->by == DYING) {
-    while (!world_seen_cancelled_at(world_id(0)) && sim_now() < zero + 3) sim_run_until(sim_now() + 0.0005);
+  } else if (row->by == CRASHED) {
+    while (!world_seen_cancelled_at(world_id(0)) && sim_now() < start + 3) sim_run_until(sim_now() + 0.0005);
     check_row(row->name, world_seen_cancelled_at(world_id(0)) > 0);
     world_crash(writer, 0.3);
   }
 }
 
-static void check_outage(const outage_row *row, double zero, unsigned refused) {
+static void check_outage(const outage_row *row, double start, unsigned refused) {
   bool acknowledged[OUTAGE_CANCELLED];
-  unsigned acknowledged_count = 0, soon = 0;
+  unsigned acknowledged_count = 0, still_running = 0;
   for (unsigned k = 0; k < OUTAGE_CANCELLED; k++)
     acknowledged_count += acknowledged[k] = world_seen_cancelled_at(world_id(k)) > 0;
-  sim_run_until(zero + 8);
-  for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) soon += acknowledged[k] ? world_tasks_of(world_id(k)) : 0;
-  sim_run_until(zero + 100);
+  sim_run_until(start + 8);
+  for (unsigned k = 0; k < OUTAGE_CANCELLED; k++) still_running += acknowledged[k] ? world_tasks_of(world_id(k)) : 0;
+  sim_run_until(start + 100);
   world_result r = world_so_far();
-  print_message("%s, refused %u: %u of %u told, %u of their tasks on after 8 s, %u tasks ended by a lease\n", row->name,
-                refused, acknowledged_count, (unsigned)OUTAGE_CANCELLED, soon, r.lease_kills);
+  print_message("%s, refused %u: %u of %u acknowledged, %u of their tasks run after 8 s, %u tasks ended by a lease\n",
+                row->name, refused, acknowledged_count, (unsigned)OUTAGE_CANCELLED, still_running, r.lease_kills);
   if (r.broken) fail_msg("%s, refused %u: %s", row->name, refused, r.first);
   check_row(row->name, r.cancelled == OUTAGE_CANCELLED);
   check_row(row->name, acknowledged_count > 0 || row->down_at < 0.02);
   check_row(row->name, world_running() == (OUTAGE_JOBS - OUTAGE_CANCELLED) * 2);
-  if (!row->passed_on) return;
-  /* Acknowledged cancellations were passed on: their tasks end at once, no other by a lease. */
-  check_row(row->name, soon == 0);
+  if (!row->forwarded) return;
+  /* Acknowledged cancellations were forwarded: their tasks end at once, and no task by a lease. */
+  check_row(row->name, still_running == 0);
   check_row(row->name, r.lease_kills == 0);
 }
 
-static void play_outage(const outage_row *row, uint32_t seed, unsigned refused) {
+static void run_outage(const outage_row *row, uint32_t seed, unsigned refused) {
   start_services(seed, OUTAGE_JOBS);
   unsigned writer = (refused + 1) % WORLD_NODES, other = (refused + 2) % WORLD_NODES;
-  double zero = sim_now() + 10;
-  bool early = row->refused_at <= row->cancel_at;
-  sim_run_until(zero + MIN(row->refused_at, row->cancel_at));
-  if (early) world_refuse(refused, 14);
-  if (!row->linked) world_cut_node_peers(refused, 80);
-  sim_run_until(zero + row->cancel_at);
-  if (row->blind) world_kv_silence_watches(world_id(0), 3);
-  play_cancellations(row, zero, writer, other);
-  if (!early) {
-    sim_run_until(zero + row->refused_at);
-    world_refuse(refused, 14);
+  double start = sim_now() + 10;
+  bool refused_first = row->refused_at <= row->cancel_at;
+  sim_run_until(start + MIN(row->refused_at, row->cancel_at));
+  if (refused_first) world_refuse(refused, REFUSED_S);
+  if (!row->peers_connected) world_cut_node_peers(refused, 80);
+  sim_run_until(start + row->cancel_at);
+  if (row->watches_silent) world_kv_silence_watches(world_id(0), 3);
+  cancel_with_faults(row, start, writer, other);
+  if (!refused_first) {
+    sim_run_until(start + row->refused_at);
+    world_refuse(refused, REFUSED_S);
   }
-  sim_run_until(MAX(sim_now(), zero + row->down_at));
-  world_kv_down(54);
-  check_outage(row, zero, refused);
+  sim_run_until(MAX(sim_now(), start + row->down_at));
+  world_kv_down(DOWN_S);
+  check_outage(row, start, refused);
 }
 
 /* The key-value store refuses one controller, another acknowledges cancellations, then the store is
- * down for longer than a cancellation may take. The tasks must end in time, and no others. */
+ * down for longer than a cancellation may take. The tasks of the cancelled jobs, and no others, must
+ * end in time. */
 static void cancellation_before_a_kv_store_outage(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_outages); i++)
     for (unsigned refused = 0; refused < WORLD_NODES; refused++)
-      play_outage(&k_outages[i], 10 * (uint32_t)i + refused, refused);
+      run_outage(&k_outages[i], 10 * (uint32_t)i + refused, refused);
 }
 
-/* Commands between a controller and its workers are delayed while other controllers renew the leases;
- * the jobs are cancelled meanwhile, and the commands arrive after the cancellation's deadline. */
+/* Messages between a controller and its workers are delayed while other controllers renew the workers'
+ * leases. Jobs are cancelled meanwhile, and delayed start commands arrive after the cancellation deadline. */
 static void commands_delayed_past_a_cancellation(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double cancel_s, for_s; /* after the cut begins */
+    double cancel_s, for_s; /* when jobs are cancelled, after the delay began; duration of the delay */
   } rows[] = {
       {"for seconds", 2, 6},
       {"for less than a lease", 2, 12},
       {"for more than a lease", 2, 20},
-      {"for all the time there is", 2, 36.5},
+      {"until just after the cancellation deadline", 2, 36.5},
       {"for longer", 2, 45},
       {"for much longer", 2, 70},
       {"cancelled late", 20, 45},
@@ -132,13 +137,13 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     for (unsigned node = 0; node < WORLD_NODES; node++) {
       start_services(100 + 10 * (uint32_t)i + node, 6);
-      unsigned held = 6;
+      unsigned delayed_jobs = 6;
       world_cut_node_workers(node, rows[i].for_s, SIM_HELD);
-      for (unsigned k = 6; k < 6 + held; k++) world_submit(world_id(k), "sweep", "standard", 2, 1, 1e6, 0);
+      for (unsigned k = 6; k < 6 + delayed_jobs; k++) world_submit(world_id(k), "sweep", "standard", 2, 1, 1e6, 0);
       sim_run_until(sim_now() + rows[i].cancel_s);
-      /* Also three running jobs, on machines whose leases other controllers renew. */
-      for (unsigned k = 3; k < 6 + held; k++) world_cancel(world_id(k), -1, 0);
-      /* Stopped by those controllers, long before any machine has to be returned for it. */
+      /* Jobs 3 to 5 already run, on machines whose leases other controllers renew. */
+      for (unsigned k = 3; k < 6 + delayed_jobs; k++) world_cancel(world_id(k), -1, 0);
+      /* Those controllers stop them, long before a machine would have to be returned. */
       sim_run_until(sim_now() + 20);
       for (unsigned k = 3; k < 6; k++) check_row(rows[i].name, world_tasks_of(world_id(k)) == 0);
       sim_run_until(sim_now() + rows[i].for_s + 40);
@@ -146,7 +151,7 @@
       print_message("%s, controller %u: %u cancelled, %u started after that, %u ended by a lease\n", rows[i].name, node,
                     r.cancelled, r.late_starts, r.lease_kills);
       if (r.broken) fail_msg("%s, controller %u: %s", rows[i].name, node, r.first);
-      check_row(rows[i].name, r.cancelled == held + 3);
+      check_row(rows[i].name, r.cancelled == delayed_jobs + 3);
       check_row(rows[i].name, world_running() == 6);
     }
   }
@@ -155,13 +160,13 @@
 typedef struct unreachable_row {
   const char *name;
   enum { HUNG, OUTBOUND_CUT, INBOUND_CUT } fault;
-  unsigned count;
-  double before_s, for_s; /* before the cancellation */
-  bool down, crash;
+  unsigned count;         /* of machines */
+  double before_s, for_s; /* when it begins, before the cancellation; duration */
+  bool kv_down, crash;    /* the key-value store is down after it; a controller crashes after it */
 } unreachable_row;
 
 static const unreachable_row k_unreachable[] = {
-    {"one hangs a moment", HUNG, 1, 0.1, 3, false, false},
+    {"one hangs for seconds", HUNG, 1, 0.1, 3, false, false},
     {"one hangs for most of a lease", HUNG, 1, 0.1, 13, false, false},
     {"one hangs for most of a lease, from just after", HUNG, 1, -0.1, 13, false, false},
     {"one hangs for long", HUNG, 1, 1, 40, false, false},
@@ -169,13 +174,13 @@
     {"eight hang for long", HUNG, 8, 0.1, 36, false, false},
     {"all hang for long", HUNG, 12, 0.1, 50, false, false},
     {"all hang, and the key-value store is down", HUNG, 12, 0.1, 33, true, false},
-    {"one reaches nobody", OUTBOUND_CUT, 1, 3, 40, false, false},
-    {"all reach nobody", OUTBOUND_CUT, 12, 3, 40, false, false},
-    {"all reach nobody, and controllers end", OUTBOUND_CUT, 12, 3, 40, false, true},
-    {"one hears nobody", INBOUND_CUT, 1, 3, 40, false, false},
-    {"all hear nobody", INBOUND_CUT, 12, 3, 60, false, false},
-    {"all hear nobody, and the key-value store is down", INBOUND_CUT, 12, 3, 60, true, false},
-    {"eight hang, and controllers end", HUNG, 8, 0.1, 13, false, true},
+    {"outbound messages of one are lost", OUTBOUND_CUT, 1, 3, 40, false, false},
+    {"outbound messages of all are lost", OUTBOUND_CUT, 12, 3, 40, false, false},
+    {"outbound messages of all are lost, and a controller crashes", OUTBOUND_CUT, 12, 3, 40, false, true},
+    {"inbound messages of one are lost", INBOUND_CUT, 1, 3, 40, false, false},
+    {"inbound messages of all are lost", INBOUND_CUT, 12, 3, 60, false, false},
+    {"inbound messages of all are lost, and the key-value store is down", INBOUND_CUT, 12, 3, 60, true, false},
+    {"eight hang, and a controller crashes", HUNG, 8, 0.1, 13, false, true},
 };
 
 static void apply_fault(const unreachable_row *row) {
@@ -184,7 +189,7 @@
   if (row->fault == INBOUND_CUT) world_cut_inbound(0, row->count, row->for_s);
 }
 
-static void play_unreachable(const unreachable_row *row, uint32_t row_seed, uint32_t seed) {
+static void run_unreachable(const unreachable_row *row, uint32_t row_seed, uint32_t seed) {
   start_services(row_seed + seed, 8);
   for (int step = 0; step < 2; step++) {
     if ((row->before_s > 0) == (step == 0)) {
@@ -196,7 +201,7 @@
   }
   sim_run_until(sim_now() + 1.2);
   if (row->crash) world_crash(seed, 4);
-  if (row->down) world_kv_down(50);
+  if (row->kv_down) world_kv_down(50);
   sim_run_until(sim_now() + 130);
   world_result r = world_so_far();
   print_message("%s: %u cancelled, %u ended by a lease, %u machines returned\n", row->name, r.cancelled, r.lease_kills,
@@ -204,49 +209,50 @@
   if (r.broken) fail_msg("%s, seed %u: %s", row->name, seed, r.first);
   check_row(row->name, r.cancelled == 5);
   for (unsigned k = 0; k < 5; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
-  /* Other jobs run on, unless no machine is left. */
+  /* The other jobs keep running, unless too few machines are left. */
   if (world_terminated_machines(0, world_machines()) < 6) check_row(row->name, world_running() == 6);
 }
 
-/* Machines of cancelled jobs that can't be reached: they hang, or their outbound or inbound messages
- * are lost; one, or most of the fleet, so that an outage is suspected. */
+/* Machines of cancelled jobs hang, or their outbound or inbound messages are lost: a single machine, or
+ * most of the fleet, so that the controllers suspect an outage. */
 static void cancellation_on_unreachable_machines(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_unreachable); i++)
-    for (uint32_t seed = 0; seed < 3; seed++) play_unreachable(&k_unreachable[i], 300 + 10 * (uint32_t)i, seed);
+    for (uint32_t seed = 0; seed < 3; seed++) run_unreachable(&k_unreachable[i], 300 + 10 * (uint32_t)i, seed);
 }
 
-/* Users poll the controller for six seconds; after three the key-value store goes down (0: not). */
+/* Users poll the controller for six seconds; after three the key-value store goes down for down_s (0: not
+ * at all). */
 static void poll_jobs(unsigned node, unsigned jobs, double down_s) {
   for (unsigned poll = 0; poll < 30; poll++) {
-    world_ask_job(node, world_id(poll % jobs)); /* the stand-in checks the reply */
+    world_ask_job(node, world_id(poll % jobs)); /* the simulated user checks the reply */
     sim_run_until(sim_now() + 0.2);
     if (poll == 14 && down_s > 0) world_kv_down(down_s);
   }
 }
 
 /* A controller is partitioned from the key-value store and its peers, but not from its workers and
- * users, who poll it while the jobs are cancelled through another; also with a slow store. */
+ * users, who poll it while jobs are cancelled through the others; also with a slow key-value store. */
 static void polling_a_partitioned_controller(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double alone_s, refused_s, slow_s, down_s;
+    double partitioned_s, refused_s, slow_s, down_s;
   } rows[] = {
-      {"alone with its workers for seconds", 5, 0, 0, 0},
-      {"for more than a lease", 20, 0, 0, 0},
-      {"for longer than a cancellation", 50, 0, 0, 0},
-      {"and the key-value store is slow", 50, 0, 30, 0},
-      {"slow for all, refused, then down", 0, 12, 6, 45},
-      {"refused, slow, then down", 0, 40, 20, 40},
-      {"slow alone", 0, 0, 40, 0},
-      {"cut off and down for the rest", 40, 0, 0, 45},
+      {"partitioned for seconds", 5, 0, 0, 0},
+      {"partitioned for more than a lease", 20, 0, 0, 0},
+      {"partitioned for longer than a cancellation may take", 50, 0, 0, 0},
+      {"partitioned, and the key-value store is slow", 50, 0, 30, 0},
+      {"the key-value store refuses it, slow for all, then down", 0, 12, 6, 45},
+      {"the key-value store refuses it for long, slow for all, then down", 0, 40, 20, 40},
+      {"the key-value store is only slow", 0, 0, 40, 0},
+      {"partitioned, and the key-value store is down for the others", 40, 0, 0, 45},
   };
   const unsigned jobs = 8;
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     for (unsigned node = 0; node < WORLD_NODES; node++) {
       start_services(500 + 10 * (uint32_t)i + node, jobs);
-      if (rows[i].alone_s > 0) world_partition_node(node, rows[i].alone_s);
+      if (rows[i].partitioned_s > 0) world_partition_node(node, rows[i].partitioned_s);
       if (rows[i].refused_s > 0) world_refuse(node, rows[i].refused_s);
       if (rows[i].slow_s > 0) world_kv_slow(rows[i].slow_s, 1.5);
       sim_run_until(sim_now() + 3);
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -1,5 +1,5 @@
-/* Delayed messages: heartbeats that arrive after newer ones, a lease expiry or a change of leader,
- * and transactions without a response that are applied after newer ones. */
+/* Delayed messages: heartbeats that arrive after newer ones, after a lease expiry or after a change of
+ * leader, and transactions without a response that are applied after newer ones. */
 #include "check.h"
 
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 #include "scene.h"
 #include "sim/requests.h"
 
-/* The number of running tasks that the controller reports; -1: it reports none now. */
+/* The number of running tasks that the controller reports; -1: it reports no number now. */
 static int reported_running(unsigned node, const char *id) {
   char path[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", id);
@@ -19,7 +19,7 @@
 
 static const char *const k_job_ids[] = {"job-000001", "job-000002", "job-000003"};
 
-/* Six machines with a service, an array and a gang that run for long. */
+/* Six machines with a long-running service, array and gang. */
 static void start_three_jobs(uint32_t seed) {
   scene_begin(&(scene_setup){.seed = seed, .capacity = 12, .keep_idle = true, .machines = {3, 3}});
   world_submit(k_job_ids[0], "service", "prod", 6, 1, 1e6, 5);
@@ -33,34 +33,36 @@
 static void check_reported_running(const char *name) {
   for (unsigned n = 0; n < WORLD_NODES; n++) {
     for (size_t k = 0; k < G_N_ELEMENTS(k_job_ids); k++) {
-      unsigned there = world_tasks_of(k_job_ids[k]);
-      int told = reported_running(n, k_job_ids[k]);
-      there = MAX(there, world_tasks_of(k_job_ids[k])); /* one may have started meanwhile */
-      if (told > (int)there) print_message("%s: %s: %u says %d run, %u do\n", name, k_job_ids[k], n, told, there);
-      check_row(name, told <= (int)there);
+      unsigned actual = world_tasks_of(k_job_ids[k]);
+      int reported = reported_running(n, k_job_ids[k]);
+      actual = MAX(actual, world_tasks_of(k_job_ids[k])); /* one may have started meanwhile */
+      if (reported > (int)actual)
+        print_message("%s: %s: controller %u reports %d running, %u are\n", name, k_job_ids[k], n, reported, actual);
+      check_row(name, reported <= (int)actual);
     }
   }
 }
 
-/* Old heartbeats arrive, at the owner and at others, after their lease expired and the tasks run
- * elsewhere: they must not count as running tasks, start or stop any, or renew a lease. */
+/* Old heartbeats arrive, at the owner and at other controllers, when the worker's lease has expired and its
+ * tasks run elsewhere. Tasks that they list must not be reported as running, and they must not start or stop
+ * any task or renew a lease. */
 static void heartbeats_after_lease_expiry(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned hung_machines; /* of six: most are kept, a single one is returned */
-    double hang_s, in_s;
-    bool quiescent; /* no start is in transit when they arrive */
-    int crash;      /* that controller; -1: none */
-    double crash_s;
+    unsigned hung_machines; /* of six; a single one is returned, most of them are kept */
+    double hang_s, in_s;    /* duration; delay of the heartbeats that are sent as it begins */
+    bool quiescent;         /* no start command is in transit when they arrive */
+    int crash;              /* the controller that crashes; -1: none */
+    double crash_s;         /* after the machines hung */
   } rows[] = {
       {"one machine", 1, 60, 40, true, -1, 0},
       {"most machines, while they hang", 4, 60, 40, true, -1, 0},
-      {"most machines, when they are back", 4, 30, 50, true, -1, 0},
-      {"most machines, a moment after", 4, 30, 30.3, false, -1, 0},
+      {"most machines, after they recovered", 4, 30, 50, true, -1, 0},
+      {"most machines, as they recover", 4, 30, 30.3, false, -1, 0},
       {"most machines, under a new leader", 4, 60, 45, true, 0, 22},
       {"most machines, another new leader", 4, 60, 45, true, 1, 22},
-      {"most machines, another never heard them", 4, 80, 60, true, 2, 0.5},
+      {"most machines, under a leader that restarted as they hung", 4, 80, 60, true, 2, 0.5},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     start_three_jobs(70 + (uint32_t)i);
@@ -71,15 +73,16 @@
       }
     world_hang(1, 1 + rows[i].hung_machines, rows[i].hang_s);
     double at = sim_now();
-    unsigned first = world_so_far().starts;
+    unsigned starts_before = world_so_far().starts;
     if (rows[i].crash >= 0) {
       sim_run_until(at + rows[i].crash_s);
       world_crash((unsigned)rows[i].crash, 4);
     }
     sim_run_until(at + rows[i].in_s - 0.1);
     unsigned starts = world_so_far().starts, stopped = world_ended("stopped"), fetching = world_fetching();
-    print_message("%s: %u started by then, %u run, %u fetch\n", rows[i].name, starts, world_running(), fetching);
-    check_row(rows[i].name, starts > first);
+    print_message("%s: %u started by then, %u running, %u fetching their image\n", rows[i].name, starts,
+                  world_running(), fetching);
+    check_row(rows[i].name, starts > starts_before);
     for (unsigned k = 0; k < 12; k++) {
       sim_run_until(at + rows[i].in_s + 0.02 + k * 0.3);
       check_reported_running(rows[i].name);
@@ -96,24 +99,24 @@
 
 typedef struct order_row {
   const char *name;
-  double in_s; /* the first of them; the others a moment apart */
-  unsigned crashes;
-  double crash_s, back_s;
+  double in_s;            /* delay of the heartbeats; the controllers get them 0.3 s apart */
+  unsigned crashes;       /* of one controller after the other */
+  double crash_s, back_s; /* the first, after the first heartbeat; until a controller is back */
 } order_row;
 
 static const order_row k_orders[] = {
     {"seconds late", 3, 0, 0, 0},
     {"a lease late", 20, 0, 0, 0},
     {"well over a lease late", 35, 0, 0, 0},
-    {"after one was replaced", 16, 1, 4, 4},
-    {"as one is replaced", 8.3, 1, 4, 4},
-    {"as one comes back at once", 4.3, 1, 4, 0.2},
-    {"after all were replaced", 20, WORLD_NODES, 4, 4},
-    {"as all come back", 8.5, WORLD_NODES, 4, 4},
+    {"after one controller restarted", 16, 1, 4, 4},
+    {"while one controller restarts", 8.3, 1, 4, 4},
+    {"while one controller restarts at once", 4.3, 1, 4, 0.2},
+    {"after all controllers restarted", 20, WORLD_NODES, 4, 4},
+    {"while all controllers restart", 8.5, WORLD_NODES, 4, 4},
 };
 
-/* Copies of the heartbeats of twelve seconds: while images are fetched, tasks run, and some are about to
- * end. */
+/* Copies of the heartbeats of twelve seconds, in which images are fetched, tasks run, and some are about to
+ * end; the copies arrive delayed. */
 static void delay_heartbeats(double from, double delay_s) {
   for (unsigned k = 0; k < 8; k++) {
     sim_run_until(from + k * 1.5);
@@ -122,7 +125,8 @@
   }
 }
 
-/* Jobs whose end was acknowledged stay ended. */
+/* The service ends only by its cancellation. Once the two other jobs were reported as terminal, none of their
+ * tasks runs. */
 static void check_nothing_restarts(const char *name) {
   if (world_seen_terminal_state(k_job_ids[0]))
     check_row(name, strcmp(world_seen_terminal_state(k_job_ids[0]), "cancelled") == 0);
@@ -131,8 +135,8 @@
   }
 }
 
-/* Heartbeats are delayed while their jobs end, are cancelled or preempted, under the same leaders or
- * new ones, and then arrive everywhere: no ended task is started again. */
+/* Copies of heartbeats arrive at every controller when the jobs of their tasks have ended or were cancelled or
+ * preempted, under the same leaders or new ones: no task that has ended is started again. */
 static void heartbeats_out_of_order(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_orders); i++) {
@@ -158,30 +162,26 @@
     print_message("%s: %u started, %u ended\n", row->name, r.starts, world_ended("done"));
     for (unsigned k = 0; k < 3; k++) check_row(row->name, world_seen_terminal_state(k_job_ids[k]));
     check_row(row->name, world_running() == 0 && r.late_starts == 0);
-    /* Once each, except preempted tasks, some of which never had their image. */
+    /* Each task starts once, except preempted tasks, some of which were stopped before they had their image. */
     check_row(row->name, r.starts >= 12 && r.starts + 4 <= 12 + world_ended("stopped"));
     check_row(row->name, r.lease_kills == 0);
     check_reported_running(row->name);
   }
 }
 
-/* A machine dies, and copies of its last heartbeats arrive at one controller after the other: its
- * tasks restart elsewhere soon all the same, and its record does not come back. */
+/* A machine fails for good, and copies of its last heartbeats arrive at one controller after the other. Its
+ * tasks still restart elsewhere soon, and its record is not written again. */
 static void heartbeats_of_a_dead_machine(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double first_s, every_s;
-    int crash;
+    double first_s, every_s; /* delay of the first copy; interval between copies */
+    int crash;               /* the controller that crashes; -1: none */
   } rows[] = {
-      {"no reports", 1e6, 0, -1},
-      {"at once", 0.5, 0.7, -1},
-      {"within the lease", 4, 2, -1},
-      {"about its end", 10, 1.5, -1},
-      {"later", 25, 1, -1},
-      {"a new leader, no reports", 1e6, 0, 0},
-      {"a new leader, soon", 3, 1.5, 0},
-      {"a new leader, later", 12, 2, 0},
+      {"no heartbeats", 1e6, 0, -1},     {"at once", 0.5, 0.7, -1},
+      {"within the lease", 4, 2, -1},    {"about the end of the lease", 10, 1.5, -1},
+      {"after the lease", 25, 1, -1},    {"a new leader, no heartbeats", 1e6, 0, 0},
+      {"a new leader, soon", 3, 1.5, 0}, {"a new leader, later", 12, 2, 0},
   };
   double without_heartbeats = 0;
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -197,9 +197,10 @@
     if (rows[i].crash >= 0) world_crash((unsigned)rows[i].crash, 4);
     while (world_running() < 14 && sim_now() < at + 90) sim_run_until(sim_now() + 0.25);
     double took = sim_now() - at;
-    print_message("%s: all run again after %.1f s\n", rows[i].name, took);
+    print_message("%s: all tasks run again after %.1f s\n", rows[i].name, took);
     if (rows[i].first_s >= 1e6) without_heartbeats = took;
-    /* A copy can't be told from a live worker's heartbeat, but renews no lease for longer. */
+    /* A copy can't be distinguished from a heartbeat of a live worker, but delays the restart by no more than a
+     * lease. */
     check_row(rows[i].name, took < without_heartbeats + 15);
     sim_run_until(at + 60);
     check_row(rows[i].name, !kv_has_key(key));
@@ -211,8 +212,9 @@
 
 typedef struct delay_row {
   const char *name;
-  double share, for_s, least_s, most_s;
-  int crash;
+  double share, for_s;    /* of the transactions that are delayed; for how long that is so */
+  double least_s, most_s; /* their delay */
+  int crash;              /* the controller that crashes; -1: none */
   unsigned seeds;
 } delay_row;
 
@@ -220,14 +222,14 @@
     {"a fifth", 0.2, 60, 2, 12, -1, 2},
     {"half", 0.5, 60, 2, 12, -1, 2},
     {"all, for a while", 1, 12, 2, 12, -1, 2},
-    {"half, and one is replaced", 0.5, 50, 2, 12, 0, 2},
-    {"a fifth, by minutes", 0.2, 60, 10, 90, -1, 2},
-    {"half, by minutes", 0.5, 40, 10, 90, -1, 2},
+    {"half, and a controller restarts", 0.5, 50, 2, 12, 0, 2},
+    {"a fifth, by up to 90 s", 0.2, 60, 10, 90, -1, 2},
+    {"half, by up to 90 s", 0.5, 40, 10, 90, -1, 2},
 };
 
 enum { DELAY_JOBS = 15 };
 
-/* Of every kind, size and team; a quarter is cancelled soon after. */
+/* Arrays and gangs of several sizes, of both teams; a quarter is cancelled soon after. */
 static void submit_jobs_of_every_kind(void) {
   for (unsigned k = 0; k < DELAY_JOBS; k++) {
     const char *id = world_id(k);
@@ -248,13 +250,13 @@
 static void check_all_ended(const char *name) {
   for (unsigned k = 0; k < DELAY_JOBS; k++) {
     const char *id = world_id(k);
-    if (!world_seen_terminal_state(id)) print_message("%s: %s is not over\n", name, id);
+    if (!world_seen_terminal_state(id)) print_message("%s: %s is not terminal\n", name, id);
     check_row(name, world_seen_terminal_state(id) && world_tasks_of(id) == 0);
   }
 }
 
-/* Returns the tasks whose start was in transit when their cancellation was acknowledged. */
-static unsigned play_delayed_transactions(const delay_row *row, uint32_t seed) {
+/* Returns the number of tasks whose start command was in transit when their cancellation was acknowledged. */
+static unsigned run_delayed_transactions(const delay_row *row, uint32_t seed) {
   char name[80];
   g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed);
   scene_begin(&(scene_setup){.seed = seed, .capacity = 5, .spot_capacity = 3});
@@ -271,7 +273,7 @@
   sim_run_until(at + row->for_s);
   world_late_writes(0);
   sim_run_until(at + 90 + row->most_s);
-  for (unsigned k = 0; k < 60; k++) { /* no removed record comes back at any moment */
+  for (unsigned k = 0; k < 60; k++) { /* no removed record is written again */
     sim_run_until(sim_now() + 1);
     world_check_released();
   }
@@ -282,36 +284,36 @@
   return r.late_starts;
 }
 
-/* Transactions without a response are applied after newer ones of the same controller, while jobs of
- * every kind come, end, are cancelled and archived, and machines rented and returned. */
+/* Transactions without a response are applied after newer ones of the same controller, while jobs are
+ * submitted, end, are cancelled and archived, and machines are rented and returned. */
 static void delayed_transactions(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_delays); i++) {
     const delay_row *row = &k_delays[i];
     unsigned late_starts = 0;
     for (unsigned seed = 0; seed < row->seeds; seed++)
-      late_starts += play_delayed_transactions(row, (uint32_t)(200 + i * 1000 + seed));
+      late_starts += run_delayed_transactions(row, (uint32_t)(200 + i * 1000 + seed));
     print_message("%s: %u tasks began after a cancellation\n", row->name, late_starts);
   }
 }
 
 typedef struct removed_row {
-  const char *name, *of; /* text in the bodies of the transactions that are delayed */
-  double from_s, to_s;   /* between these times */
-  bool report;           /* the machine is there and reports, instead of being rented */
+  const char *name, *body_text; /* text in the bodies of the transactions that are delayed */
+  double from_s, to_s;          /* when they are sent */
+  bool machines_up;             /* two machines already run and send heartbeats, besides what is rented */
 } removed_row;
 
 static const removed_row k_removed_records[] = {
     {"records of rented machines", "\"set\":\"fc1/machine/", 0, 8, false},
-    {"records of machines that report", "\"set\":\"fc1/machine/", 0, 4, true},
+    {"records of machines that send heartbeats", "\"set\":\"fc1/machine/", 0, 4, true},
     {"addresses of machines", "\"endpoint\":\"10.", 0, 8, false},
     {"removals of records", "\"remove\":\"fc1/machine/", 0, 40, false},
-    {"intents", "\"set\":\"fc1/hire/", 0, 4, false},
-    {"ends of intents", "\"remove\":\"fc1/hire/", 0, 8, false},
+    {"rental intents", "\"set\":\"fc1/hire/", 0, 4, false},
+    {"removals of rental intents", "\"remove\":\"fc1/hire/", 0, 8, false},
     {"new jobs", "\"phase\":\"accepted\"", 0, 4, true},
-    {"ends of jobs", "\"phase\":\"done\"", 0, 20, true},
-    {"jobs put away", "\"set\":\"fc1over/", 0, 40, true},
-    {"shares of limits", "\"set\":\"fc1/quota", 0, 20, true},
+    {"completions of jobs", "\"phase\":\"done\"", 0, 20, true},
+    {"archived jobs", "\"set\":\"fc1over/", 0, 40, true},
+    {"shares of quotas", "\"set\":\"fc1/quota", 0, 20, true},
 };
 
 static void submit_four_jobs(void) {
@@ -327,7 +329,7 @@
   }
 }
 
-static void play_removed_records(const removed_row *row, uint32_t seed) {
+static void run_removed_records(const removed_row *row, uint32_t seed) {
   char name[80];
   g_snprintf(name, sizeof name, "%s, seed %u", row->name, seed);
   world_set_up(seed, 0);
@@ -337,14 +339,14 @@
   sim_run_until(sim_now() + 6);
   double at = sim_now();
   world_lateness(45, 60);
-  world_late_only(row->of);
+  world_late_only(row->body_text);
   submit_four_jobs();
   sim_run_until(at + row->from_s);
   world_late_writes(1);
-  if (row->report) world_machines_up(0, 2);
+  if (row->machines_up) world_machines_up(0, 2);
   sim_run_until(at + row->to_s);
   world_late_writes(0);
-  /* The last delayed transaction is applied by second 61 after `to_s`. */
+  /* The last delayed transaction is applied within 61 s after `to_s`. */
   unsigned machines = 0;
   double t = row->to_s;
   while (t < 180) {
@@ -363,35 +365,35 @@
   }
 }
 
-/* Transactions without a response are applied after the records that they are about were removed: no
+/* Transactions without a response are applied after the records that they concern were removed: no
  * returned machine gets a record again, nothing is rented, and archived jobs stay archived. */
 static void delayed_transactions_about_removed_records(void **state) {
   (void)state;
   for (uint32_t i = 0; i < G_N_ELEMENTS(k_removed_records); i++) {
     const removed_row *row = &k_removed_records[i];
     const uint32_t seeds = strstr(row->name, "records of") ? 2 : 1;
-    for (uint32_t seed = 0; seed < seeds; seed++) play_removed_records(row, 300 + i * 10 + seed);
+    for (uint32_t seed = 0; seed < seeds; seed++) run_removed_records(row, 300 + i * 10 + seed);
   }
 }
 
-/* Records of quota shares and membership are applied late, with a team at its limit and controllers
- * that restart: the limit holds, and in the end all are members again and all jobs done. */
+/* Records of quota shares, members and terms are applied late, with a team at its quota and controllers
+ * that restart: the quota is kept, and in the end all controllers are members again and all jobs done. */
 static void delayed_quota_and_membership_records(void **state) {
   (void)state;
   static const struct {
-    const char *name, *of;
-    double share, most_s;
-    unsigned crashes; /* one controller after the other, ten seconds apart */
-    double back_s;
+    const char *name, *body_text; /* text in the bodies of the transactions that are delayed */
+    double share, most_s;         /* of these transactions that are delayed; by how long */
+    unsigned crashes;             /* one controller after the other, ten seconds apart */
+    double back_s;                /* until a controller is back */
   } rows[] = {
       {"shares", "\"set\":\"fc1/quota", 0.7, 12, 0, 0},
-      {"shares, by minutes", "\"set\":\"fc1/quota", 0.7, 60, 0, 0},
-      {"shares, and controllers are replaced", "\"set\":\"fc1/quota", 0.6, 12, 3, 4},
+      {"shares, by up to a minute", "\"set\":\"fc1/quota", 0.7, 60, 0, 0},
+      {"shares, and controllers restart", "\"set\":\"fc1/quota", 0.6, 12, 3, 4},
       {"members", "\"set\":\"fc1/member", 0.6, 12, 6, 4},
-      {"members that are back at once", "\"set\":\"fc1/member", 0.6, 12, 6, 0.2},
+      {"members, back at once", "\"set\":\"fc1/member", 0.6, 12, 6, 0.2},
       {"terms", "\"set\":\"fc1/term", 0.6, 12, 6, 4},
       {"terms, back at once", "\"set\":\"fc1/term", 0.6, 12, 6, 0.2},
-      {"terms, by minutes", "\"set\":\"fc1/term", 0.6, 60, 6, 16},
+      {"terms, by up to a minute", "\"set\":\"fc1/term", 0.6, 60, 6, 16},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     char name[80];
@@ -400,7 +402,7 @@
     sim_run_until(sim_now() + 6);
     double at = sim_now();
     world_lateness(2, rows[i].most_s);
-    world_late_only(rows[i].of);
+    world_late_only(rows[i].body_text);
     world_late_writes(rows[i].share);
     for (unsigned k = 0; k < 60; k++) {
       const char *id = world_id(k * 37 % 1000);
@@ -420,7 +422,7 @@
     world_late_writes(0);
     sim_run_until(at + 230);
     world_result r = world_so_far();
-    print_message("%s: %u of 60 done, %u starts, %u leases over\n", name, r.finished, r.starts, r.lease_kills);
+    print_message("%s: %u of 60 done, %u starts, %u lease kills\n", name, r.finished, r.starts, r.lease_kills);
     if (r.broken) fail_msg("%s: %s", name, r.first);
     check_row(name, r.finished == 60);
     for (unsigned n = 0; n < WORLD_NODES; n++) check_row(name, world_ask(n, "/ready") == 200);
