--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -47,6 +47,7 @@
   run_days(&(world_day){0}, SEEDS);
 }
 
+/* Meetings: incidents that overlap. */
 static void days_with_meetings(void **state) {
   (void)state;
   run_days(&(world_day){.overlapping_faults = true}, SEEDS_WITH_MEETINGS);
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -101,7 +101,7 @@
   const char *name;
   double in_s;            /* delay of the heartbeats; the controllers get them 0.3 s apart */
   unsigned crashes;       /* of one controller after the other */
-  double crash_s, back_s; /* the first, after the first heartbeat; until a controller is back */
+  double crash_s, back_s; /* the first crash, after the first heartbeat; until a controller is back */
 } order_row;
 
 static const order_row k_orders[] = {
@@ -300,7 +300,7 @@
 typedef struct removed_row {
   const char *name, *body_text; /* text in the bodies of the transactions that are delayed */
   double from_s, to_s;          /* when they are sent */
-  bool machines_up;             /* two machines already run and send heartbeats, besides what is rented */
+  bool machines_up;             /* two machines run and send heartbeats, instead of being rented */
 } removed_row;
 
 static const removed_row k_removed_records[] = {
@@ -377,7 +377,7 @@
 }
 
 /* Records of quota shares, members and terms are applied late, with a team at its quota and controllers
- * that restart: the quota is kept, and in the end all controllers are members again and all jobs done. */
+ * that restart: the quota is not exceeded, and in the end all controllers are members again and all jobs done. */
 static void delayed_quota_and_membership_records(void **state) {
   (void)state;
   static const struct {
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -63,7 +63,7 @@
   if (r.broken) fail_msg("row '%s': %u rules broken, first %s", name, r.broken, r.first);
 }
 
-/* Called at the end of the last fault: new jobs start within `within_s`, queries about every open job are
+/* Called at the end of the last fault. New jobs start within `within_s`, queries about every open job are
  * answered again, and within 90 s all short jobs are done. running, finished: the tasks and jobs to expect
  * besides the new ones. */
 static void check_recovery(const char *name, double within_s, unsigned running, unsigned finished) {
--- a/tests/test_repeat.c
+++ b/tests/test_repeat.c
@@ -6,7 +6,7 @@
 
 #include "sim/world.h"
 
-/* In this day the cancellations of several jobs that depend on a cancelled one are recorded at a time. */
+/* In this day the cancellations of several jobs that depend on a cancelled one are recorded at the same time. */
 #define SEED 3006u
 #define BUSY_S 240
 #define RUNS 4u
@@ -64,7 +64,7 @@
   assert_int_equal(a->status_refusals, b->status_refusals);
 }
 
-static void assert_same_way(const sim_way *a, const sim_way *b) {
+static void assert_same_traffic(const sim_way *a, const sim_way *b) {
   assert_int_equal(a->sent.messages, b->sent.messages);
   assert_int_equal(a->sent.bytes, b->sent.bytes);
   assert_int_equal(a->got.messages, b->got.messages);
@@ -74,9 +74,9 @@
 static void assert_same_load(const sim_load *a, const sim_load *b) {
   assert_int_equal(a->wakes, b->wakes);
   assert_true(a->busy_s == b->busy_s);
-  assert_same_way(&a->peers, &b->peers);
-  assert_same_way(&a->workers, &b->workers);
-  assert_same_way(&a->others, &b->others);
+  assert_same_traffic(&a->peers, &b->peers);
+  assert_same_traffic(&a->workers, &b->workers);
+  assert_same_traffic(&a->others, &b->others);
 }
 
 static void a_day_repeats_at_other_addresses(void **state) {
