--- a/tests/heap.h
+++ b/tests/heap.h
@@ -1,4 +1,4 @@
-/* Counts the memory that each simulated controller takes: calls, and bytes that it holds. */
+/* Counts the heap allocations of each simulated controller, and the bytes that it has in use. */
 #ifndef FC_TESTS_HEAP_H
 #define FC_TESTS_HEAP_H
 
@@ -8,16 +8,17 @@
 #include "sim/world.h"
 
 typedef struct heap_use {
-  uint64_t calls; /* of malloc and the like, so far */
-  size_t bytes;   /* held now */
-  size_t peak;    /* the most held since heap_mark() */
+  uint64_t calls; /* of malloc, calloc and realloc so far */
+  size_t bytes;   /* in use now */
+  size_t peak;    /* most bytes in use since heap_reset_peak() */
 } heap_use;
 
-/* Counts from here on; to be called once, before any controller starts. */
-void heap_start(void);
+/* Counts from here on; called once, before any controller starts. */
+void heap_start_counting(void);
 heap_use heap_of(unsigned node);
-void heap_mark(void);
-/* Forgets what it holds: its process has ended, or a new world begins. */
-void heap_forget(void);
+/* Sets the peak of all controllers to their use now. */
+void heap_reset_peak(void);
+/* Sets all counts to zero and forgets all allocations, after controllers have crashed or before a new simulation. */
+void heap_reset(void);
 
 #endif
--- a/tests/small.h
+++ b/tests/small.h
@@ -1,5 +1,5 @@
-/* Fleets on controllers with a fortieth of a core: whatever wakes them, and each message and
- * byte that they read or send, costs them virtual time (sim_process_share). */
+/* Helpers for tests of controllers with a fortieth of a core: every wake-up, and each message and byte that a
+ * controller reads or sends, costs it virtual time (sim_process_share). */
 #ifndef FC_TESTS_SMALL_H
 #define FC_TESTS_SMALL_H
 
@@ -7,14 +7,14 @@
 
 #include "scene.h"
 
-#define SHARE 0.024        /* of a core */
-#define TIMERS_LATE_S 0.05 /* half a period of the limit on processor time */
+#define CPU_SHARE 0.024    /* of a core */
+#define TIMERS_LATE_S 0.05 /* half a period of the CPU limit */
 #define JOB_TASKS 6u
-#define RECORDED_S 15.0 /* until all machines of a fleet that appears at once are on record */
-#define SETTLE_S 40.0
+#define RECORDED_S 15.0 /* until all machines of a new fleet have a record */
+#define WARM_UP_S 40.0
 
-/* Services of six tasks that never end. */
-static inline unsigned services(unsigned first, unsigned count, double every_s) {
+/* Submits services that never end; returns the number of their tasks. */
+static inline unsigned submit_services(unsigned first, unsigned count, double every_s) {
   scene_submit(&(scene_jobs){.first = first,
                              .count = count,
                              .kind = "service",
@@ -27,44 +27,45 @@
   return count * JOB_TASKS;
 }
 
-static inline void start_fleet(uint32_t seed, unsigned machines, unsigned slow_nodes, double share,
+/* slow_nodes: one bit for each controller that has only `cpu_share` of a core. */
+static inline void start_fleet(uint32_t seed, unsigned machines, unsigned slow_nodes, double cpu_share,
                                double timers_late_s) {
   world_set_up(seed, 0);
   world_lean(machines);
   for (unsigned n = 0; n < WORLD_NODES; n++)
-    if (slow_nodes & 1u << n) world_slow_node(n, share, timers_late_s);
+    if (slow_nodes & 1u << n) world_slow_node(n, cpu_share, timers_late_s);
   world_start_nodes();
   world_machines_up(0, machines / 2);
   world_machines_up(1, machines - machines / 2);
 }
 
-static inline void check_rules(const char *name) {
+static inline void check_no_rule_broken(const char *name) {
   world_result r = world_so_far();
   if (r.broken) fail_msg("%s: %u broken, first %s", name, r.broken, r.first);
 }
 
-/* The counters at a moment of a scene. */
-typedef struct mark {
+/* Counters at one time, to report what happened since. */
+typedef struct snapshot {
   world_result r;
-  double at, used_s;
+  double at, cpu_s; /* of the first controller */
   unsigned terms;
-} mark;
+} snapshot;
 
-static inline mark mark_now(void) {
+static inline snapshot take_snapshot(void) {
   world_watch_leases();
-  return (mark){world_so_far(), sim_now(), sim_load_of(WORLD_NODE_IP(0)).busy_s, world_terms()};
+  return (snapshot){world_so_far(), sim_now(), sim_load_of(WORLD_NODE_IP(0)).busy_s, world_terms()};
 }
 
-/* What has happened since, and the processor time of the first controller. */
-static inline void print_since(const char *name, const char *phase, const mark *m) {
+/* Prints what has happened since the snapshot, and the CPU use of the first controller. */
+static inline void print_since(const char *name, const char *phase, const snapshot *since) {
   world_result r = world_so_far();
   print_message(
-      "%s, %s: %.1f%% of a core used, %u submissions sent, %u accepted, %u refused, %u unanswered, %u of %u questions "
-      "answered, %u put off, %u leases over, %.1f s left of a lease\n",
-      name, phase, 100 * (sim_load_of(WORLD_NODE_IP(0)).busy_s - m->used_s) / (sim_now() - m->at),
-      r.submissions - m->r.submissions, r.accepted - m->r.accepted, r.refused - m->r.refused,
-      r.unanswered - m->r.unanswered, r.status_answers - m->r.status_answers, r.questions - m->r.questions,
-      r.status_refusals - m->r.status_refusals, r.lease_kills - m->r.lease_kills, r.lease_left_s);
+      "%s, %s: %.1f%% of a core used, %u submissions sent, %u accepted, %u refused, %u unanswered, %u of %u job "
+      "queries answered, %u refused, %u tasks ended with a lease, %.1f s left of a lease\n",
+      name, phase, 100 * (sim_load_of(WORLD_NODE_IP(0)).busy_s - since->cpu_s) / (sim_now() - since->at),
+      r.submissions - since->r.submissions, r.accepted - since->r.accepted, r.refused - since->r.refused,
+      r.unanswered - since->r.unanswered, r.status_answers - since->r.status_answers, r.questions - since->r.questions,
+      r.status_refusals - since->r.status_refusals, r.lease_kills - since->r.lease_kills, r.lease_left_s);
 }
 
 #endif
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -1,5 +1,5 @@
-/* Dependencies between jobs over whole controllers: replies to users, when dependents start, and what
- * a cancellation reaches, with faults in between. */
+/* Dependencies between jobs, with whole controllers and faults: replies to users, when dependents start,
+ * and which jobs a cancellation reaches. */
 #include "check.h"
 
 #include <math.h>
@@ -8,10 +8,10 @@
 #include "sim/requests.h"
 
 #define IMMEDIATE_S 0.3
-#define BODY_BYTES ((size_t)63 * 1024) /* a body may have 64 KiB */
+#define BODY_BYTES ((size_t)63 * 1024) /* request bodies are limited to 64 KiB */
 
 static void start_fleet(uint32_t seed, unsigned machines) {
-  /* The capacity holds these machines and no more. */
+  /* The cloud has no machines beyond these. */
   scene_begin(&(scene_setup){.seed = seed,
                              .capacity = (machines + 1) / 2,
                              .keep_idle = true,
@@ -37,7 +37,7 @@
   return r;
 }
 
-static bool says(const char *id, unsigned node, const char *status) {
+static bool controller_reports(const char *id, unsigned node, const char *status) {
   char path[64], text[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", id);
   g_snprintf(text, sizeof text, "\"status\":\"%s\"", status);
@@ -47,34 +47,34 @@
 typedef struct answer_row {
   const char *name, *id, *dependencies;
   int status;
-  const char *told; /* the state that the answer names */
-  int format;       /* of the record; 0: there is none */
+  const char *reported; /* job state in the reply; NULL: refused */
+  int record_format;    /* 0: there is no record */
 } answer_row;
 
-/* 1 runs for long, 2 was cancelled, 3 is a service, 4 is done; 5 and 6 were archived, done
- * and cancelled. */
+/* Jobs 1 to 6, see start_jobs_to_depend_on(): 1 keeps running, 2 was cancelled, 3 is a service, 4 is done;
+ * 5 and 6 were archived, 5 as done and 6 as cancelled. */
 static const answer_row k_answers[] = {
-    {"awaits nobody", "job-000100", "[]", 201, "pending", 1},
-    {"one that runs", "job-000101", "[\"job-000001\"]", 201, "pending", 2},
-    {"one that is done", "job-000102", "[\"job-000004\"]", 201, "pending", 1},
-    {"one that was archived", "job-000103", "[\"job-000005\"]", 201, "pending", 1},
-    {"one that is cancelled", "job-000104", "[\"job-000002\"]", 201, "cancelled", 1},
-    {"one archived as cancelled", "job-000105", "[\"job-000006\"]", 201, "cancelled", 1},
+    {"no dependency", "job-000100", "[]", 201, "pending", 1},
+    {"a running job", "job-000101", "[\"job-000001\"]", 201, "pending", 2},
+    {"a done job", "job-000102", "[\"job-000004\"]", 201, "pending", 1},
+    {"a job archived as done", "job-000103", "[\"job-000005\"]", 201, "pending", 1},
+    {"a cancelled job", "job-000104", "[\"job-000002\"]", 201, "cancelled", 1},
+    {"a job archived as cancelled", "job-000105", "[\"job-000006\"]", 201, "cancelled", 1},
     {"done, running and cancelled", "job-000106", "[\"job-000004\",\"job-000001\",\"job-000002\"]", 201, "cancelled",
      1},
-    {"named twice", "job-000107", "[\"job-000001\",\"job-000001\"]", 201, "pending", 2},
-    {"one that awaits another", "job-000108", "[\"job-000101\"]", 201, "pending", 2},
-    {"one cancelled with another", "job-000109", "[\"job-000104\"]", 201, "cancelled", 1},
+    {"a job listed twice", "job-000107", "[\"job-000001\",\"job-000001\"]", 201, "pending", 2},
+    {"a job with a pending dependency", "job-000108", "[\"job-000101\"]", 201, "pending", 2},
+    {"a job cancelled with its dependency", "job-000109", "[\"job-000104\"]", 201, "cancelled", 1},
     {"a service", "job-000110", "[\"job-000003\"]", 422, NULL, 0},
-    {"one that nobody submitted", "job-000111", "[\"job-999999\"]", 422, NULL, 0},
-    {"one of two that nobody submitted", "job-000112", "[\"job-000001\",\"job-999999\"]", 422, NULL, 0},
-    {"itself", "job-000113", "[\"job-000113\"]", 422, NULL, 0},
+    {"an unknown job", "job-000111", "[\"job-999999\"]", 422, NULL, 0},
+    {"a known and an unknown job", "job-000112", "[\"job-000001\",\"job-999999\"]", 422, NULL, 0},
+    {"the job itself", "job-000113", "[\"job-000113\"]", 422, NULL, 0},
     {"not a list", "job-000114", "\"job-000001\"", 400, NULL, 0},
     {"not an id", "job-000115", "[\"job-1\"]", 400, NULL, 0},
-    {"a repeat, whatever it names now", "job-000101", "[\"job-999999\"]", 200, "pending", 2},
-    {"a repeat that names itself", "job-000101", "[\"job-000101\"]", 200, "pending", 2},
-    {"a repeat that is malformed", "job-000101", "7", 200, "pending", 2},
-    {"a repeat of what was cancelled from the start", "job-000104", "[]", 200, "cancelled", 1},
+    {"a repeated submission, with another dependency", "job-000101", "[\"job-999999\"]", 200, "pending", 2},
+    {"a repeated submission, depending on itself", "job-000101", "[\"job-000101\"]", 200, "pending", 2},
+    {"a repeated submission, malformed", "job-000101", "7", 200, "pending", 2},
+    {"a repeated submission of a job cancelled at once", "job-000104", "[]", 200, "cancelled", 1},
 };
 
 static void start_jobs_to_depend_on(void) {
@@ -101,20 +101,21 @@
     const answer_row *row = &k_answers[i];
     world_reply r = submit((unsigned)i % WORLD_NODES, row->id, "sweep", row->dependencies);
     check_row(row->name, r.status == row->status && r.took < IMMEDIATE_S);
-    check_row(row->name, !row->told || strstr(r.body, row->told));
+    check_row(row->name, !row->reported || strstr(r.body, row->reported));
     char *key = g_strconcat("fc1/job/", row->id, NULL);
-    check_row(row->name, kv_has_key(key) == (row->told != NULL));
+    check_row(row->name, kv_has_key(key) == (row->reported != NULL));
     /* Older versions must skip records with pending dependencies, and read all others. */
-    check_row(row->name, row->format != FC_JOB_FORMAT_AWAITING || kv_value_contains(key, "\"f\":2"));
-    check_row(row->name, row->format != FC_JOB_FORMAT_PLAIN || kv_value_contains(key, "\"f\":1"));
+    check_row(row->name, row->record_format != FC_JOB_FORMAT_AWAITING || kv_value_contains(key, "\"f\":2"));
+    check_row(row->name, row->record_format != FC_JOB_FORMAT_PLAIN || kv_value_contains(key, "\"f\":1"));
     g_free(key);
     sim_run_until(sim_now() + 0.3); /* archived jobs are looked up at a bounded rate */
-    for (unsigned n = 0; n < WORLD_NODES && row->told; n++) check_row(row->name, says(row->id, n, row->told));
+    for (unsigned n = 0; n < WORLD_NODES && row->reported; n++)
+      check_row(row->name, controller_reports(row->id, n, row->reported));
   }
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* What can't be known now is refused at once, with the time to retry. */
+/* A submission whose dependencies can't be checked now is refused at once, with Retry-After. */
 static void dependencies_in_a_kv_store_outage(void **state) {
   (void)state;
   start_jobs_to_depend_on();
@@ -132,8 +133,8 @@
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* A job accepted by one controller is a dependency at another within the same millisecond, and may be
- * cancelled at a third at that moment. */
+/* A job accepted by one controller can be named as a dependency at another within a millisecond, and be
+ * cancelled at a third at the same time. */
 static void dependency_accepted_or_cancelled_just_before(void **state) {
   (void)state;
   start_fleet(2, 2);
@@ -142,25 +143,25 @@
     g_snprintf(id[0], sizeof id[0], "job-%06u", 1000 + 2 * k);
     g_snprintf(id[1], sizeof id[1], "job-%06u", 1001 + 2 * k);
     g_snprintf(list, sizeof list, "[\"%s\"]", id[0]);
-    world_reply accepted, named, cancelled;
+    world_reply accepted, dependent, cancelled;
     char *body = submission(id[0], "sweep", NULL), *next = submission(id[1], "sweep", list);
     world_send(&accepted, k % WORLD_NODES, "POST", "/api/jobs", body);
     while (!accepted.came) sim_run_until(sim_now() + 0.0002);
     assert_int_equal(accepted.status, 201);
     g_snprintf(path, sizeof path, "/api/jobs/%s/withdraw", id[0]);
     bool cancel = k % 2 == 1;
-    world_send(&named, (k + 1) % WORLD_NODES, "POST", "/api/jobs", next);
+    world_send(&dependent, (k + 1) % WORLD_NODES, "POST", "/api/jobs", next);
     if (cancel) world_send(&cancelled, (k + 2) % WORLD_NODES, "POST", path, "");
-    while (!named.came || (cancel && !cancelled.came)) sim_run_until(sim_now() + 0.0002);
-    assert_int_equal(named.status, 201);
+    while (!dependent.came || (cancel && !cancelled.came)) sim_run_until(sim_now() + 0.0002);
+    assert_int_equal(dependent.status, 201);
     if (cancel) assert_int_equal(cancelled.status, 200);
-    for (unsigned n = 0; cancel && n < WORLD_NODES; n++) assert_true(says(id[1], n, "cancelled"));
+    for (unsigned n = 0; cancel && n < WORLD_NODES; n++) assert_true(controller_reports(id[1], n, "cancelled"));
     g_free(body);
     g_free(next);
   }
 }
 
-/* A body of the largest size, full of ids of unknown jobs, is answered. */
+/* A body of almost the largest size, full of ids of unknown jobs, is answered at once. */
 static void body_full_of_unknown_dependencies(void **state) {
   (void)state;
   start_fleet(3, 2);
@@ -173,47 +174,47 @@
   assert_true(r.status == 422 && r.took < IMMEDIATE_S);
 }
 
-enum { MANY = 300 };
+enum { MANY_DEPENDENCIES = 300 };
 
-/* Of eighteen digits, so that a list of them takes several values. */
+/* With eighteen digits, so that a list of ids takes several values of the key-value store. */
 static const char *long_id(unsigned k) {
   static char id[32];
   g_snprintf(id, sizeof id, "job-9000000000000%05u", k);
   return id;
 }
 
-/* Repeats the submission until it is accepted; returns how long that took. */
-static double submit_until_accepted(const char *body, double patience_s) {
+/* Repeats the submission until it is accepted; returns the seconds it took. */
+static double submit_until_accepted(const char *body, double timeout_s) {
   double began = sim_now();
-  for (unsigned k = 0; sim_now() < began + patience_s; k++) {
+  for (unsigned k = 0; sim_now() < began + timeout_s; k++) {
     world_reply r = world_request(k % WORLD_NODES, "POST", "/api/jobs", body);
     if (r.status == 201 || r.status == 200) return sim_now() - began;
     assert_true(r.status == 503 && r.retry_after > 0);
     sim_run_until(sim_now() + 1);
   }
-  fail_msg("not accepted within %.0f s", patience_s);
+  fail_msg("not accepted within %.0f s", timeout_s);
   return 0;
 }
 
-static unsigned g_parts_left;
+static unsigned g_part_count;
 
 static void count_part(const char *id) {
   (void)id;
-  g_parts_left++;
+  g_part_count++;
 }
 
 static unsigned parts_stored(void) {
-  g_parts_left = 0;
+  g_part_count = 0;
   kv_each_job("fc1/part/", count_part);
-  return g_parts_left;
+  return g_part_count;
 }
 
-/* Returns the list of their ids, as JSON. */
+/* Returns their ids as a JSON list. */
 static GString *submit_many_dependencies(void) {
   /* All dependencies depend on one long job. */
   world_submit(world_id(9), "sweep", "standard", 1, 1, 130, 0);
   GString *dependencies = g_string_new("[");
-  for (unsigned k = 0; k < MANY; k++) {
+  for (unsigned k = 0; k < MANY_DEPENDENCIES; k++) {
     g_string_append_printf(dependencies, "%s\"%s\"", k ? "," : "", long_id(k));
     world_submit_job(&(world_job){.id = long_id(k),
                                   .kind = "sweep",
@@ -227,8 +228,9 @@
   return dependencies;
 }
 
-/* A job with more dependencies than a value of 2 KiB holds is accepted, stays pending for each of them,
- * also across restarts, and its parts are removed with it, as are those of an abandoned one. */
+/* A job whose list of dependencies exceeds a value of 2 KiB is accepted and stays pending until all of them
+ * are done, also across restarts. The parts of its description are removed with it, and so are those of an
+ * abandoned submission. */
 static void dependencies_beyond_one_value(void **state) {
   (void)state;
   const scene_setup setup = {.seed = 4, .capacity = 3, .keep_idle = true, .images_cached = true, .machines = {3, 3}};
@@ -240,27 +242,28 @@
   sim_run_until(sim_now() + 8);
   GString *dependencies = submit_many_dependencies();
   sim_run_until(sim_now() + 80);
-  assert_int_equal(world_so_far().accepted, MANY + 1);
+  assert_int_equal(world_so_far().accepted, MANY_DEPENDENCIES + 1);
   char *body = submission("job-000001", "sweep", dependencies->str);
   world_add_job("job-000001", "sweep", 1, 0, 3);
   double took = submit_until_accepted(body, 60);
-  print_message("%d ids: accepted after %.2f s, in %u parts\n", MANY, took, parts_stored());
+  print_message("%d ids: accepted after %.2f s, in %u parts\n", MANY_DEPENDENCIES, took, parts_stored());
   assert_true(parts_stored() >= 4);
-  /* Another submission is abandoned: its controller crashes before there is a record. */
+  /* Another submission is abandoned: its controller crashes between writing the parts and the record. */
   char *other = submission("job-000002", "sweep", dependencies->str);
   for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 0.3);
   sim_run_until(sim_now() + 6);
-  for (unsigned n = 0; n < WORLD_NODES; n++) assert_true(says("job-000001", n, "pending"));
-  world_reply given_up;
+  for (unsigned n = 0; n < WORLD_NODES; n++) assert_true(controller_reports("job-000001", n, "pending"));
+  world_reply abandoned;
   world_crash_at_write(0, "fc1/part/job-000002", 0.0001, 0.3);
-  world_send(&given_up, 0, "POST", "/api/jobs", other);
+  world_send(&abandoned, 0, "POST", "/api/jobs", other);
   sim_run_until(sim_now() + 10);
-  assert_int_equal(given_up.status, 0);
+  assert_int_equal(abandoned.status, 0);
   assert_true(parts_stored() >= 8 && !kv_has_key("fc1/job/job-000002"));
-  double patience = sim_now() + 150;
-  while (!says("job-000001", 1, "done") && sim_now() < patience) sim_run_until(sim_now() + 1);
-  for (unsigned k = 0; k < MANY; k++) assert_true(world_ended_at("job-000001") > world_ended_at(long_id(k)) + 3);
-  assert_true(says("job-000001", 1, "done"));
+  double give_up_at = sim_now() + 150;
+  while (!controller_reports("job-000001", 1, "done") && sim_now() < give_up_at) sim_run_until(sim_now() + 1);
+  for (unsigned k = 0; k < MANY_DEPENDENCIES; k++)
+    assert_true(world_ended_at("job-000001") > world_ended_at(long_id(k)) + 3);
+  assert_true(controller_reports("job-000001", 1, "done"));
   sim_run_until(sim_now() + 200);
   assert_false(kv_has_key("fc1/job/job-000001"));
   assert_int_equal(parts_stored(), 0);
@@ -274,21 +277,21 @@
 
 typedef struct chain_row {
   const char *name;
-  double deadline_s; /* of the last; 0: none */
-  double late_s;     /* the last is submitted so much later */
-  enum { CALM, CRASH, CRASH_ALL, REFUSED, ROLLING, STATE_DOWN } trouble;
-  double slack_s; /* to the last's end beyond what the four take */
+  double deadline_s;   /* of the last job; 0: none */
+  double last_later_s; /* the last job is submitted so much later than the others */
+  enum { CALM, CRASH_ONE, CRASH_ALL, KV_REFUSES_ONE, ROLLING_RESTART, KV_DOWN } fault;
+  double slack_s; /* longest time beyond the run times of the four jobs */
 } chain_row;
 
 static const chain_row k_chains[] = {
-    {"on a quiet day", 0, 0, CALM, 8},
+    {"without a fault", 0, 0, CALM, 8},
     {"with a deadline", 60, 0, CALM, 8},
-    {"the last comes when the others are over", 0, 45, CALM, 30},
-    {"a controller ends", 0, 0, CRASH, 25},
-    {"all end", 0, 0, CRASH_ALL, 35},
-    {"the key-value store refuses one for 25 s", 0, 0, REFUSED, 30},
-    {"controllers are restarted one after the other", 0, 0, ROLLING, 45},
-    {"the key-value store is down for a while", 0, 0, STATE_DOWN, 40},
+    {"the last job comes when the others are done", 0, 45, CALM, 30},
+    {"a controller crashes", 0, 0, CRASH_ONE, 25},
+    {"all controllers crash", 0, 0, CRASH_ALL, 35},
+    {"the key-value store refuses a controller for 25 s", 0, 0, KV_REFUSES_ONE, 30},
+    {"controllers are restarted one after the other", 0, 0, ROLLING_RESTART, 45},
+    {"the key-value store is down for a while", 0, 0, KV_DOWN, 40},
 };
 
 enum { STAGE_S = 6, STAGES = 4 };
@@ -302,23 +305,23 @@
                      .tasks = k == 1 ? 12 : 2,
                      .gpus = 0.25,
                      .run_s = STAGE_S,
-                     .in_s = in_s + (k + 1 == STAGES ? row->late_s : 0),
+                     .in_s = in_s + (k + 1 == STAGES ? row->last_later_s : 0),
                      .deadline_s = k + 1 == STAGES ? row->deadline_s : 0,
                      .dependencies = {k > 0 ? world_id(first + k - 1) : NULL, k == 3 ? world_id(first) : NULL}});
 }
 
 static void apply_chain_fault(const chain_row *row) {
-  switch (row->trouble) {
-    case CRASH:
+  switch (row->fault) {
+    case CRASH_ONE:
       world_crash(0, 4);
       break;
     case CRASH_ALL:
       for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
       break;
-    case REFUSED:
+    case KV_REFUSES_ONE:
       world_refuse(1, 25);
       break;
-    case STATE_DOWN:
+    case KV_DOWN:
       world_kv_down(20);
       break;
     default:
@@ -336,7 +339,7 @@
     double began = sim_now();
     sim_run_until(began + 9);
     apply_chain_fault(row);
-    for (unsigned n = 0; n < WORLD_NODES && row->trouble == ROLLING; n++) {
+    for (unsigned n = 0; n < WORLD_NODES && row->fault == ROLLING_RESTART; n++) {
       world_crash(n, 3);
       sim_run_until(sim_now() + 10);
     }
@@ -354,7 +357,7 @@
   }
 }
 
-/* Other jobs of the team use all of its limit meanwhile. */
+/* Other jobs of a team can use its whole limit while some of its jobs wait for dependencies. */
 static void pending_jobs_use_no_quota(void **state) {
   (void)state;
   start_fleet(70, 8);
@@ -378,13 +381,13 @@
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* In a full fleet a dependency of a job with a deadline goes first, also when that job is submitted
- * later. */
+/* In a full fleet a dependency of a job with a deadline is started before jobs of higher priority, also when
+ * the job with the deadline is submitted later. */
 static void deadline_of_the_last_dependent(void **state) {
   (void)state;
   for (unsigned late = 0; late < 2; late++) {
     start_fleet(80 + late, 2);
-    /* Eight places, all taken for a while, and a queue of jobs of the same priority. */
+    /* Eight GPUs, all in use for a while, and a queue of jobs of standard priority. */
     world_submit(world_id(1), "sweep", "standard", 8, 1, 20, 0);
     for (unsigned k = 2; k <= 9; k++)
       world_submit_job(&(world_job){
@@ -401,8 +404,8 @@
                                   .dependencies = {world_id(20)}});
     double began = sim_now();
     sim_run_until(began + 120);
-    print_message("the first of the pipeline began after %.1f s, the last after %.1f s\n",
-                  world_began(world_id(20)) - began, world_began(world_id(21)) - began);
+    print_message("the dependency began after %.1f s, the dependent after %.1f s\n", world_began(world_id(20)) - began,
+                  world_began(world_id(21)) - began);
     assert_true(world_began(world_id(20)) - began < 27);
     assert_true(world_began(world_id(21)) - began < 45);
     if (world_so_far().broken) fail_msg("%s", world_so_far().first);
@@ -413,59 +416,61 @@
 
 typedef struct cancel_row {
   const char *name;
-  enum { NONE, WRITER_ENDS, STATE_OUT, OTHERS_END, WRITER_REFUSED, ZONE_CUT, ALL_END } trouble;
-  bool at_once; /* every controller reports the cancellation at once */
+  enum { NONE, WRITER_CRASHES, KV_OUTAGE, OTHERS_CRASH, WRITER_REFUSED, ZONE_CUT, ALL_CRASH } fault;
+  bool ask_later; /* 0.1 s after the cancellation, else at once */
 } cancel_row;
 
 static const cancel_row k_cancels[] = {
-    {"nothing happens", NONE, true},
-    {"the writer ends right after its answer", WRITER_ENDS, true},
-    {"the key-value store goes out", STATE_OUT, false},
-    {"the others end", OTHERS_END, false},
-    {"the writer is refused from then on", WRITER_REFUSED, false},
+    {"without a fault", NONE, true},
+    {"the acknowledging controller crashes right after its answer", WRITER_CRASHES, true},
+    {"the key-value store is down", KV_OUTAGE, false},
+    {"the other controllers crash", OTHERS_CRASH, false},
+    {"the key-value store refuses the acknowledging controller", WRITER_REFUSED, false},
     {"a zone is cut off", ZONE_CUT, false},
-    {"all end", ALL_END, false},
+    {"all controllers crash", ALL_CRASH, false},
 };
 
 static void apply_cancel_fault(const cancel_row *row) {
-  if (row->trouble == WRITER_ENDS) world_crash(0, 4);
-  if (row->trouble == STATE_OUT) world_kv_down(50);
-  if (row->trouble == WRITER_REFUSED) world_refuse(0, 40);
-  if (row->trouble == ZONE_CUT) world_cut_zone(1, 20);
+  if (row->fault == WRITER_CRASHES) world_crash(0, 4);
+  if (row->fault == KV_OUTAGE) world_kv_down(50);
+  if (row->fault == WRITER_REFUSED) world_refuse(0, 40);
+  if (row->fault == ZONE_CUT) world_cut_zone(1, 20);
   for (unsigned n = 0; n < WORLD_NODES; n++)
-    if (row->trouble == ALL_END || (row->trouble == OTHERS_END && n > 0)) world_crash(n, 4);
+    if (row->fault == ALL_CRASH || (row->fault == OTHERS_CRASH && n > 0)) world_crash(n, 4);
 }
 
-enum { FIRST = 1, FAN = 20, DEPENDENTS = 2 * FAN };
+enum { ROOT_JOB = 1, DIRECT_DEPENDENTS = 20, DEPENDENTS = 2 * DIRECT_DEPENDENTS };
 
 /* One running job, twenty dependents, and twenty more that depend on one of those each. */
-static void submit_fan(void) {
-  world_submit(world_id(FIRST), "sweep", "standard", 2, 1, 1e6, 0);
+static void submit_dependency_tree(void) {
+  world_submit(world_id(ROOT_JOB), "sweep", "standard", 2, 1, 1e6, 0);
   for (unsigned k = 1; k <= DEPENDENTS; k++)
-    world_submit_job(&(world_job){.id = world_id(FIRST + k),
-                                  .kind = k % 3 == 0              ? "gang"
-                                          : k > FAN && k % 7 == 0 ? "service"
-                                                                  : "sweep",
-                                  .team = k % 2 ? "red" : "blue",
-                                  .tasks = 1 + k % 4,
-                                  .gpus = 0.5,
-                                  .run_s = 5,
-                                  .in_s = 1,
-                                  .dependencies = {world_id(k <= FAN ? FIRST : FIRST + k - FAN)}});
+    world_submit_job(
+        &(world_job){.id = world_id(ROOT_JOB + k),
+                     .kind = k % 3 == 0                            ? "gang"
+                             : k > DIRECT_DEPENDENTS && k % 7 == 0 ? "service"
+                                                                   : "sweep",
+                     .team = k % 2 ? "red" : "blue",
+                     .tasks = 1 + k % 4,
+                     .gpus = 0.5,
+                     .run_s = 5,
+                     .in_s = 1,
+                     .dependencies = {world_id(k <= DIRECT_DEPENDENTS ? ROOT_JOB : ROOT_JOB + k - DIRECT_DEPENDENTS)}});
 }
 
-static void check_all_cancelled(const cancel_row *row, bool where_reachable) {
+/* All controllers report all dependents as cancelled. */
+static void check_all_cancelled(const cancel_row *row, bool unavailable_allowed) {
   for (unsigned k = 1; k <= DEPENDENTS; k++) {
     char path[64];
-    g_snprintf(path, sizeof path, "/api/jobs/%s", world_id(FIRST + k));
+    g_snprintf(path, sizeof path, "/api/jobs/%s", world_id(ROOT_JOB + k));
     for (unsigned n = 0; n < WORLD_NODES; n++) {
       world_reply r = world_request(n, "GET", path, "");
-      check_row(row->name, (where_reachable && r.status != 200) || strstr(r.body, "\"cancelled\""));
+      check_row(row->name, (unavailable_allowed && r.status != 200) || strstr(r.body, "\"cancelled\""));
     }
   }
 }
 
-/* Archived jobs are looked up at a bounded rate: repeated until answered. */
+/* Asks until it is answered: archived jobs are looked up at a bounded rate. */
 static bool archived_as_cancelled(unsigned k) {
   char path[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", world_id(k));
@@ -477,32 +482,32 @@
   return false;
 }
 
-/* A cancellation reaches direct and indirect dependents in all shards: no other state is reported, none
- * ever starts, and that holds after all are archived and every controller restarted. */
+/* A cancellation reaches direct and indirect dependents in all shards: no other state is reported and none
+ * of them ever starts, also after all are archived and every controller has restarted. */
 static void cancellation_reaches_all_dependents(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_cancels); i++) {
     const cancel_row *row = &k_cancels[i];
     start_fleet(100 + (uint32_t)i, 6);
-    submit_fan();
+    submit_dependency_tree();
     sim_run_until(sim_now() + 9);
     assert_true(world_so_far().accepted == DEPENDENTS + 1);
-    world_cancel(world_id(FIRST), 0, 0);
-    while (!world_seen_cancelled_at(world_id(FIRST))) sim_run_until(sim_now() + 0.001);
+    world_cancel(world_id(ROOT_JOB), 0, 0);
+    while (!world_seen_cancelled_at(world_id(ROOT_JOB))) sim_run_until(sim_now() + 0.001);
     apply_cancel_fault(row);
-    if (row->at_once) sim_run_until(sim_now() + 0.1);
+    if (row->ask_later) sim_run_until(sim_now() + 0.1);
     check_all_cancelled(row, true);
     sim_run_until(sim_now() + 120);
     for (unsigned k = 1; k <= DEPENDENTS; k++) {
-      check_row(row->name, world_starts_of(world_id(FIRST + k)) == 0);
-      check_row(row->name, world_seen_terminal_state(world_id(FIRST + k)) &&
-                               strcmp(world_seen_terminal_state(world_id(FIRST + k)), "cancelled") == 0);
+      check_row(row->name, world_starts_of(world_id(ROOT_JOB + k)) == 0);
+      check_row(row->name, world_seen_terminal_state(world_id(ROOT_JOB + k)) &&
+                               strcmp(world_seen_terminal_state(world_id(ROOT_JOB + k)), "cancelled") == 0);
     }
     check_row(row->name, kv_has_key("fc1over/job-000001") && !kv_has_key("fc1/job/job-000001"));
     for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 0.5);
     sim_run_until(sim_now() + 15);
     if (world_so_far().broken) fail_msg("%s: %s", row->name, world_so_far().first);
-    for (unsigned k = 1; k <= DEPENDENTS; k += 8) check_row(row->name, archived_as_cancelled(FIRST + k));
+    for (unsigned k = 1; k <= DEPENDENTS; k += 8) check_row(row->name, archived_as_cancelled(ROOT_JOB + k));
   }
 }
 
@@ -531,15 +536,15 @@
     sim_run_until(world_began(world_id(1)) + 4.9 + 0.1 * seed);
     world_cancel(world_id(1), (int)(seed % WORLD_NODES), 0);
     sim_run_until(sim_now() + 40);
-    const char *told = world_seen_terminal_state(world_id(1));
-    assert_non_null(told);
-    done += strcmp(told, "done") == 0;
-    cancelled += strcmp(told, "cancelled") == 0;
-    for (unsigned k = 2; k <= 3; k++) assert_string_equal(world_seen_terminal_state(world_id(k)), told);
-    assert_int_equal(world_starts_of(world_id(3)), strcmp(told, "done") == 0);
+    const char *acknowledged = world_seen_terminal_state(world_id(1));
+    assert_non_null(acknowledged);
+    done += strcmp(acknowledged, "done") == 0;
+    cancelled += strcmp(acknowledged, "cancelled") == 0;
+    for (unsigned k = 2; k <= 3; k++) assert_string_equal(world_seen_terminal_state(world_id(k)), acknowledged);
+    assert_int_equal(world_starts_of(world_id(3)), strcmp(acknowledged, "done") == 0);
     if (world_so_far().broken) fail_msg("seed %u: %s", seed, world_so_far().first);
   }
-  print_message("called off at the end: %u done, %u cancelled\n", done, cancelled);
+  print_message("cancelled at completion: %u done, %u cancelled\n", done, cancelled);
   assert_true(done > 0 && cancelled > 0);
 }
 
--- a/tests/test_small_requests.c
+++ b/tests/test_small_requests.c
@@ -1,73 +1,76 @@
-/* Floods of requests that must be refused, to a controller with a fortieth of a core and the whole
+/* Floods of requests that must be refused, sent to a controller with a fortieth of a core that serves the whole
  * fleet. */
 #include "small.h"
 
 #define LOADED_MACHINES 224u /* their heartbeats take two thirds of one controller's share */
 #define FLOOD_S 20.0
-#define REFUSED_S 1.0    /* with Retry-After: at once, but for a moment of a busy processor */
-#define LONG_TASKS 900u  /* a heartbeat of 50 kB */
-#define LEASE_LEFT_S 9.0 /* of 14: a heartbeat each 2.5 s, answered within 2 */
+#define REFUSED_WITHIN_S 1.0 /* with Retry-After: at once, except for a short delay while the CPU is busy */
+#define LONG_BODY_TASKS 900u /* make a heartbeat of 50 kB */
+#define LEASE_LEFT_S 9.0     /* of 14: a heartbeat every 2.5 s, answered within 2 s */
 
 /* Requests that must be refused, at a constant rate for a while. */
 typedef struct flood {
-  const char *name, *method, *path, *body; /* %u: one more each time */
+  const char *name, *method, *path, *body; /* %u in path and body: the number of the request */
   double per_s;
-  unsigned allowed[3];    /* statuses; 0: none more */
-  double within_s;        /* each answer comes */
-  unsigned routines;      /* at most: a request that waits holds one */
-  bool real;              /* workers know the jobs */
-  bool worker, long_body; /* from a machine; a list of tasks without end after `body` */
+  unsigned allowed[3];    /* statuses; 0: end of the list */
+  double within_s;        /* until each answer */
+  unsigned max_routines;  /* a request that waits holds one */
+  bool accepted_jobs_run; /* workers know the jobs */
+  bool from_worker;       /* else from a user */
+  bool long_body;         /* `body` is followed by a list of LONG_BODY_TASKS tasks */
 } flood;
 
-typedef struct flooding {
+/* Progress and results of a flood. */
+typedef struct flood_run {
   const flood *f;
   double until, longest_s, refused_longest_s;
   unsigned sent, answered, refused, next;
-  char first_wrong[120];
-} flooding;
+  char first_wrong[120]; /* the first reply that is not allowed; empty: none */
+} flood_run;
 
-typedef struct one_request {
-  flooding *of;
-  double sent;
-} one_request;
+typedef struct flood_request {
+  flood_run *run;
+  double sent_at;
+} flood_request;
 
 static void on_flood_answer(int status, const char *body, void *arg) {
-  one_request *q = arg;
-  flooding *g = q->of;
+  flood_request *request = arg;
+  flood_run *run = request->run;
   bool allowed = false;
-  for (size_t i = 0; i < G_N_ELEMENTS(g->f->allowed); i++) allowed |= status && (unsigned)status == g->f->allowed[i];
-  bool later = status == 429 || (status == 503 && !g->f->worker);
-  if (!*g->first_wrong && (!allowed || (later && sim_retry_after() <= 0)))
-    g_snprintf(g->first_wrong, sizeof g->first_wrong, "%d, Retry-After %d, %s", status, sim_retry_after(), body);
-  g->answered += status != 0;
-  g->longest_s = MAX(g->longest_s, sim_now() - q->sent);
-  g->refused += later;
-  if (later) g->refused_longest_s = MAX(g->refused_longest_s, sim_now() - q->sent);
-  g_free(q);
+  for (size_t i = 0; i < G_N_ELEMENTS(run->f->allowed); i++)
+    allowed |= status && (unsigned)status == run->f->allowed[i];
+  bool refused = status == 429 || (status == 503 && !run->f->from_worker);
+  if (!*run->first_wrong && (!allowed || (refused && sim_retry_after() <= 0)))
+    g_snprintf(run->first_wrong, sizeof run->first_wrong, "%d, Retry-After %d, %s", status, sim_retry_after(), body);
+  run->answered += status != 0;
+  run->longest_s = MAX(run->longest_s, sim_now() - request->sent_at);
+  run->refused += refused;
+  if (refused) run->refused_longest_s = MAX(run->refused_longest_s, sim_now() - request->sent_at);
+  g_free(request);
 }
 
-static char *flood_body(const flooding *g) {
+static char *flood_body(const flood_run *run) {
   GString *s = g_string_new(NULL);
-  g_string_append_printf(s, g->f->body, g->next);
-  for (unsigned k = 0; g->f->long_body && k < LONG_TASKS; k++)
+  g_string_append_printf(s, run->f->body, run->next);
+  for (unsigned k = 0; run->f->long_body && k < LONG_BODY_TASKS; k++)
     g_string_append_printf(s, "%s{\"run\":\"job-%06u/0\",\"kickoff\":%u,\"status\":\"running\"}", k ? "," : "", k, k);
-  if (g->f->long_body) g_string_append(s, "]}");
+  if (run->f->long_body) g_string_append(s, "]}");
   return g_string_free(s, FALSE);
 }
 
 static void flood_step(void *arg) {
-  flooding *g = arg;
-  if (sim_now() > g->until) return;
-  one_request *q = g_new(one_request, 1);
-  *q = (one_request){g, sim_now()};
-  char path[64], *body = flood_body(g);
-  g_snprintf(path, sizeof path, g->f->path, g->next);
-  g->next++;
-  g->sent++;
-  uint32_t from = g->f->worker ? IP(10, 1, 9, 9) : WORLD_USER_IP;
-  sim_call(from, WORLD_NODE_IP(0), g->f->method, path, body, 8, on_flood_answer, q);
+  flood_run *run = arg;
+  if (sim_now() > run->until) return;
+  flood_request *request = g_new(flood_request, 1);
+  *request = (flood_request){run, sim_now()};
+  char path[64], *body = flood_body(run);
+  g_snprintf(path, sizeof path, run->f->path, run->next);
+  run->next++;
+  run->sent++;
+  uint32_t from = run->f->from_worker ? IP(10, 1, 9, 9) : WORLD_USER_IP;
+  sim_call(from, WORLD_NODE_IP(0), run->f->method, path, body, 8, on_flood_answer, request);
   g_free(body);
-  sim_after(1 / g->f->per_s, flood_step, g);
+  sim_after(1 / run->f->per_s, flood_step, run);
 }
 
 #define JOB(id, gpus)                                                                                              \
@@ -76,55 +79,55 @@
   "\"cpus\":1,\"gpus\":" gpus                                                                                      \
   ",\"memGb\":1,\"kit\":\"i\",\"pullGb\":1,\"builds\":null,\"ground\":null,\"samePlace\":false,\"scatter\":false," \
   "\"loaners\":true,\"expectS\":10,\"markS\":0,\"stowS\":0,\"whistleS\":null}"
-#define REPORT(machine, runs)                                                              \
+#define HEARTBEAT(machine, runs)                                                           \
   "{\"paddock\":\"" machine                                                                \
   "\",\"endpoint\":\"10.9.9.9:9000\",\"build\":\"g4\",\"ground\":\"a\",\"loaners\":false," \
   "\"stint\":1,\"tally\":1,\"captaincy\":0,\"runs\":[" runs
 
-/* Invalid requests are answered as ever and soon, and every heartbeat is answered in time. */
-static void play_flood(const flood *f, uint32_t seed) {
-  start_fleet(seed, LOADED_MACHINES, 1, SHARE, TIMERS_LATE_S);
-  /* More tasks than machines: none is idle. */
-  unsigned tasks = services(0, LOADED_MACHINES / 4, 0.1);
-  sim_run_until(sim_now() + SETTLE_S);
+/* The requests of the flood get their usual answers in time, and so do other users and every heartbeat. */
+static void run_flood(const flood *f, uint32_t seed) {
+  start_fleet(seed, LOADED_MACHINES, 1, CPU_SHARE, TIMERS_LATE_S);
+  /* More tasks than machines: no machine is idle. */
+  unsigned tasks = submit_services(0, LOADED_MACHINES / 4, 0.1);
+  sim_run_until(sim_now() + WARM_UP_S);
   world_crash(1, 1e6);
   world_crash(2, 1e6);
   world_users_to(0);
   sim_run_until(sim_now() + 30);
-  mark m = mark_now();
-  flooding g = {.f = f, .until = sim_now() + FLOOD_S};
-  for (unsigned k = 0; f->real && k <= f->per_s * FLOOD_S; k++) {
+  snapshot before = take_snapshot();
+  flood_run run = {.f = f, .until = sim_now() + FLOOD_S};
+  for (unsigned k = 0; f->accepted_jobs_run && k <= f->per_s * FLOOD_S; k++) {
     char id[32];
     g_snprintf(id, sizeof id, "job-9%05u", k);
     world_add_job(id, "sweep", 1, 1, 1e6);
   }
-  flood_step(&g);
-  size_t most_routines = 0;
-  while (sim_now() < g.until + 10) {
+  flood_step(&run);
+  size_t peak_routines = 0;
+  while (sim_now() < run.until + 10) {
     sim_run_until(sim_now() + 0.5);
-    most_routines = MAX(most_routines, sim_process_routines(WORLD_NODE_IP(0)));
+    peak_routines = MAX(peak_routines, sim_process_routines(WORLD_NODE_IP(0)));
   }
-  print_since(f->name, "flood", &m);
+  print_since(f->name, "flood", &before);
   print_message("%s: %u of %u answered within %.2f s, %u refused within %.2f s, up to %zu routines\n", f->name,
-                g.answered, g.sent, g.longest_s, g.refused, g.refused_longest_s, most_routines);
+                run.answered, run.sent, run.longest_s, run.refused, run.refused_longest_s, peak_routines);
   world_result r = world_so_far();
-  if (*g.first_wrong) fail_msg("%s: %s", f->name, g.first_wrong);
-  check_rules(f->name);
-  check_row(f->name, g.answered == g.sent && g.longest_s <= f->within_s);
-  check_row(f->name, g.refused_longest_s <= REFUSED_S);
+  if (*run.first_wrong) fail_msg("%s: %s", f->name, run.first_wrong);
+  check_no_rule_broken(f->name);
+  check_row(f->name, run.answered == run.sent && run.longest_s <= f->within_s);
+  check_row(f->name, run.refused_longest_s <= REFUSED_WITHIN_S);
   /* Other users are answered too. */
-  check_row(f->name, r.status_answers + r.status_refusals - m.r.status_answers - m.r.status_refusals ==
-                         r.questions - m.r.questions);
+  check_row(f->name, r.status_answers + r.status_refusals - before.r.status_answers - before.r.status_refusals ==
+                         r.questions - before.r.questions);
   check_row(f->name, r.lease_kills == 0 && r.lease_left_s >= LEASE_LEFT_S);
-  check_row(f->name, most_routines <= f->routines);
+  check_row(f->name, peak_routines <= f->max_routines);
   check_row(f->name, world_running() >= tasks);
 }
 
-/* Statuses allowed, within: of what needs no read of the key-value store, a moment of a
- * busy processor; of the rest also the time of a read. */
+/* within_s: answers that need no read of the key-value store only wait for the busy CPU, the others also for the
+ * read. */
 static const flood k_invalid[] = {
     {"not JSON", "POST", "/api/jobs", "{%u", 40, {400}, 1, 60, false, false, false},
-    {"a job without most of it",
+    {"a job with missing fields",
      "POST",
      "/api/jobs",
      "{\"id\":\"job-9%05u\"}",
@@ -135,9 +138,9 @@
      false,
      false,
      false},
-    {"a job that fits nowhere", "POST", "/api/jobs", JOB("job-9%05u", "9"), 25, {422, 503}, 3, 60, false, false, false},
+    {"an infeasible job", "POST", "/api/jobs", JOB("job-9%05u", "9"), 25, {422, 503}, 3, 60, false, false, false},
     {"unknown jobs", "GET", "/api/jobs/job-9%05u", "%u", 40, {404, 503}, 3, 60, false, false, false},
-    {"jobs to cancel that are unknown",
+    {"cancellations of unknown jobs",
      "POST",
      "/api/jobs/job-9%05u/withdraw",
      "%u",
@@ -150,40 +153,30 @@
      false},
     {"unknown paths", "GET", "/nothing/%u", "%u", 40, {404}, 1, 60, false, false, false},
     {"wrong methods", "DELETE", "/api/jobs", "%u", 40, {405}, 1, 60, false, false, false},
-    {"reports that are not JSON", "POST", "/checkin", "{%u", 40, {400}, 1, 60, false, true, false},
-    {"reports of unknown machines", "POST", "/checkin", REPORT("vm-9%05u", "]}"), 20, {503}, 3, 60, false, true, false},
-    {"over-long reports of unknown machines",
-     "POST",
-     "/checkin",
-     REPORT("vm-9%05u", ""),
-     1,
-     {400, 503},
-     3,
-     60,
-     false,
-     true,
-     true},
+    {"heartbeats that are not JSON", "POST", "/checkin", "{%u", 40, {400}, 1, 60, false, true, false},
+    {"unknown machines", "POST", "/checkin", HEARTBEAT("vm-9%05u", "]}"), 20, {503}, 3, 60, false, true, false},
+    {"over-long heartbeats", "POST", "/checkin", HEARTBEAT("vm-9%05u", ""), 1, {400, 503}, 3, 60, false, true, true},
 };
 
 static void invalid_requests_under_load(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_invalid); i++) play_flood(&k_invalid[i], 200 + (uint32_t)i);
+  for (size_t i = 0; i < G_N_ELEMENTS(k_invalid); i++) run_flood(&k_invalid[i], 200 + (uint32_t)i);
 }
 
-/* More submissions than the processor can take beside the heartbeats: the excess is refused at once,
- * and heartbeats and queries are answered as before. */
+/* More submissions than the CPU can process besides the heartbeats: the excess is refused at once, and
+ * heartbeats and queries are answered as before. */
 static void submissions_beyond_capacity(void **state) {
   (void)state;
-  static const flood row = {.name = "more jobs than fit",
+  static const flood row = {.name = "more submissions than capacity",
                             .method = "POST",
                             .path = "/api/jobs",
                             .body = JOB("job-9%05u", "1"),
                             .per_s = 40,
                             .allowed = {201, 429, 503},
-                            .within_s = 4.5, /* before a user gives up */
-                            .routines = 120,
-                            .real = true};
-  play_flood(&row, 203);
+                            .within_s = 4.5, /* before the user's timeout */
+                            .max_routines = 120,
+                            .accepted_jobs_run = true};
+  run_flood(&row, 203);
 }
 
 int main(void) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,5 +1,6 @@
-/* The version before pipelines and this one side by side, and on each other's data. Controllers of the
- * former version read and write records through a stand-in of its formats (sim/state.c). */
+/* The version before job dependencies and this one side by side, and on each other's data. For controllers of
+ * the former version the simulated key-value store adapts records to that version's formats (sim/kv_store.c,
+ * sim/kv_commits.c). */
 #include "check.h"
 
 #include "scene.h"
@@ -23,31 +24,40 @@
 typedef struct mix_row {
   const char *name;
   bool is_new[WORLD_NODES];
-  enum { CALM, STATE_DOWN, FIRST_ENDS, SECOND_ENDS, REFUSED, ALONE, CANCELLED, LATE_WRITES } trouble;
+  enum {
+    NONE,
+    KV_DOWN,
+    FIRST_CRASHES,
+    SECOND_CRASHES,
+    KV_REFUSES_FIRST,
+    FIRST_PARTITIONED,
+    CANCELLED,
+    LATE_WRITES
+  } fault;
 } mix_row;
 
 static const mix_row k_mixes[] = {
-    {"one new", {false, false, true}, CALM},
-    {"two new", {true, false, true}, CALM},
-    {"the first is new", {true, false, false}, CALM},
-    {"one new, an outage", {false, true, false}, STATE_DOWN},
-    {"two new, an outage", {true, true, false}, STATE_DOWN},
-    {"one new, an old one ends", {false, true, false}, FIRST_ENDS},
-    {"one new, it ends", {true, false, false}, FIRST_ENDS},
-    {"two new, the old one ends", {true, false, true}, SECOND_ENDS},
-    {"two new, one of them ends", {true, true, false}, SECOND_ENDS},
-    {"an old one is refused", {false, true, true}, REFUSED},
-    {"a new one is refused", {true, false, false}, REFUSED},
-    {"an old one is alone with its workers", {false, true, true}, ALONE},
-    {"a new one is alone with its workers", {true, false, false}, ALONE},
-    {"jobs are cancelled, an old one is refused", {false, true, true}, CANCELLED},
-    {"jobs are cancelled, a new one is refused", {true, false, false}, CANCELLED},
-    {"writes come late", {true, false, true}, LATE_WRITES},
+    {"one new controller", {false, false, true}, NONE},
+    {"two new controllers", {true, false, true}, NONE},
+    {"the first controller is new", {true, false, false}, NONE},
+    {"one new, the key-value store is down", {false, true, false}, KV_DOWN},
+    {"two new, the key-value store is down", {true, true, false}, KV_DOWN},
+    {"one new, an old one crashes", {false, true, false}, FIRST_CRASHES},
+    {"one new, it crashes", {true, false, false}, FIRST_CRASHES},
+    {"two new, the old one crashes", {true, false, true}, SECOND_CRASHES},
+    {"two new, one of them crashes", {true, true, false}, SECOND_CRASHES},
+    {"the key-value store refuses an old one", {false, true, true}, KV_REFUSES_FIRST},
+    {"the key-value store refuses a new one", {true, false, false}, KV_REFUSES_FIRST},
+    {"an old one reaches only its workers and users", {false, true, true}, FIRST_PARTITIONED},
+    {"a new one reaches only its workers and users", {true, false, false}, FIRST_PARTITIONED},
+    {"jobs are cancelled, the key-value store refuses an old one", {false, true, true}, CANCELLED},
+    {"jobs are cancelled, the key-value store refuses a new one", {true, false, false}, CANCELLED},
+    {"writes are applied late", {true, false, true}, LATE_WRITES},
 };
 
-enum { SERVICES = 3 }; /* some zone has two machines left for the gang */
+enum { SERVICES = 3 }; /* few enough to leave two machines of one zone for the gang */
 
-/* Services, an array of several slices, a gang that no shard holds, and a team at its limit. */
+/* Services, an array of several slices, a gang that fits in no single shard, and a team at its limit. */
 static void submit_jobs(void) {
   for (unsigned k = 1; k <= SERVICES; k++) world_submit(world_id(k), "service", "prod", 2, 1, 1e6, 0);
   world_submit(world_id(10), "sweep", "standard", 12, 0.5, 10, 1);
@@ -58,19 +68,19 @@
 }
 
 static void apply_fault(const mix_row *row) {
-  if (row->trouble == STATE_DOWN) world_kv_down(22);
-  if (row->trouble == FIRST_ENDS) world_crash(0, 4);
-  if (row->trouble == SECOND_ENDS) world_crash(1, 4);
-  if (row->trouble == REFUSED || row->trouble == CANCELLED) world_refuse(0, 20);
-  if (row->trouble == ALONE) world_partition_node(0, 12);
-  if (row->trouble == LATE_WRITES) world_late_writes(0.3);
-  if (row->trouble != CANCELLED) return;
+  if (row->fault == KV_DOWN) world_kv_down(22);
+  if (row->fault == FIRST_CRASHES) world_crash(0, 4);
+  if (row->fault == SECOND_CRASHES) world_crash(1, 4);
+  if (row->fault == KV_REFUSES_FIRST || row->fault == CANCELLED) world_refuse(0, 20);
+  if (row->fault == FIRST_PARTITIONED) world_partition_node(0, 12);
+  if (row->fault == LATE_WRITES) world_late_writes(0.3);
+  if (row->fault != CANCELLED) return;
   sim_run_until(sim_now() + 0.5);
   for (unsigned k = 1; k <= 2; k++) world_cancel(world_id(k), 1, 0);
 }
 
-/* Handovers, machine transfers, limits and cancellations work across versions, and an outage or a lost
- * controller costs no more than within one version. */
+/* Handovers, machine transfers, limits and cancellations work across versions, and an outage or a lost controller
+ * has no worse effect than with a single version. */
 static void mixed_versions_serve(void **state) {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS(k_mixes); i++) {
@@ -80,32 +90,32 @@
     sim_run_until(sim_now() + 6);
     apply_fault(row);
     sim_run_until(sim_now() + 8);
-    if (row->trouble == CANCELLED)
+    if (row->fault == CANCELLED)
       for (unsigned k = 1; k <= 2; k++) check_row(row->name, world_tasks_of(world_id(k)) == 0);
     sim_run_until(sim_now() + 82);
     world_result r = world_so_far();
     unsigned moved = 0;
     for (unsigned n = 0; n < WORLD_NODES; n++)
       moved += (unsigned)(world_counts(n).handed_over + world_counts(n).machines_transferred);
-    print_message("%s: %u done, %u cancelled, %u handed over or lent, %u tasks ended by a lease\n", row->name,
+    print_message("%s: %u done, %u cancelled, %u handed over or transferred, %u tasks ended with a lease\n", row->name,
                   r.finished, r.cancelled, moved, r.lease_kills);
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     check_row(row->name, r.finished == 5 && r.lease_kills == 0);
-    check_row(row->name, r.cancelled == (row->trouble == CANCELLED ? 2 : 0));
+    check_row(row->name, r.cancelled == (row->fault == CANCELLED ? 2 : 0));
     check_row(row->name, world_running() == (SERVICES - r.cancelled) * 2);
   }
 }
 
-static char *submission_awaiting(const char *id, const char *dependencies) {
+static char *submission_with_dependency(const char *id, const char *dependency) {
   return g_strdup_printf(
       "{\"id\":\"%s\",\"squad\":\"c\",\"club\":\"red\",\"play\":\"sweep\",\"rank\":\"high\",\"runs\":1,\"cpus\":1,"
       "\"gpus\":0,\"memGb\":1,\"kit\":\"i\",\"pullGb\":1,\"samePlace\":false,\"scatter\":false,\"loaners\":true,"
       "\"expectS\":10,\"markS\":0,\"stowS\":0,\"awaits\":[\"%s\"]}",
-      id, dependencies);
+      id, dependency);
 }
 
-/* Jobs with pending dependencies, which the old version can't read, are refused while it serves; with
- * met dependencies they are ordinary jobs. */
+/* While a controller of the old version runs, jobs with pending dependencies, whose records it can't read, are
+ * refused. Jobs whose dependencies are all done are ordinary jobs. */
 static void dependencies_beside_the_old_version(void **state) {
   (void)state;
   static const bool mix[WORLD_NODES] = {true, true, false};
@@ -113,26 +123,27 @@
   world_submit(world_id(1), "sweep", "standard", 1, 1, 1e6, 0);
   world_submit(world_id(2), "sweep", "standard", 1, 1, 1, 0);
   sim_run_until(sim_now() + 6);
-  char *waits = submission_awaiting("job-000003", world_id(1)), *ready = submission_awaiting("job-000004", world_id(2));
-  world_reply r = world_request(0, "POST", "/api/jobs", waits);
+  char *pending = submission_with_dependency("job-000003", world_id(1));
+  char *met = submission_with_dependency("job-000004", world_id(2));
+  world_reply r = world_request(0, "POST", "/api/jobs", pending);
   assert_true(r.status == 503 && r.retry_after > 0 && r.took < IMMEDIATE_S);
-  assert_int_equal(world_request(1, "POST", "/api/jobs", ready).status, 201);
+  assert_int_equal(world_request(1, "POST", "/api/jobs", met).status, 201);
   world_upgrade(2, 0.3);
   sim_run_until(sim_now() + 4);
-  assert_int_equal(world_request(0, "POST", "/api/jobs", waits).status, 201);
+  assert_int_equal(world_request(0, "POST", "/api/jobs", pending).status, 201);
   for (unsigned n = 0; n < WORLD_NODES; n++) assert_int_equal(world_ask(n, "/api/jobs/job-000003"), 200);
-  g_free(waits);
-  g_free(ready);
+  g_free(pending);
+  g_free(met);
   if (world_so_far().broken) fail_msg("%s", world_so_far().first);
 }
 
-/* A controller that is rolled back starts none of the jobs with dependencies; they start once it is
+/* A controller that is rolled back starts no job with pending dependencies; those jobs are done after it is
  * upgraded again. */
 static void rollback_of_one_controller(void **state) {
   (void)state;
   static const bool all_new[WORLD_NODES] = {true, true, true};
-  for (unsigned back = 0; back < WORLD_NODES; back++) {
-    start_mixed_fleet(50 + back, all_new);
+  for (unsigned node = 0; node < WORLD_NODES; node++) {
+    start_mixed_fleet(50 + node, all_new);
     world_submit(world_id(1), "sweep", "standard", 2, 1, 20, 0);
     for (unsigned k = 2; k <= 9; k++)
       world_submit_job(&(world_job){.id = world_id(k),
@@ -143,20 +154,20 @@
                                     .in_s = 1,
                                     .dependencies = {world_id(k < 6 ? 1 : k - 4)}});
     sim_run_until(sim_now() + 6);
-    world_users_to((int)((back + 1) % WORLD_NODES)); /* the old version does not know the jobs */
-    world_downgrade(back, 0.5);
+    world_users_to((int)((node + 1) % WORLD_NODES)); /* the old version doesn't know the jobs with dependencies */
+    world_downgrade(node, 0.5);
     sim_run_until(sim_now() + 30);
-    if (world_so_far().broken) fail_msg("%u back: %s", back, world_so_far().first);
-    world_upgrade(back, 0.5);
+    if (world_so_far().broken) fail_msg("controller %u rolled back: %s", node, world_so_far().first);
+    world_upgrade(node, 0.5);
     sim_run_until(sim_now() + 60);
     for (unsigned k = 1; k <= 9; k++)
       assert_true(world_seen_terminal_state(world_id(k)) &&
                   strcmp(world_seen_terminal_state(world_id(k)), "done") == 0);
-    if (world_so_far().broken) fail_msg("%u back: %s", back, world_so_far().first);
+    if (world_so_far().broken) fail_msg("controller %u rolled back: %s", node, world_so_far().first);
   }
 }
 
-/* Transactions of old processes are applied minutes after the last of those has ended. */
+/* Transactions of old controllers are applied minutes after the last of these controllers has ended. */
 static void delayed_transactions_of_the_old_version(void **state) {
   (void)state;
   static const bool none_new[WORLD_NODES] = {false, false, false};
@@ -172,7 +183,7 @@
     }
     world_late_writes(0);
     world_kv_limit(2, 4, 15);
-    /* Dependencies on jobs that are still open, and on those of the delayed transactions. */
+    /* Dependencies on unfinished jobs, and on jobs of the delayed transactions. */
     for (unsigned k = 31; k <= 50; k++)
       world_submit_job(&(world_job){.id = world_id(k),
                                     .kind = "sweep",
@@ -203,17 +214,18 @@
   return body;
 }
 
+/* Whether all controllers report that status. */
 static bool job_is(const char *id, const char *status) {
-  char path[64], says[40];
+  char path[64], expected[40];
   g_snprintf(path, sizeof path, "/api/jobs/%s", id);
-  g_snprintf(says, sizeof says, "\"status\":\"%s\"", status);
+  g_snprintf(expected, sizeof expected, "\"status\":\"%s\"", status);
   for (unsigned n = 0; n < WORLD_NODES; n++)
-    if (!strstr(world_request(n, "GET", path, "").body, says)) return false;
+    if (!strstr(world_request(n, "GET", path, "").body, expected)) return false;
   return true;
 }
 
-/* Records stored when values could be larger are read, and their jobs end: no write exceeds the new
- * limit, which the stand-in would report. */
+/* Records stored when values could be larger are read, and their jobs end. No write exceeds the new limit: the
+ * simulated key-value store would report it as a broken rule. */
 static void records_larger_than_the_new_limits(void **state) {
   (void)state;
   static const bool none_new[WORLD_NODES] = {false, false, false};
@@ -234,7 +246,7 @@
   sim_run_until(sim_now() + 70);
   assert_true(job_is(ids[0], "done") && job_is(ids[1], "cancelled") && job_is(ids[2], "done"));
   assert_int_equal(world_tasks_of(ids[1]), 0);
-  /* A new job as large is accepted too: its description is stored in parts. */
+  /* A new job of the same size is accepted too: its description is stored in parts. */
   world_add_job("job-000004", "sweep", 4, 1, 5);
   char *body = submission_with_many_types("job-000004", 4);
   assert_int_equal(world_request(1, "POST", "/api/jobs", body).status, 201);
