--- a/tests/test_expired_leases.c
+++ b/tests/test_expired_leases.c
@@ -1,5 +1,5 @@
 /* Incident: a task ran twice and a team exceeded its limit because the expiry of a worker's lease was
- * taken as proof about starts sent in a later epoch.
+ * treated as proof about starts sent in a later epoch.
  *
  * Seen with three controllers and about 60 machines under faults: each controller logged the expiry of the
  * same machine's lease ten times a second, every time with as many tasks as before. Starts were executed
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -279,14 +279,14 @@
   const char *name;
   double deadline_s;   /* of the last job; 0: none */
   double last_later_s; /* the last job is submitted so much later than the others */
-  enum { CALM, CRASH_ONE, CRASH_ALL, KV_REFUSES_ONE, ROLLING_RESTART, KV_DOWN } fault;
+  enum { NO_FAULT, CRASH_ONE, CRASH_ALL, KV_REFUSES_ONE, ROLLING_RESTART, KV_DOWN } fault;
   double slack_s; /* longest time beyond the run times of the four jobs */
 } chain_row;
 
 static const chain_row k_chains[] = {
-    {"without a fault", 0, 0, CALM, 8},
-    {"with a deadline", 60, 0, CALM, 8},
-    {"the last job comes when the others are done", 0, 45, CALM, 30},
+    {"without a fault", 0, 0, NO_FAULT, 8},
+    {"with a deadline", 60, 0, NO_FAULT, 8},
+    {"the last job comes when the others are done", 0, 45, NO_FAULT, 30},
     {"a controller crashes", 0, 0, CRASH_ONE, 25},
     {"all controllers crash", 0, 0, CRASH_ALL, 35},
     {"the key-value store refuses a controller for 25 s", 0, 0, KV_REFUSES_ONE, 30},
@@ -350,7 +350,7 @@
       check_row(row->name, world_seen_terminal_state(last) && strcmp(world_seen_terminal_state(last), "done") == 0);
       longest = MAX(longest, world_ended_at(last) - began - 0.5 * c);
     }
-    print_message("%s: the longest of six chains took %.1f s, %u s of them its tasks\n", row->name, longest,
+    print_message("%s: the longest of six chains took %.1f s, including %u s for its tasks\n", row->name, longest,
                   STAGE_S * STAGES);
     check_row(row->name, longest < STAGE_S * STAGES + row->slack_s);
     if (world_so_far().broken) fail_msg("%s: %s", row->name, world_so_far().first);
@@ -414,6 +414,7 @@
 
 /* ---- cancellations ---- */
 
+/* WRITER: controller 0, which commits and acknowledges the cancellation. */
 typedef struct cancel_row {
   const char *name;
   enum { NONE, WRITER_CRASHES, KV_OUTAGE, OTHERS_CRASH, WRITER_REFUSED, ZONE_CUT, ALL_CRASH } fault;
--- a/tests/test_restarted_workers.c
+++ b/tests/test_restarted_workers.c
@@ -3,7 +3,7 @@
  * Seen in four of 8,700 random days, which ran a task twice or in a wrong zone (test_faults: pipelines
  * 20332, faults 20188, meetings 22129, upgrades 22263): a direct start got no answer, the machine was
  * restarted before the delayed request arrived, and the start was executed then.
- * Cause: a start with an unknown outcome was taken as impossible once the worker's lease had expired, or
+ * Cause: a start with an unknown outcome was treated as impossible once the worker's lease had expired, or
  * the worker had reported a later epoch or a higher fencing token. The worker that reported them does
  * refuse the start. A restarted one counts its epochs from the beginning and has seen no token: it
  * executes what it would have refused before, and the task had been started elsewhere.
--- a/tests/test_small_costs.c
+++ b/tests/test_small_costs.c
@@ -22,7 +22,7 @@
   return (sample){sim_load_of(WORLD_NODE_IP(node)), world_counts(node), heap_of(node)};
 }
 
-/* Costs of the first controller while idle, a second if not said otherwise. */
+/* Costs of the first controller while idle, per second unless stated otherwise. */
 typedef enum {
   HEARTBEAT_MESSAGES,     /* to and from workers, per heartbeat */
   HEARTBEAT_ANSWER_BYTES, /* per heartbeat */
@@ -50,7 +50,7 @@
   out[ROUNDS] = (double)(b->counts.rounds - a->counts.rounds) / MEASURED_S;
 }
 
-/* Half of the machines are in use; returns the heartbeats a second. */
+/* Half of the machines are in use; returns the heartbeats per second. */
 static double measure_idle_costs(unsigned machines, double out[IDLE_COSTS]) {
   heap_reset();
   start_fleet(300, machines, 0, 0, 0);
@@ -73,17 +73,17 @@
     idle_cost cost;
     double max, max_growth;
   } rows[] = {
-      {"messages a heartbeat", HEARTBEAT_MESSAGES, 2.02, 1.01},
+      {"messages per heartbeat", HEARTBEAT_MESSAGES, 2.02, 1.01},
       {"bytes of an answer to a heartbeat", HEARTBEAT_ANSWER_BYTES, 150, 1.02},
-      {"messages to peers a second", PEER_MESSAGES, 5, 1.05},
-      {"bytes to peers a second", PEER_BYTES, 360, 1.05},
-      {"requests to services a second", SERVICE_MESSAGES, 2.4, 1.1},
-      {"wake-ups a second not caused by heartbeats", OTHER_WAKES, 24, 1.05},
-      {"rounds a second", ROUNDS, 0.6, 1.05}, /* the periodic one every 2 s */
+      {"messages to peers per second", PEER_MESSAGES, 5, 1.05},
+      {"bytes to peers per second", PEER_BYTES, 360, 1.05},
+      {"requests to services per second", SERVICE_MESSAGES, 2.4, 1.1},
+      {"wake-ups per second not caused by heartbeats", OTHER_WAKES, 24, 1.05},
+      {"rounds per second", ROUNDS, 0.6, 1.05}, /* the periodic one every 2 s */
   };
   double small[IDLE_COSTS], large[IDLE_COSTS];
   double few = measure_idle_costs(FLEET, small), many = measure_idle_costs(2 * FLEET, large);
-  print_message("%.1f and %.1f heartbeats a second\n", few, many);
+  print_message("%.1f and %.1f heartbeats per second\n", few, many);
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     double a = small[rows[i].cost], b = large[rows[i].cost];
     print_message("%s: %.2f and %.2f\n", rows[i].name, a, b);
@@ -91,7 +91,7 @@
   }
   /* Allocations that don't belong to heartbeats are the same in both fleets. */
   double per_heartbeat = (large[ALLOCATIONS] - small[ALLOCATIONS]) / (many - few);
-  print_message("%.1f allocations a heartbeat\n", per_heartbeat);
+  print_message("%.1f allocations per heartbeat\n", per_heartbeat);
   assert_true(per_heartbeat <= HEARTBEAT_ALLOCATIONS_MAX);
 }
 
@@ -130,7 +130,7 @@
   memory_bytes large_with_jobs = memory_of_single_controller(2 * FLEET, FLEET / 3);
   memory_bytes whole = memory_of_single_controller(WHOLE_FLEET, WHOLE_FLEET / 3);
   double per_machine = (large.held - small.held) / FLEET, per_job = (large_with_jobs.held - large.held) / (FLEET / 3.0);
-  print_message("%.0f bytes a machine, %.0f bytes a job of %u tasks\n", per_machine, per_job, JOB_TASKS);
+  print_message("%.0f bytes per machine, %.0f bytes per job of %u tasks\n", per_machine, per_job, JOB_TASKS);
   print_message("%u machines and %u jobs: %.0f kB, at most %.0f kB during a takeover, %.0f kB during a start\n",
                 WHOLE_FLEET, WHOLE_FLEET / 3, whole.held / 1024, whole.takeover_peak / 1024, whole.load_peak / 1024);
   assert_true(per_machine <= MACHINE_BYTES_MAX);
@@ -155,7 +155,7 @@
   (void)state;
   const unsigned few = 60, many = 180;
   double per_job = (bytes_with_ended_jobs(many) - bytes_with_ended_jobs(few)) / (many - few);
-  print_message("%.0f bytes an ended job\n", per_job);
+  print_message("%.0f bytes per ended job\n", per_job);
   assert_true(per_job <= ENDED_JOB_BYTES_MAX);
 }
 
