--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -77,12 +77,12 @@
 bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now) {
   const fc_settings *settings = cluster->settings;
   double timeout_s = MAX(settings->lease_s * NEVER_HEARD_LEASES, settings->heartbeat_s * NEVER_HEARD_HEARTBEATS);
-  return machine->endpoint_recorded && !machine->agent.reported && now > machine->owned_since + timeout_s;
+  return machine->endpoint_recorded && !machine->worker.reported && now > machine->owned_since + timeout_s;
 }
 
 bool fc_machine_suspect(const fc_cluster *cluster, const fc_machine *machine, double now) {
   if (!fc_machine_owned_by_self(cluster, machine)) return machine->reachability.owner_suspects;
-  if (!machine->agent.reported) return fc_machine_never_heard(cluster, machine, now);
+  if (!machine->worker.reported) return fc_machine_never_heard(cluster, machine, now);
   const fc_settings *settings = cluster->settings;
   double silent_s = MAX(fc_machine_silence_timeout_s(settings) - SUSPECT_AHEAD_HEARTBEATS * settings->heartbeat_s,
                         SUSPECT_MIN_HEARTBEATS * settings->heartbeat_s);
@@ -91,7 +91,7 @@
 
 static bool heard_lately(const fc_cluster *cluster, const fc_machine *machine, double now) {
   double lease_s = cluster->settings->lease_s;
-  if (!machine->agent.reported || now > machine->agent.heard_at + lease_s * REACHABLE_SILENT_LEASES) return false;
+  if (!machine->worker.reported || now > machine->worker.heard_at + lease_s * REACHABLE_SILENT_LEASES) return false;
   /* The next heartbeat or probe answer shows whether our answers arrive. */
   double unidirectional_since = machine->reachability.unidirectional_since;
   return !unidirectional_since || now < unidirectional_since + lease_s * REACHABLE_UNIDIRECTIONAL_LEASES;
@@ -102,9 +102,9 @@
  * taken to be ruled out but executed later: tasks ran twice, and a team exceeded its limit (scene
  * test_expired_leases). */
 bool fc_machine_reachable(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  return machine->agent.epoch_shown && heard_lately(cluster, machine, now);
+  return machine->worker.epoch_shown && heard_lately(cluster, machine, now);
 }
 
 bool fc_machine_awaits_epoch(const fc_cluster *cluster, const fc_machine *machine, double now) {
-  return !machine->agent.epoch_shown && heard_lately(cluster, machine, now);
+  return !machine->worker.epoch_shown && heard_lately(cluster, machine, now);
 }
--- a/src/bookkeeping/machine_state.c
+++ b/src/bookkeeping/machine_state.c
@@ -34,7 +34,7 @@
 
 void fc_machine_reset_owner_state(fc_machine *machine, double now) {
   machine->owned_since = now;
-  machine->agent.reported = false;
+  machine->worker.reported = false;
   machine->drain.state = FC_DRAIN_NONE;
   machine->drain.owner_cordoned = false;
   machine->reachability.owner_suspects = false;
@@ -96,7 +96,7 @@
 bool fc_machine_unreachable_since(const fc_machine *machine, double since) {
   if (machine->owned_since > since) return false;
   double unidirectional_since = machine->reachability.unidirectional_since;
-  return machine->agent.heard_at < since || (unidirectional_since && unidirectional_since < since);
+  return machine->worker.heard_at < since || (unidirectional_since && unidirectional_since < since);
 }
 
 double fc_machine_silence_timeout_s(const fc_settings *settings) {
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -14,7 +14,7 @@
 /* The worker process according to its newest heartbeat or direct answer, whoever owned the machine
  * then. Heartbeats are ordered by epoch and sequence, as copies may arrive late. When its lease has
  * expired, the worker is in a later epoch, which only its next message shows. */
-typedef struct fc_machine_agent {
+typedef struct fc_machine_worker {
   uint64_t epoch, sequence;
   bool epoch_shown;       /* the worker has reported `epoch`; false: it is the lowest that the worker may be in */
   double expired_at;      /* when its lease was last found expired; 0: never */
@@ -24,7 +24,7 @@
   bool reported;          /* this controller has received a heartbeat since it became the owner */
   bool restarted;         /* restarted in this term without a new epoch: its heartbeats can't be ordered */
   bool mismatch_logged;   /* a mismatch between a heartbeat and the record has been logged */
-} fc_machine_agent;
+} fc_machine_worker;
 
 /* When the worker's lease was last renewed. */
 typedef struct fc_machine_lease {
@@ -101,7 +101,7 @@
   double idle_since;           /* 0: in use */
   uint64_t reconciled_term;    /* the term in which its task list was last fenced, or the machine was proved gone */
   bool command_in_flight;      /* a direct command is in flight */
-  fc_machine_agent agent;
+  fc_machine_worker worker;
   fc_machine_lease lease;
   fc_machine_reachability reachability;
   fc_machine_probe probe;
@@ -134,10 +134,10 @@
 }
 /* Sets the epoch and sequence that the worker has reported. They and `epoch_shown` change nowhere
  * else except where the epoch ends. */
-static inline void fc_machine_agent_show_epoch(fc_machine_agent *agent, uint64_t epoch, uint64_t sequence) {
-  agent->epoch = epoch;
-  agent->epoch_shown = true;
-  agent->sequence = sequence;
+static inline void fc_machine_worker_show_epoch(fc_machine_worker *worker, uint64_t epoch, uint64_t sequence) {
+  worker->epoch = epoch;
+  worker->epoch_shown = true;
+  worker->sequence = sequence;
 }
 /* Resets the state that depends on the owner, after the machine got a new one. */
 void fc_machine_reset_owner_state(fc_machine *machine, double now);
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -151,7 +151,7 @@
                             const response *out) {
   const fc_heartbeat *heartbeat = &received->heartbeat;
   update_unidirectional(heartbeats, machine, received->connection);
-  fc_machine_agent_show_epoch(&machine->agent, heartbeat->epoch, heartbeat->sequence);
+  fc_machine_worker_show_epoch(&machine->worker, heartbeat->epoch, heartbeat->sequence);
   GArray *commands = cancelled_tasks(heartbeats->cluster, heartbeat);
   machine->lease.answered_at = fc_now();
   machine->lease.connection = received->connection;
@@ -183,7 +183,7 @@
 
 /* Applies the heartbeat of an owned machine. Returns false if it is to be refused. */
 static bool accept_heartbeat(const fc_heartbeats *heartbeats, fc_machine *machine, const received_heartbeat *received) {
-  if (machine->agent.restarted && fc_machine_reconciled(heartbeats->cluster, machine)) {
+  if (machine->worker.restarted && fc_machine_reconciled(heartbeats->cluster, machine)) {
     /* A delayed heartbeat from before the restart would look newer than one sent after it, so only
      * answers to direct calls show what the worker holds (fault test, seed 38). */
     update_unidirectional(heartbeats, machine, received->connection);
@@ -200,11 +200,11 @@
   /* The answer to a direct call has overtaken the heartbeat, or it is a delayed copy, or the worker was
    * restarted and counts from the beginning: probe it. */
   probe(heartbeats, machine);
-  if (received->heartbeat.epoch != machine->agent.epoch) return false; /* from an incarnation that has ended */
+  if (received->heartbeat.epoch != machine->worker.epoch) return false; /* from an incarnation that has ended */
   /* Answered without commands: the answer to a copy reaches nobody, yet a start in it would count as
    * sent. The lease runs from when the heartbeat was sent, which is before the last message that was
    * received; so a copy does not extend it. */
-  machine->lease.answered_at = MAX(machine->lease.answered_at, machine->agent.heard_at);
+  machine->lease.answered_at = MAX(machine->lease.answered_at, machine->worker.heard_at);
   return true;
 }
 
@@ -213,7 +213,7 @@
 static bool answer_as_owner(const fc_heartbeats *heartbeats, fc_machine *machine, const received_heartbeat *received,
                             const response *out) {
   /* Determined before the heartbeat is applied. */
-  bool takes_commands = fc_heartbeat_order_is_newer(machine, &received->heartbeat) || machine->agent.restarted;
+  bool takes_commands = fc_heartbeat_order_is_newer(machine, &received->heartbeat) || machine->worker.restarted;
   if (!accept_heartbeat(heartbeats, machine, received)) return false;
   fc_machine_registration_record_endpoint(heartbeats->registration, machine);
   machine->lease.connection = received->connection;
@@ -235,10 +235,10 @@
   if (strcmp(record->type, heartbeat->type) == 0 && strcmp(record->zone, heartbeat->zone) == 0 &&
       record->spot == heartbeat->spot)
     return true;
-  if (!machine->agent.mismatch_logged)
+  if (!machine->worker.mismatch_logged)
     g_warning("heartbeat does not match the machine record machine=%s type=%s zone=%s", machine->id, heartbeat->type,
               heartbeat->zone);
-  machine->agent.mismatch_logged = true;
+  machine->worker.mismatch_logged = true;
   return false;
 }
 
--- a/src/controller/machine_disposal.c
+++ b/src/controller/machine_disposal.c
@@ -88,7 +88,7 @@
   /* Renewals by peers are reported up to half a heartbeat interval later, and a heartbeat that failed
    * to reach us takes a whole interval more until it reaches another member. */
   double renewal_s = silence_s + settings->heartbeat_s * RENEWAL_DELAY_HEARTBEATS;
-  if (machine->agent.reported && fc_machine_unreachable_since(machine, state->now - timeout_s) &&
+  if (machine->worker.reported && fc_machine_unreachable_since(machine, state->now - timeout_s) &&
       unrenewed_by_peers(disposal, machine, state->now - renewal_s))
     return true;
   /* A machine whose lease another member has renewed since we became its owner, or just before, was
@@ -105,7 +105,7 @@
 /* Returns whether the machine has sent no heartbeat within its start-up time. */
 static bool failed_to_start(const fc_machine_disposal *disposal, const fc_machine *machine, const assessment *state) {
   const fc_settings *settings = disposal->cluster->settings;
-  if (machine->agent.reported || machine->type < 0) return false;
+  if (machine->worker.reported || machine->type < 0) return false;
   /* A machine whose endpoint is recorded was up once. Assigned to a new owner while its zone is cut off,
    * it sends that owner nothing; without this it was returned before the zone was back. */
   bool cut_off = machine->endpoint_recorded && fc_outage_suspicion_covers(&state->suspicion, machine) &&
@@ -154,7 +154,7 @@
 
 /* Returns whether the machine has been idle for too long and is surplus. */
 static bool is_surplus(const fc_cluster *cluster, const fc_machine *machine, assessment *state) {
-  if (!fc_machine_reconciled(cluster, machine) || !machine->agent.reported ||
+  if (!fc_machine_reconciled(cluster, machine) || !machine->worker.reported ||
       !fc_machine_idle_too_long(cluster, machine, state->now))
     return false;
   if (!state->surplus) state->surplus = fc_scale_in_surplus(cluster, state->now);
--- a/src/controller/machine_probes.c
+++ b/src/controller/machine_probes.c
@@ -42,7 +42,7 @@
 bool fc_machine_probes_check(const fc_machine_probes *probes, fc_machine *machine) {
   const fc_cluster *cluster = probes->cluster;
   const fc_settings *settings = cluster->settings;
-  if (!machine->agent.reported || !fc_machine_reconciled(cluster, machine)) return false;
+  if (!machine->worker.reported || !fc_machine_reconciled(cluster, machine)) return false;
   double now = fc_now();
   const fc_machine_reachability *reach = &machine->reachability;
   if (reach->unidirectional_since && now > reach->unidirectional_since + settings->lease_s * UNIDIRECTIONAL_LEASES)
@@ -71,7 +71,7 @@
   double asked_at = fc_now();
   fc_heartbeat heartbeat;
   fc_worker_call_result result =
-      fc_worker_call(&endpoint, cluster->membership.term.number, known->agent.epoch, NULL, 0,
+      fc_worker_call(&endpoint, cluster->membership.term.number, known->worker.epoch, NULL, 0,
                      asked_at + cluster->settings->heartbeat_s * PROBE_TIMEOUT_HEARTBEATS, &heartbeat);
   bool answered = fc_worker_call_answered(result);
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
--- a/src/controller/machine_reachability.c
+++ b/src/controller/machine_reachability.c
@@ -14,13 +14,13 @@
   fc_machine *machine = fc_cluster_find_machine(cluster, renewal->machine);
   if (!machine) return;
   double renewed_at = now - age_s(renewal->age_ms);
-  const fc_machine_agent *agent = &machine->agent;
+  const fc_machine_worker *worker = &machine->worker;
   /* A heartbeat older than the last one received here is either a delayed copy, or the machine was
    * restarted and its new incarnation has its lease renewed. Counting a copy as a renewal may delay
    * the expiry by one lease. Ignoring the new incarnation as a copy started its tasks twice, because
    * a delayed direct start reached it (fault test, seed 158). */
   bool outdated =
-      renewal->epoch < agent->epoch || (renewal->epoch == agent->epoch && renewal->sequence < agent->sequence);
+      renewal->epoch < worker->epoch || (renewal->epoch == worker->epoch && renewal->sequence < worker->sequence);
   machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, renewed_at);
   /* Peers repeat a renewal for two leases. A direct answer since the renewal makes another probe
    * needless; with a probe at every acknowledgement, machines that had returned from another member
--- a/src/controller/orphan_machines.c
+++ b/src/controller/orphan_machines.c
@@ -40,7 +40,7 @@
 static bool is_orphan(const fc_cluster *cluster, const fc_listed_machine *listed) {
   const fc_settings *settings = cluster->settings;
   const fc_machine *machine = fc_cluster_find_machine(cluster, listed->id);
-  if (machine && (machine->record_version || machine->agent.reported)) return false;
+  if (machine && (machine->record_version || machine->worker.reported)) return false;
   return listed->age_s > ORPHAN_STARTUP_TIMES * startup_s(cluster, listed->type) +
                              ORPHAN_LIST_LAGS * settings->cloud_list_lag_s + settings->lease_s * ORPHAN_LEASES;
 }
--- a/src/controller/outage_suspicion.c
+++ b/src/controller/outage_suspicion.c
@@ -20,7 +20,7 @@
  * known from that member's views; when machines of a member that was cut off itself counted too,
  * half a zone was returned (fleet day "zone"). */
 static bool state_known(const fc_cluster *cluster, fc_peers *peers, const fc_machine *machine, bool silent) {
-  if (fc_machine_owned_by_self(cluster, machine)) return machine->agent.reported || silent;
+  if (fc_machine_owned_by_self(cluster, machine)) return machine->worker.reported || silent;
   return fc_machine_reconciled(cluster, machine) && fc_peers_member_healthy(peers, machine->owner);
 }
 
--- a/src/controller/reconciler.c
+++ b/src/controller/reconciler.c
@@ -48,24 +48,24 @@
   }
 }
 
-static void update_agent(fc_machine_agent *agent, const fc_heartbeat *heartbeat, double now) {
-  if (!agent->reported || heartbeat->epoch != agent->epoch || !agent->epoch_shown) agent->epoch_began_at = now;
-  fc_machine_agent_show_epoch(agent, heartbeat->epoch, heartbeat->sequence);
-  agent->fencing_token = heartbeat->fencing_token;
-  agent->reported = true;
-  agent->heard_at = now;
+static void update_worker(fc_machine_worker *worker, const fc_heartbeat *heartbeat, double now) {
+  if (!worker->reported || heartbeat->epoch != worker->epoch || !worker->epoch_shown) worker->epoch_began_at = now;
+  fc_machine_worker_show_epoch(worker, heartbeat->epoch, heartbeat->sequence);
+  worker->fencing_token = heartbeat->fencing_token;
+  worker->reported = true;
+  worker->heard_at = now;
 }
 
 static void update_machine(fc_machine *machine, const fc_heartbeat *heartbeat, const list_origin *origin, double now) {
   outdate_copies(machine, heartbeat);
-  update_agent(&machine->agent, heartbeat, now);
+  update_worker(&machine->worker, heartbeat, now);
   if (heartbeat->spot_notice_s >= 0 && !machine->drain.spot_notice_until)
     machine->drain.spot_notice_until = now + heartbeat->spot_notice_s;
   if (heartbeat->endpoint[0]) g_strlcpy(machine->record.endpoint, heartbeat->endpoint, sizeof machine->record.endpoint);
   /* The worker has received a call of ours, or the token of this term. */
   bool receives_messages = origin->asked_at > 0 || origin->reconciles;
   if (receives_messages) machine->reachability.unidirectional_since = 0;
-  if (origin->reconciles) machine->agent.restarted = false; /* heartbeats from before the restart lack this token */
+  if (origin->reconciles) machine->worker.restarted = false; /* heartbeats from before the restart lack this token */
 }
 
 static void update_idle_time(fc_machine *machine, double now) {
@@ -189,10 +189,10 @@
   const list_origin origin = {
       .asked_at = asked_at,
       .reconciles = !was_reconciled && heartbeat->fencing_token == cluster->membership.term.number,
-      .new_epoch = machine->agent.reported && heartbeat->epoch > machine->agent.epoch,
+      .new_epoch = machine->worker.reported && heartbeat->epoch > machine->worker.epoch,
   };
   /* Its lease had expired; now that it shows its epoch it can take tasks again. */
-  bool usable_again = machine->agent.reported && !machine->agent.epoch_shown;
+  bool usable_again = machine->worker.reported && !machine->worker.epoch_shown;
   if (usable_again) fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_SCHEDULE);
   update_machine(machine, heartbeat, &origin, now);
   if (!was_reconciled && !origin.reconciles) return; /* not fenced yet: the list proves nothing */
--- a/src/controller/status_log.c
+++ b/src/controller/status_log.c
@@ -37,7 +37,7 @@
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
     bool ours = fc_machine_owned_by_self(cluster, machine);
     summary.ours += ours;
-    summary.silent += ours && machine->agent.heard_at < silent_since;
+    summary.silent += ours && machine->worker.heard_at < silent_since;
     if (!machine->record_version || fc_machine_reconciled(cluster, machine)) continue;
     summary.unreconciled++;
     summary.unreconciled_id = machine->id;
--- a/src/controller/task_stops.c
+++ b/src/controller/task_stops.c
@@ -87,8 +87,8 @@
 }
 
 bool fc_task_stops_call_due(const fc_task_stops *stops, const fc_machine *machine, double now) {
-  if (!machine->agent.epoch_shown) return false; /* a call would carry no commands */
-  bool late = now > machine->agent.heard_at + stops->cluster->settings->heartbeat_s * LATE_HEARTBEATS;
+  if (!machine->worker.epoch_shown) return false; /* a call would carry no commands */
+  bool late = now > machine->worker.heard_at + stops->cluster->settings->heartbeat_s * LATE_HEARTBEATS;
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
     if (!placement->status.reported && !placement->start.sent && !placement->stop.requested) return true;
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -83,8 +83,8 @@
 static void add_renewal(GArray *renewals, const fc_machine *machine, double now) {
   fc_frame_lease_renewal renewal = {.age_ms = (uint32_t)((now - machine->lease.answered_at) * FC_MS_PER_S),
                                     .bidirectional = !machine->reachability.unidirectional_since,
-                                    .epoch = machine->agent.epoch,
-                                    .sequence = machine->agent.sequence};
+                                    .epoch = machine->worker.epoch,
+                                    .sequence = machine->worker.sequence};
   g_strlcpy(renewal.machine, machine->id, sizeof renewal.machine);
   g_array_append_val(renewals, renewal);
 }
--- a/src/controller/worker_calls.c
+++ b/src/controller/worker_calls.c
@@ -102,10 +102,10 @@
     /* A task that counts as reported, and is missing in the new list, is removed. */
     if (placement->start.sent) placement->status.reported = placement->start.direct == FC_DIRECT_START_NONE;
   }
-  fc_machine_agent_show_epoch(&machine->agent, heartbeat->epoch, heartbeat->sequence - 1);
-  machine->agent.fencing_token = heartbeat->fencing_token;
-  machine->agent.restarted = true;
-  machine->agent.epoch_began_at = fc_now();
+  fc_machine_worker_show_epoch(&machine->worker, heartbeat->epoch, heartbeat->sequence - 1);
+  machine->worker.fencing_token = heartbeat->fencing_token;
+  machine->worker.restarted = true;
+  machine->worker.epoch_began_at = fc_now();
 }
 
 void fc_worker_calls_apply_answer(fc_worker_calls *calls, fc_machine *machine, const fc_heartbeat *heartbeat,
@@ -113,9 +113,9 @@
   /* An answer is newer than every heartbeat that had arrived when the call was sent. If its numbers say otherwise, the
    * worker was restarted and counts from the beginning. A call sent before the worker's lease expired may have been
    * answered in the epoch that ended with the lease. */
-  bool sent_afterwards = sent_at > MAX(machine->agent.heard_at, machine->agent.expired_at);
+  bool sent_afterwards = sent_at > MAX(machine->worker.heard_at, machine->worker.expired_at);
   if (!fc_heartbeat_order_is_newer(machine, heartbeat) && sent_afterwards) {
-    if (!machine->agent.restarted)
+    if (!machine->worker.restarted)
       g_info("worker restarted machine=%s tasks=%u", machine->id, machine->placements->len);
     reset_worker_state(machine, heartbeat);
   }
@@ -152,7 +152,7 @@
   fc_worker_call_result result = FC_WORKER_CALL_UNSENT;
   double timeout_s = calls->cluster->settings->heartbeat_s * CALL_TIMEOUT_HEARTBEATS;
   if (call->fencing || call->probing || commands->len > 0)
-    result = fc_worker_call(endpoint, call->term, machine->agent.epoch, (const fc_command *)commands->data,
+    result = fc_worker_call(endpoint, call->term, machine->worker.epoch, (const fc_command *)commands->data,
                             commands->len, fc_now() + timeout_s, heartbeat);
   g_array_free(commands, TRUE);
   calls->metrics->counters.worker_calls += result != FC_WORKER_CALL_UNSENT;
--- a/src/controller/worker_commands.c
+++ b/src/controller/worker_commands.c
@@ -75,7 +75,7 @@
   if (route->direct) {
     placement->start.direct = FC_DIRECT_START_IN_FLIGHT;
     placement->start.direct_token = commands->cluster->membership.term.number;
-    placement->start.direct_epoch = placement->machine->agent.epoch;
+    placement->start.direct_epoch = placement->machine->worker.epoch;
   } else {
     placement->start.heartbeat_sequence = route->sequence;
     placement->start.sent_at = fc_now();
@@ -92,7 +92,7 @@
           " epoch=%" G_GUINT64_FORMAT " by=%s sequence=%" G_GUINT64_FORMAT,
           command->op == FC_COMMAND_START ? "start_task" : "stop_task", placement->job_id, placement->index,
           (guint64)placement->attempt, machine->id, (guint64)cluster->membership.term.number,
-          (guint64)machine->agent.epoch, route->direct ? "direct_call" : "answer", (guint64)route->sequence);
+          (guint64)machine->worker.epoch, route->direct ? "direct_call" : "answer", (guint64)route->sequence);
 }
 
 /* Fills in the next command for a placement. Returns false if there is none; the placement may be gone then. */
@@ -127,7 +127,7 @@
 GArray *fc_worker_commands_for_call(fc_worker_commands *commands, fc_machine *machine) {
   /* A call names the epoch. Whether a start under an epoch that the worker has not shown was carried out could never be
    * proved. */
-  if (!machine->agent.epoch_shown) return g_array_new(FALSE, TRUE, sizeof(fc_command));
+  if (!machine->worker.epoch_shown) return g_array_new(FALSE, TRUE, sizeof(fc_command));
   return list_commands(commands, machine, &(command_route){.direct = true});
 }
 
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -45,7 +45,7 @@
       /* A new epoch has a full lease from its beginning, even before any answer. Without this, tasks
        * started in it by direct commands alone were considered gone and started elsewhere (fault
        * test, seed 43). */
-      {machine->agent.epoch_began_at, "epoch"},
+      {machine->worker.epoch_began_at, "epoch"},
   };
   lease_renewal last = candidates[0];
   for (size_t i = 1; i < G_N_ELEMENTS(candidates); i++)
@@ -74,20 +74,20 @@
 /* The lowest epoch that the worker may be in after its lease has expired. An expiry ends the epoch
  * that the worker has shown and proves nothing about later ones: incremented on every round, the
  * epoch got ahead of the worker's own. */
-static uint64_t lowest_epoch_after(const fc_machine_agent *agent) {
-  return agent->epoch_shown ? agent->epoch + 1 : agent->epoch;
+static uint64_t lowest_epoch_after(const fc_machine_worker *worker) {
+  return worker->epoch_shown ? worker->epoch + 1 : worker->epoch;
 }
 
 /* Ends the epoch that the worker has shown: it has stopped its tasks and is in a later epoch, or will
  * be once it resumes. A heartbeat of the ended epoch may still arrive, newer than any received so
  * far; applied, it reported tasks here that had been started elsewhere (scene
  * heartbeats_after_lease_expiry). */
-static void end_epoch(fc_machine_agent *agent) {
-  if (!agent->epoch_shown) return;
-  agent->epoch = lowest_epoch_after(agent);
-  agent->epoch_shown = false;
-  agent->sequence = 0;
-  agent->expired_at = fc_now();
+static void end_epoch(fc_machine_worker *worker) {
+  if (!worker->epoch_shown) return;
+  worker->epoch = lowest_epoch_after(worker);
+  worker->epoch_shown = false;
+  worker->sequence = 0;
+  worker->expired_at = fc_now();
 }
 
 /* Ends a placement of the ended epoch. The expired lease proves that the worker has stopped the task
@@ -105,7 +105,7 @@
 }
 
 static void end_placements(fc_machine *machine) {
-  uint64_t lowest_epoch = lowest_epoch_after(&machine->agent);
+  uint64_t lowest_epoch = lowest_epoch_after(&machine->worker);
   for (guint i = machine->placements->len; i-- > 0;) end_placement(machine->placements->pdata[i], lowest_epoch);
 }
 
@@ -116,7 +116,7 @@
   g_info("worker lease expired machine=%s tasks=%u starts_kept=%u term=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT
          " epoch_shown=%d renewed_s=%.1f by=%s",
          machine->id, tasks, machine->placements->len, (guint64)cluster->membership.term.number,
-         (guint64)machine->agent.epoch, machine->agent.epoch_shown, fc_now() - renewal->at, renewal->by);
+         (guint64)machine->worker.epoch, machine->worker.epoch_shown, fc_now() - renewal->at, renewal->by);
 }
 
 static void expire(fc_worker_leases *leases, fc_machine *machine, const lease_renewal *renewal) {
@@ -124,10 +124,10 @@
   unsigned tasks = machine->placements->len;
   end_placements(machine);
   /* False in a new term when the machine only has to be marked as reconciled. */
-  bool ends_anything = machine->agent.epoch_shown || tasks > 0;
+  bool ends_anything = machine->worker.epoch_shown || tasks > 0;
   if (ends_anything && machine->endpoint_recorded) log_expiry(cluster, machine, renewal, tasks);
   leases->metrics->counters.expired_leases += ends_anything;
-  end_epoch(&machine->agent);
+  end_epoch(&machine->worker);
   machine->reconciled_term = cluster->membership.term.number;
   if (fc_cluster_update_reconciled(cluster)) fc_wakeups_raise(leases->wakeups, FC_WAKEUP_SCHEDULE);
 }
@@ -135,7 +135,7 @@
 /* Returns whether an expiry has placements to end. Those left by an earlier expiry of the same epoch
  * (`epoch_shown` is false then) are not ended again. */
 static bool ends_placements(const fc_machine *machine) {
-  return machine->placements->len > 0 && machine->agent.epoch_shown;
+  return machine->placements->len > 0 && machine->worker.epoch_shown;
 }
 
 void fc_worker_leases_expire(fc_worker_leases *leases) {
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -59,7 +59,7 @@
   fc_cluster_resolve_type_and_zone(cluster, machine);
   fc_cluster_assign_machine(cluster, machine, 0);
   machine->reconciled_term = cluster->membership.term.number;
-  machine->agent.reported = machine->agent.epoch_shown = true;
+  machine->worker.reported = machine->worker.epoch_shown = true;
   return machine;
 }
 
--- a/tests/test_heartbeats.c
+++ b/tests/test_heartbeats.c
@@ -24,7 +24,7 @@
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
-    machine->agent.reported = false;
+    machine->worker.reported = false;
     if (!rows[i].lease) fc_leadership_lease_lost(fixture->leadership);
     if (!rows[i].owner_recent) fc_peers_at(fixture->peers, 0)->heard_at = -1e9;
     GString *out = g_string_new(NULL);
@@ -71,11 +71,11 @@
     GString *out = g_string_new(NULL);
     assert_int_equal(send_heartbeat(fixture, 2, 10, 5, RUNNING(0), out), 200);
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 1, 2, 0);
-    double answered = machine->lease.answered_at = machine->agent.heard_at = machine->agent.heard_at - 3;
+    double answered = machine->lease.answered_at = machine->worker.heard_at = machine->worker.heard_at - 3;
     check_row(rows[i].name, send_heartbeat(fixture, rows[i].epoch, rows[i].sequence, rows[i].fencing_token, RUNNING(3),
                                            out) == rows[i].status);
     check_row(rows[i].name, !body_contains(out, "start") && !placement->start.sent);
-    check_row(rows[i].name, machine->placements->len == 2 && machine->agent.sequence == 10);
+    check_row(rows[i].name, machine->placements->len == 2 && machine->worker.sequence == 10);
     check_row(rows[i].name, machine->lease.answered_at == answered); /* the lease is not extended */
     check_row(rows[i].name, machine->probe.wanted);                  /* the machine itself is probed */
     g_string_free(out, TRUE);
@@ -137,7 +137,7 @@
     if (rows[i].unidirectional_s >= 0) machine->reachability.unidirectional_since = fc_now() - rows[i].unidirectional_s;
     GString *out = g_string_new(NULL);
     assert_int_equal(send_heartbeat(fixture, 1, 1, 5, "", out), 200);
-    double now = machine->agent.heard_at;
+    double now = machine->worker.heard_at;
     check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].unidirectional);
     check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
     /* A worker that may not receive answers is probed, and is usable again once it answers. */
@@ -155,16 +155,16 @@
   fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
-  machine->agent.restarted = true;
-  machine->agent.epoch = 1;
-  machine->agent.sequence = 3;
-  machine->agent.fencing_token = 5;
+  machine->worker.restarted = true;
+  machine->worker.epoch = 1;
+  machine->worker.sequence = 3;
+  machine->worker.fencing_token = 5;
   fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
   placement->start.sent = placement->status.reported = true;
   GString *out = g_string_new(NULL);
   assert_int_equal(send_heartbeat(fixture, 1, 90, 5, "", out), 200);
   assert_int_equal(machine->placements->len, 1);
-  assert_int_equal(machine->agent.sequence, 3);
+  assert_int_equal(machine->worker.sequence, 3);
   assert_true(machine->probe.wanted);
   g_string_free(out, TRUE);
   worker_fixture_free(fixture);
@@ -177,7 +177,7 @@
   fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "b", false); /* its heartbeat will name zone a */
   GString *out = g_string_new(NULL);
   assert_int_equal(send_heartbeat(fixture, 1, 1, 5, "", out), 503);
-  assert_int_equal(machine->agent.sequence, 0);
+  assert_int_equal(machine->worker.sequence, 0);
   g_string_free(out, TRUE);
   worker_fixture_free(fixture);
 }
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -123,7 +123,7 @@
   }
 }
 
-/* All controllers are down for longer than a worker's lease: all tasks end, agents begin a new epoch,
+/* All controllers are down for longer than a worker's lease: all tasks end, workers begin a new epoch,
  * and delayed starts must be refused. */
 static void all_controllers_down(void **state) {
   (void)state;
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -55,9 +55,9 @@
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     machine->owner = rows[i].owner;
-    machine->agent.reported = machine->agent.epoch_shown = true;
-    machine->agent.epoch = 2;
-    machine->agent.sequence = 9;
+    machine->worker.reported = machine->worker.epoch_shown = true;
+    machine->worker.epoch = 2;
+    machine->worker.sequence = 9;
     double now = fc_now();
     machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
     fc_frame_lease_renewal renewal = {.machine = "vm-1", .epoch = rows[i].epoch, .sequence = rows[i].sequence};
--- a/tests/test_reconciler.c
+++ b/tests/test_reconciler.c
@@ -9,7 +9,7 @@
   fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->reconciled_term = 0;
-  machine->agent.reported = false;
+  machine->worker.reported = false;
   fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
   fc_cluster_add_placement(cluster, machine, "job-000001", 3, 9, 0)->start.sent =
       true; /* an earlier incarnation may have sent it */
@@ -47,7 +47,7 @@
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     GString *out = g_string_new(NULL);
-    machine->agent.reported = false;
+    machine->worker.reported = false;
     assert_int_equal(send_heartbeat(fixture, 2, 10, 5, RUNNING(0), out), 200);
     check_row(rows[i].name,
               send_heartbeat(fixture, rows[i].epoch, rows[i].sequence, 5, rows[i].tasks, out) == rows[i].status);
@@ -79,8 +79,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
-    machine->agent.epoch = machine->agent.sequence = 1;
-    machine->agent.fencing_token = rows[i].seen_token;
+    machine->worker.epoch = machine->worker.sequence = 1;
+    machine->worker.fencing_token = rows[i].seen_token;
     fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     /* The task was listed and has ended incomplete: the worker is to forget it, unless a start may arrive. */
     fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
@@ -104,8 +104,8 @@
   for (unsigned named = 1; named <= 3; named++) {
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
-    machine->agent.epoch = machine->agent.sequence = 1;
-    machine->agent.fencing_token = 5;
+    machine->worker.epoch = machine->worker.sequence = 1;
+    machine->worker.fencing_token = 5;
     fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     placement->start = (fc_placement_start){
@@ -140,8 +140,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
-    machine->agent.epoch = machine->agent.sequence = 1;
-    machine->agent.fencing_token = 4;
+    machine->worker.epoch = machine->worker.sequence = 1;
+    machine->worker.fencing_token = 4;
     machine->owned_since = fc_now() - 50;
     if (!rows[i].fenced) machine->reconciled_term = 4;
     fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
@@ -190,9 +190,9 @@
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
-    machine->agent.epoch = 1;
-    machine->agent.sequence = 3;
-    machine->agent.fencing_token = 5;
+    machine->worker.epoch = 1;
+    machine->worker.sequence = 3;
+    machine->worker.fencing_token = 5;
     fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     double now = fc_now();
--- a/tests/test_worker_commands.c
+++ b/tests/test_worker_commands.c
@@ -107,8 +107,8 @@
     placement->start.direct_token = 5;
     placement->start.direct_epoch = 1;
     GString *out = g_string_new(NULL);
-    machine->agent.fencing_token = 5;
-    machine->agent.epoch = 1;
+    machine->worker.fencing_token = 5;
+    machine->worker.epoch = 1;
     check_row(rows[i].name, send_heartbeat(fixture, 1, 1, 5, rows[i].tasks, out) == 200);
     check_row(rows[i].name, body_contains(out, "clear") == rows[i].forgotten);
     g_string_free(out, TRUE);
@@ -123,8 +123,8 @@
   for (int shown = 0; shown <= 1; shown++) {
     worker_fixture *fixture = worker_fixture_new();
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
-    machine->agent.epoch = 7;
-    machine->agent.epoch_shown = shown;
+    machine->worker.epoch = 7;
+    machine->worker.epoch_shown = shown;
     fixture_job(fixture->cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     fc_placement *placement = fc_cluster_add_placement(fixture->cluster, machine, "job-000001", 0, 1, 0);
     GArray *commands = fc_worker_commands_for_call(fixture->commands, machine);
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -36,10 +36,10 @@
     machine->owned_since = now - 100;
     fc_leadership_term_applied(fixture->leadership, now - 100, false);
     machine->lease.answered_at = now - rows[i].answered_s;
-    machine->agent.epoch_began_at = now - rows[i].epoch_s;
-    machine->agent.reported = machine->agent.epoch_shown = true;
-    machine->agent.epoch = 1;
-    machine->agent.sequence = 9;
+    machine->worker.epoch_began_at = now - rows[i].epoch_s;
+    machine->worker.reported = machine->worker.epoch_shown = true;
+    machine->worker.epoch = 1;
+    machine->worker.sequence = 9;
     fixture->cluster->sync.read_at = now - rows[i].read_s;
     if (rows[i].alone) cluster->membership.term.count = 1;
     fc_frame_lease_renewal renewal = {.machine = "vm-1", .age_ms = (uint32_t)(rows[i].renewed_s * 1000), .epoch = 1};
@@ -63,11 +63,11 @@
   fc_leadership_term_applied(fixture->leadership, now - 100, false);
   machine->owned_since = now - 100;
   machine->lease.answered_at = now - 20;
-  machine->agent.epoch_began_at = now - 100;
-  machine->agent.epoch = 1;
-  machine->agent.sequence = 9;
-  machine->agent.fencing_token = 5;
-  machine->agent.heard_at = now - heard_s;
+  machine->worker.epoch_began_at = now - 100;
+  machine->worker.epoch = 1;
+  machine->worker.sequence = 9;
+  machine->worker.fencing_token = 5;
+  machine->worker.heard_at = now - heard_s;
   return machine;
 }
 
@@ -88,18 +88,18 @@
   fc_machine *machine = machine_with_expired_lease(fixture, 3);
   fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->placements->len, 0);
-  assert_int_equal(machine->agent.epoch, 2);
-  assert_false(machine->agent.epoch_shown);
+  assert_int_equal(machine->worker.epoch, 2);
+  assert_false(machine->worker.epoch_shown);
   (void)add_direct_start(fixture, machine, 2);
   fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->placements->len, 1);
-  assert_int_equal(machine->agent.epoch, 2);
+  assert_int_equal(machine->worker.epoch, 2);
   assert_int_equal(fixture->metrics->counters.expired_leases, 1);
   machine->reconciled_term = 4; /* as after a change of term */
   fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->reconciled_term, 5);
   assert_int_equal(machine->placements->len, 1);
-  assert_int_equal(machine->agent.epoch, 2);
+  assert_int_equal(machine->worker.epoch, 2);
   worker_fixture_free(fixture);
 }
 
@@ -191,10 +191,10 @@
     check_row(rows[i].name, fc_machine_reachable(fixture->cluster, machine, now) == rows[i].reachable);
     bool woken = fc_wakeups_count(fixture->wakeups, FC_WAKEUP_SCHEDULE) > wakeups;
     check_row(rows[i].name, woken == (rows[i].reachable && !rows[i].restarted));
-    check_row(rows[i].name, machine->agent.epoch == rows[i].epoch_after);
-    check_row(rows[i].name, machine->agent.restarted == rows[i].restarted);
+    check_row(rows[i].name, machine->worker.epoch == rows[i].epoch_after);
+    check_row(rows[i].name, machine->worker.restarted == rows[i].restarted);
     /* The epoch that the worker has shown has a lease of its own. */
-    (void)add_direct_start(fixture, machine, machine->agent.epoch);
+    (void)add_direct_start(fixture, machine, machine->worker.epoch);
     fc_worker_leases_expire(fixture->leases);
     check_row(rows[i].name, machine->placements->len == 1);
     worker_fixture_free(fixture);
@@ -207,7 +207,7 @@
   worker_fixture *fixture = worker_fixture_new();
   fc_machine *machine = machine_with_expired_lease(fixture, 12);
   fc_worker_leases_expire(fixture->leases);
-  assert_false(machine->agent.epoch_shown);
+  assert_false(machine->worker.epoch_shown);
   assert_false(fc_machine_probes_check(fixture->probes, machine));
   worker_fixture_free(fixture);
 }
@@ -220,7 +220,7 @@
   fc_machine *machine = machine_with_expired_lease(fixture, 30);
   GString *out = g_string_new(NULL);
   machine->owner = 1;
-  machine->agent.epoch_shown = false;
+  machine->worker.epoch_shown = false;
   fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* silent, so that the worker is not redirected to it */
   assert_int_equal(send_heartbeat(fixture, 3, 20, 5, RUNNING(0), out), 200);
   machine->owner = 0;
@@ -229,7 +229,7 @@
   machine->lease.answered_at = fc_now() - 20;
   fc_worker_leases_expire(fixture->leases);
   assert_int_equal(machine->reconciled_term, 5);
-  assert_int_equal(machine->agent.epoch, 4);
+  assert_int_equal(machine->worker.epoch, 4);
   assert_int_equal(send_heartbeat(fixture, 3, 21, 5, RUNNING(0), out), 503);
   assert_int_equal(machine->placements->len, 0);
   g_string_free(out, TRUE);
