--- a/src/bookkeeping/cluster.h
+++ b/src/bookkeeping/cluster.h
@@ -35,7 +35,7 @@
 typedef struct fc_incomplete_job {
   json_t *value;
   uint64_t version;
-  bool ordered; /* read as a change, not in a full read */
+  bool read_as_change; /* read as a change, not in a full read */
 } fc_incomplete_job;
 
 /* How far the cluster state has followed the key-value store. Written only by the watch. */
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -81,10 +81,10 @@
 }
 
 /* Stores the record until its description has been read completely. */
-static void defer_job(fc_cluster *cluster, const char *id, const fc_kv_change *change, bool ordered) {
+static void defer_job(fc_cluster *cluster, const char *id, const fc_kv_change *change, bool read_as_change) {
   fc_incomplete_job *incomplete = g_new(fc_incomplete_job, 1);
-  *incomplete =
-      (fc_incomplete_job){.value = json_incref(change->value), .version = change->version, .ordered = ordered};
+  *incomplete = (fc_incomplete_job){
+      .value = json_incref(change->value), .version = change->version, .read_as_change = read_as_change};
   g_hash_table_replace(cluster->incomplete_jobs, g_strdup(id), incomplete);
 }
 
@@ -95,7 +95,7 @@
   g_hash_table_remove(cluster->incomplete_jobs, id);
 }
 
-static void apply_job(fc_record_applier *applier, const char *id, const fc_kv_change *change, bool ordered) {
+static void apply_job(fc_record_applier *applier, const char *id, const fc_kv_change *change, bool read_as_change) {
   fc_cluster *cluster = applier->cluster;
   if (!change->value) {
     remove_job(cluster, id, change->version);
@@ -107,16 +107,17 @@
     return;
   }
   if (record.parts.count > 0 && !read_description(cluster, id, &record)) {
-    defer_job(cluster, id, change, ordered);
+    defer_job(cluster, id, change, read_as_change);
     fc_job_record_clear(&record);
     return;
   }
   g_hash_table_remove(cluster->incomplete_jobs, id);
   /* The cancellation was confirmed to its user after the last read that did not show it. */
   if (record.phase == FC_PHASE_CANCELLED)
-    fc_cancellations_learned(applier->cancellations, id, change->version, ordered ? cluster->sync.read_at : fc_now());
+    fc_cancellations_learned(applier->cancellations, id, change->version,
+                             read_as_change ? cluster->sync.read_at : fc_now());
   const fc_membership *membership = &cluster->membership;
-  bool fresh = ordered && membership->term_version && change->version > membership->term_version;
+  bool fresh = read_as_change && membership->term_version && change->version > membership->term_version;
   (void)fc_cluster_apply_job(cluster, id, &record, change->version, fresh, fc_now());
   fc_job_record_clear(&record);
   fc_wakeups_raise(applier->wakeups, FC_WAKEUP_SCHEDULE);
@@ -136,13 +137,13 @@
   if (!incomplete || !text) return;
   const fc_kv_change deferred = {
       .key = change->key, .value = json_incref(incomplete->value), .version = incomplete->version};
-  apply_job(applier, job, &deferred, incomplete->ordered);
+  apply_job(applier, job, &deferred, incomplete->read_as_change);
   json_decref(deferred.value);
 }
 
 /* ---- machines, members, rentals, quota ---- */
 
-static void apply_machine(fc_record_applier *applier, const char *id, const fc_kv_change *change, bool ordered) {
+static void apply_machine(fc_record_applier *applier, const char *id, const fc_kv_change *change, bool read_as_change) {
   fc_cluster *cluster = applier->cluster;
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
   if (!change->value) {
@@ -166,7 +167,7 @@
   fc_cluster_assign_machine(cluster, machine, fc_now());
   /* A machine whose endpoint was first recorded within this term has never run a task of any owner. */
   const fc_membership *membership = &cluster->membership;
-  bool this_term = ordered && membership->term_version && change->version > membership->term_version;
+  bool this_term = read_as_change && membership->term_version && change->version > membership->term_version;
   if (endpoint_recorded && !machine->endpoint_recorded && this_term) machine->reconciled_term = membership->term.number;
   machine->endpoint_recorded = endpoint_recorded;
 }
@@ -206,7 +207,7 @@
   fc_cluster_apply_quota(cluster, &quota, change->version);
 }
 
-void fc_record_applier_apply(fc_record_applier *applier, const fc_kv_change *change, bool ordered) {
+void fc_record_applier_apply(fc_record_applier *applier, const fc_kv_change *change, bool read_as_change) {
   fc_cluster *cluster = applier->cluster;
   const char *key = change->key;
   if (strcmp(key, FC_KEY_TERM) == 0) {
@@ -220,9 +221,9 @@
   } else if (g_str_has_prefix(key, FC_PREFIX_PART)) {
     apply_description_part(applier, key + strlen(FC_PREFIX_PART), change);
   } else if (g_str_has_prefix(key, FC_PREFIX_JOB)) {
-    apply_job(applier, key + strlen(FC_PREFIX_JOB), change, ordered);
+    apply_job(applier, key + strlen(FC_PREFIX_JOB), change, read_as_change);
   } else if (g_str_has_prefix(key, FC_PREFIX_MACHINE)) {
-    apply_machine(applier, key + strlen(FC_PREFIX_MACHINE), change, ordered);
+    apply_machine(applier, key + strlen(FC_PREFIX_MACHINE), change, read_as_change);
   } else if (g_str_has_prefix(key, FC_PREFIX_MEMBER)) {
     apply_member(applier, key + strlen(FC_PREFIX_MEMBER), change);
   } else if (g_str_has_prefix(key, FC_PREFIX_RENTAL)) {
--- a/src/controller/record_applier.h
+++ b/src/controller/record_applier.h
@@ -19,10 +19,10 @@
 fc_record_applier *fc_record_applier_new(fc_cluster *cluster, fc_leadership *leadership, fc_peers *peers,
                                          fc_cancellations *cancellations, fc_wakeups *wakeups);
 
-/* Applies the value or the deletion of one key if it is newer than the known one. `ordered`: it was
+/* Applies the value or the deletion of one key if it is newer than the known one. `read_as_change`: it was
  * read as a change, in the order of revisions, and not as part of a snapshot. A malformed record is
  * logged and skipped. */
-void fc_record_applier_apply(fc_record_applier *applier, const fc_kv_change *change, bool ordered);
+void fc_record_applier_apply(fc_record_applier *applier, const fc_kv_change *change, bool read_as_change);
 /* After a snapshot as of the revision: removes everything not newer than it whose key is not in
  * `present`, a set of strings. */
 void fc_record_applier_retain(fc_record_applier *applier, GHashTable *present, uint64_t revision);
