--- a/src/controller/quota_plan.c
+++ b/src/controller/quota_plan.c
@@ -92,7 +92,7 @@
                       bool unreconciled) {
   double used = unreconciled ? MAX(demand->used, share) : demand->used;
   others->assigned += share;
-  others->lacking += MAX(0, used + demand->wanted - unplaceable - share);
+  others->shortfall += MAX(0, used + demand->wanted - unplaceable - share);
   others->count++;
 }
 
--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -16,7 +16,7 @@
 
 static bool limit_contended(const fc_cluster *cluster, const fc_quota_record *quota, double limit, size_t team,
                             const fc_quota_demand (*demands)[FC_TEAMS_MAX], const double (*shares)[FC_TEAMS_MAX]) {
-  double unassigned = limit, lacking = 0;
+  double unassigned = limit, shortfall = 0;
   bool unused = false;
   for (size_t i = 0; i < quota->member_count; i++) {
     double share = shares[i][team];
@@ -24,10 +24,10 @@
     int member = fc_term_find(&cluster->membership.term, quota->members[i]);
     if (member < 0) continue;
     const fc_quota_demand *demand = &demands[member][team];
-    lacking += MAX(0, demand->used + demand->wanted - share);
+    shortfall += MAX(0, demand->used + demand->wanted - share);
     unused |= demand->wanted > 0 && demand->used + MIN_AMOUNT < share;
   }
-  return limit > 0 && unused && lacking > unassigned + MIN_AMOUNT;
+  return limit > 0 && unused && shortfall > unassigned + MIN_AMOUNT;
 }
 
 static bool team_contended(const fc_cluster *cluster, const fc_quota_record *quota, const fc_quota_tally *tally,
--- a/src/coordination/quota_division.c
+++ b/src/coordination/quota_division.c
@@ -44,11 +44,11 @@
   double even_part = state->unassigned / (double)(state->others->count + 1);
   double growth = smaller(larger(missing, even_part), state->unassigned);
   if (state->unplaceable > 0)
-    growth = smaller(growth, larger(state->need - state->share, state->unassigned - state->others->lacking));
+    growth = smaller(growth, larger(state->need - state->share, state->unassigned - state->others->shortfall));
   growth = larger(growth, 0);
   /* A remainder that is too small to start any task is released while others lack quota: when every shard held such a
    * remainder, a team stayed below its limit for as long as the tasks of the largest shard ran. */
-  if (state->share + growth < demand->used + demand->least - ROUNDING_ERROR && state->others->lacking > 0)
+  if (state->share + growth < demand->used + demand->least - ROUNDING_ERROR && state->others->shortfall > 0)
     return smaller(demand->used, state->share);
   return state->share + growth;
 }
@@ -68,7 +68,7 @@
                              .need = own->used + own->wanted - unplaceable,
                              .unplaceable = unplaceable};
   /* Compared with a tolerance: shards used to pass on halves of a mere rounding error, with a write for each. */
-  double missing = others->lacking - state.unassigned;
+  double missing = others->shortfall - state.unassigned;
   /* Unplaceable tasks do not count as needed: a shard with full machines held its share for its pending tasks, while
    * other shards had room but no share (scene share_without_room). */
   if (state.need < own_share && missing > ROUNDING_ERROR) return shrunk_share(&state, missing);
--- a/src/coordination/quota_division.h
+++ b/src/coordination/quota_division.h
@@ -13,10 +13,10 @@
   double least;  /* smallest amount with which a pending task can start; 0: not known */
 } fc_quota_demand;
 
-/* The sums over all other shards. `lacking` is the part of what they use and could place now that their shares do not
+/* The sums over all other shards. `shortfall` is the part of what they use and could place now that their shares do not
  * cover. */
 typedef struct fc_quota_others {
-  double assigned, lacking;
+  double assigned, shortfall;
   size_t count;
 } fc_quota_others;
 
--- a/tests/test_quota_division.c
+++ b/tests/test_quota_division.c
@@ -103,7 +103,7 @@
   fc_quota_demand demand[SHARDS];
 } division;
 
-static double lacking(const division *shards, int k) {
+static double shortfall(const division *shards, int k) {
   const fc_quota_demand *demand = &shards->demand[k];
   return MAX(0, demand->used + demand->wanted - shards->unplaceable[k] - shards->share[k]);
 }
@@ -129,7 +129,7 @@
   for (int other = 0; other < SHARDS; other++) {
     if (other == k) continue;
     others.assigned += shards->share[other];
-    others.lacking += lacking(shards, other);
+    others.shortfall += shortfall(shards, other);
   }
   double before = shards->share[k];
   shards->share[k] =
@@ -156,7 +156,7 @@
     for (int k = 0; k < SHARDS; k++) {
       const fc_quota_demand *demand = &shards.demand[k];
       spare -= MIN(shards.share[k], demand->used + demand->wanted - shards.unplaceable[k]);
-      lack = MAX(lack, lacking(&shards, k));
+      lack = MAX(lack, shortfall(&shards, k));
     }
     assert_true(lack < 1 || spare < 1);
     assert_true(unchanged > 0);
