--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -61,7 +61,7 @@
 /* Drops machines that can't hold even the smallest request of the jobs after preempting everything that the first job,
  * which has the highest priority, may preempt. */
 static void drop_machines_without_room(const fc_shard_room *room, const GPtrArray *jobs) {
-  const fc_job_spec least = fc_least_resources_of(jobs);
+  const fc_job_spec least = fc_minimum_request_of(jobs);
   guint retained = 0;
   for (guint i = 0; i < room->capacity->len; i++) {
     const fc_free_capacity entry = g_array_index(room->capacity, fc_free_capacity, i);
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -256,7 +256,7 @@
  * them requests. */
 static void gather_candidates(placing_round *round, fc_job_spec *least) {
   const fc_cluster *cluster = round->cluster;
-  *least = fc_least_resources_none();
+  *least = fc_minimum_request_none();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_placeable(cluster, job, round->now)) continue;
@@ -269,7 +269,7 @@
     added->pending = fc_job_pending_tasks_in(job, slices, FC_PENDING_TASKS_MAX);
     added->spread = fc_job_zone_spread(job);
     g_ptr_array_add(round->candidates, added);
-    fc_least_resources_add(least, job->spec.cpus, job->spec.gpus, job->spec.memory_gb);
+    fc_minimum_request_add(least, job->spec.cpus, job->spec.gpus, job->spec.memory_gb);
   }
   g_ptr_array_sort(round->candidates, compare_candidates);
 }
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -197,7 +197,7 @@
   fc_free_capacity_sort(capacity);
   const fc_shard_room room = {.cluster = cluster, .capacity = capacity};
   GPtrArray *jobs = pending_jobs(cluster);
-  const fc_job_spec least = fc_least_resources_of(jobs);
+  const fc_job_spec least = fc_minimum_request_of(jobs);
   GArray *queue = keep_fitting(cluster, capacity, &least) ? pack_own_queues(&room, jobs) : NULL;
   for (guint i = 0; queue && i < queue->len && keep_fitting(cluster, capacity, &least); i++) {
     const queued_job *queued = &g_array_index(queue, queued_job, i);
--- a/src/scheduler/least_resources.h
+++ b/src/scheduler/least_resources.h
@@ -8,10 +8,10 @@
 #include "bookkeeping/cluster.h"
 
 /* The minimum over no jobs: every resource is INFINITY. */
-fc_job_spec fc_least_resources_none(void);
+fc_job_spec fc_minimum_request_none(void);
 /* Lowers *least to the request where that is smaller. */
-void fc_least_resources_add(fc_job_spec *least, double cpus, double gpus, double memory_gb);
+void fc_minimum_request_add(fc_job_spec *least, double cpus, double gpus, double memory_gb);
 /* The minimum over the jobs (fc_job pointers). */
-fc_job_spec fc_least_resources_of(const GPtrArray *jobs);
+fc_job_spec fc_minimum_request_of(const GPtrArray *jobs);
 
 #endif
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -23,13 +23,13 @@
 
 /* The minimum of each resource that any job, or any class of expected arrivals, requests. */
 static fc_job_spec least_requested(const fc_cluster *cluster, const GPtrArray *jobs) {
-  fc_job_spec least = fc_least_resources_of(jobs);
+  fc_job_spec least = fc_minimum_request_of(jobs);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, cluster->arrivals.classes);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const fc_arrival_class *job_class = value;
-    fc_least_resources_add(&least, job_class->cpus, job_class->gpus, job_class->memory_gb);
+    fc_minimum_request_add(&least, job_class->cpus, job_class->gpus, job_class->memory_gb);
   }
   return least;
 }
