--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -10,10 +10,10 @@
  * last transfer says, as a member that hands over a slice knows all of its tasks. */
 static unsigned possible_locations(const fc_cluster *cluster, const fc_job *job, unsigned slice) {
   const fc_job_origin *origin = &job->record.origin;
-  bool transferred = origin->transferred >> slice & 1;
-  uint64_t known_since = transferred ? origin->last_transfer[slice].term : origin->term;
+  bool transferred = origin->handed_over >> slice & 1;
+  uint64_t known_since = transferred ? origin->last_handover[slice].term : origin->term;
   if (!known_since || known_since < cluster->membership.term.names_since) return 0;
-  return transferred ? origin->last_transfer[slice].members : 1u << cluster->membership.self;
+  return transferred ? origin->last_handover[slice].members : 1u << cluster->membership.self;
 }
 
 /* Slices of this shard whose possible locations have all been reconciled. */
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -36,7 +36,7 @@
 /* The operators' settings; each has a default. */
 typedef struct fc_operator_settings {
   double round_s;            /* interval between placement rounds */
-  double handover_wait_s;    /* time that a job is pending before it is transferred to a shard with idle capacity */
+  double handover_wait_s;    /* time that a job is pending before it is handed over to a shard with idle capacity */
   unsigned split_limit;      /* largest number of slices of an array */
   double member_lease_share; /* duration of a member's lease, as a share of the workers' */
   double idle_keep_share;    /* idle time before release, as a share of boot time and minimum charge */
