--- a/src/bookkeeping/cluster.h
+++ b/src/bookkeeping/cluster.h
@@ -117,7 +117,7 @@
 /* Whether all live members read job records of the format. The others would not see such jobs. */
 bool fc_cluster_members_read_format(const fc_cluster *cluster, unsigned format);
 
-/* Whether the job is cancelled, by a record or a peer's report. */
+/* Whether the job is known to be cancelled, also if its own record does not say so yet. */
 bool fc_cluster_is_cancelled(const fc_cluster *cluster, const char *id);
 /* Lower bound of when a user saw the cancellation confirmed; INFINITY: not known to be cancelled. */
 double fc_cluster_cancelled_since(const fc_cluster *cluster, const char *id);
--- a/src/bookkeeping/cluster_machines.c
+++ b/src/bookkeeping/cluster_machines.c
@@ -4,7 +4,7 @@
 #define UNKNOWN_CAPACITY 1e12
 
 /* How long a machine may be silent after this controller became its owner: in worker leases, but no
- * less than this number of heartbeat intervals. */
+ * less than so many heartbeat intervals. */
 #define NEVER_HEARD_LEASES 0.4
 #define NEVER_HEARD_HEARTBEATS 2
 
@@ -92,15 +92,15 @@
 static bool heard_lately(const fc_cluster *cluster, const fc_machine *machine, double now) {
   double lease_s = cluster->settings->lease_s;
   if (!machine->worker.reported || now > machine->worker.heard_at + lease_s * REACHABLE_SILENT_LEASES) return false;
-  /* The next heartbeat or probe answer shows whether our answers arrive. */
+  /* The next heartbeat, or the response to a probe, shows whether responses reach the worker. */
   double unidirectional_since = machine->reachability.unidirectional_since;
   return !unidirectional_since || now < unidirectional_since + lease_s * REACHABLE_UNIDIRECTIONAL_LEASES;
 }
 
 /* A start command names an epoch, and an expired lease rules out only starts that name the epoch
  * that ended. When starts were sent under an epoch that the worker had not reported, they were
- * taken to be ruled out but executed later: tasks ran twice, and a team exceeded its limit (scene
- * test_expired_leases). */
+ * considered ruled out once the lease had expired, but were executed later: tasks ran twice, and a
+ * team exceeded its limit (scene test_expired_leases). */
 bool fc_machine_reachable(const fc_cluster *cluster, const fc_machine *machine, double now) {
   return machine->worker.epoch_shown && heard_lately(cluster, machine, now);
 }
--- a/src/bookkeeping/cluster_machines.h
+++ b/src/bookkeeping/cluster_machines.h
@@ -39,17 +39,17 @@
 
 /* Whether this controller has owned the machine for a while, the machine is up according to its
  * recorded endpoint, and yet it has never contacted this controller. The endpoint was then recorded
- * before our incarnation started, and the machine is dead or unreachable: a live worker would by
- * now have failed to answer several probes, and have had time to contact another member, which
- * would have informed us. Until the machine is removed, tasks that may be on it are not started
- * elsewhere. */
+ * before this incarnation of the controller started, and the machine is dead or unreachable: a live
+ * worker would by now have failed to answer several probes, and have had time to contact another
+ * member, which would have informed this one. Until the machine is removed, tasks that may be on it
+ * are not started elsewhere. */
 bool fc_machine_never_heard(const fc_cluster *cluster, const fc_machine *machine, double now);
 /* Whether the machine may be lost: about to become unreachable, or never heard from. Suspects are
  * counted before any machine is returned; otherwise the first would be returned before it was
  * apparent that most of them became silent together. */
 bool fc_machine_suspect(const fc_cluster *cluster, const fc_machine *machine, double now);
-/* Whether the machine may take new tasks: heard from recently, with evidence that answers arrive,
- * and in a known epoch. */
+/* Whether the machine may take new tasks: heard from recently, with evidence that responses
+ * reach the worker, and in a known epoch. */
 bool fc_machine_reachable(const fc_cluster *cluster, const fc_machine *machine, double now);
 /* Whether the machine would be reachable, but its worker's lease has expired and no message has
  * come since, so that its epoch is unknown. */
--- a/src/bookkeeping/group_commit.c
+++ b/src/bookkeeping/group_commit.c
@@ -23,7 +23,8 @@
 /* The longest single wait on the condition variable. */
 #define MAX_COND_WAIT_S 1.0
 
-/* Shorter waits are below the resolution of a timer: the loop around the sleep would spin. */
+/* Shorter waits count as none: they are below the resolution of a timer, and the loop around the
+ * sleep would spin. */
 #define MIN_SLEEP_S 1e-6
 
 /* A request from its submission until its outcome is known. */
@@ -222,7 +223,7 @@
   }
 }
 
-/* At the head of the highest priority, as the request has waited the longest. */
+/* Queues the request again, at the head of the highest priority, as it has waited the longest. */
 static void requeue(fc_group_commit *commit, queued_write *queued) {
   queued->in_flight = false;
   g_queue_push_head(&commit->queues[FC_WRITE_PRIORITY_HEARTBEAT], queued);
--- a/src/bookkeeping/job_records.h
+++ b/src/bookkeeping/job_records.h
@@ -12,8 +12,8 @@
                              bool fresh, double now);
 /* Applies a committed cancellation whose record has not been read: reported by a peer, or just
  * written by this controller. The job has ended from now on, whatever older records are still read.
- * The job's record version is unchanged, so that none of our writes depends on a record that we
- * have not read. `since`: lower bound of when a user saw it confirmed. */
+ * The job's record version is unchanged, so that no write depends on a record that this
+ * controller has not read. `since`: lower bound of when a user saw it confirmed. */
 void fc_cluster_apply_cancellation(fc_cluster *cluster, const char *id, uint64_t revision, double since, double now);
 /* Called when all changes up to `revision` have been read: drops the unread cancellations up to
  * there, which the records now contain. */
--- a/src/bookkeeping/job_state.h
+++ b/src/bookkeeping/job_state.h
@@ -32,7 +32,7 @@
   fc_job_phase phase; /* according to its own record only */
   fc_job_origin origin;
   fc_description_ref description; /* reference to the description if it is stored outside the record */
-  char *handed_to[FC_SLICES_MAX]; /* member that the slice was transferred to; NULL: as assigned */
+  char *handed_to[FC_SLICES_MAX]; /* member that the slice was handed over to; NULL: as assigned */
 } fc_job_stored;
 
 /* Which tasks have completed. */
@@ -67,7 +67,7 @@
   double entered_at;    /* when it became runnable: first seen, or its last dependency done */
   uint64_t sequence;    /* order of entry */
   fc_priority priority; /* the highest of its own and its dependents' priorities */
-  double due_at;        /* from its own deadline and those of its dependents; INFINITY: none */
+  double due_at;        /* when it is due, by its own deadline and those of its dependents; INFINITY: no deadline */
   double blocked_until; /* backoff after failures: none of its tasks is started before */
 } fc_job_queue_entry;
 
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -11,16 +11,16 @@
 #include "protocol/records.h"
 #include "protocol/settings.h"
 
-/* The worker process according to its newest heartbeat or direct answer, whoever owned the machine
- * then. Heartbeats are ordered by epoch and sequence, as copies may arrive late. When its lease has
- * expired, the worker is in a later epoch, which only its next message shows. */
+/* The worker process according to its newest heartbeat or response to a direct call, whoever owned
+ * the machine then. Heartbeats are ordered by epoch and sequence, as copies may arrive late. When
+ * its lease has expired, the worker is in a later epoch, which only its next message shows. */
 typedef struct fc_machine_worker {
   uint64_t epoch, sequence;
   bool epoch_shown;       /* the worker has reported `epoch`; false: it is the lowest that the worker may be in */
   double expired_at;      /* when its lease was last found expired; 0: never */
   uint64_t fencing_token; /* the highest that the worker has reported */
-  double epoch_began_at;  /* when we first heard of the epoch: its lease began no later */
-  double heard_at;        /* when the last heartbeat or direct answer arrived */
+  double epoch_began_at;  /* when this controller first heard of the epoch: its lease began no later */
+  double heard_at;        /* when the last heartbeat or response to a direct call arrived */
   bool reported;          /* this controller has received a heartbeat since it became the owner */
   bool restarted;         /* restarted in this term without a new epoch: its heartbeats can't be ordered */
   bool mismatch_logged;   /* a mismatch between a heartbeat and the record has been logged */
@@ -28,16 +28,16 @@
 
 /* When the worker's lease was last renewed. */
 typedef struct fc_machine_lease {
-  double answered_at;     /* when we last answered a heartbeat with 200 */
-  uint64_t connection;    /* number of the connection that the answer was sent on */
+  double answered_at;     /* when this controller last answered a heartbeat with status 200 */
+  uint64_t connection;    /* number of the connection on which that response was sent */
   double peer_renewed_at; /* when another member last renewed it, as far as it has reported */
-  double redirected_at;   /* when we last redirected the worker to its owner */
+  double redirected_at;   /* when this controller last redirected the worker to the machine's owner */
 } fc_machine_lease;
 
 /* Whether messages arrive in both directions. */
 typedef struct fc_machine_reachability {
-  double unidirectional_since;   /* since when heartbeats arrive without evidence that answers do; 0: answers arrive */
-  double peer_bidirectional_at;  /* when another member last renewed the lease with evidence that answers arrive */
+  double unidirectional_since;   /* since when heartbeats arrive without evidence that responses do; 0: they do */
+  double peer_bidirectional_at;  /* when another member last renewed the lease with evidence that responses arrive */
   double peer_unidirectional_at; /* when others began to renew it without that evidence, if later */
   bool owner_suspects;           /* the owner, another member, reports that the machine may be lost */
   double owner_suspects_since;
@@ -45,11 +45,11 @@
 
 /* Probes: direct requests to the worker for its state and task list. */
 typedef struct fc_machine_probe {
-  bool wanted;             /* a probe is needed, to learn whether answers arrive and which tasks the worker has */
-  bool in_flight;          /* our probe of another member's machine is in flight */
-  double sent_at;          /* when we sent the last probe that has ended, also as the owner */
+  bool wanted;             /* a probe is needed, to learn whether responses reach the worker and which tasks it has */
+  bool in_flight;          /* this controller's probe of another member's machine is in flight */
+  double sent_at;          /* when this controller sent the last probe that has ended, also as the owner */
   bool answered;           /* that probe was answered */
-  double confirmed_at;     /* when we sent the last probe whose answer listed the tasks */
+  double confirmed_at;     /* when it sent the last probe whose response listed the tasks */
   double peer_answered_at; /* when another member last sent a probe that was answered */
   double peer_unanswered_at[FC_MEMBERS_MAX]; /* for each peer: when it last sent a probe that was not answered */
 } fc_machine_probe;
@@ -160,12 +160,12 @@
 bool fc_machine_has_image(const fc_machine *machine, const GRefString *image);
 
 /* Whether this controller has owned the machine since `since`, and since then it has been silent or
- * unidirectional: heartbeats arrive without evidence that answers or commands do. Its tasks are
- * equally affected by both. */
+ * unidirectional: heartbeats arrive without evidence that responses or commands do. Its tasks
+ * are equally affected by both. */
 bool fc_machine_unreachable_since(const fc_machine *machine, double since);
 /* How long a machine may be unreachable before it is returned, in seconds: longer than a worker
- * takes to try another member when it can't reach us (two failed heartbeats), but shorter than its
- * lease, as returning the machine is the quickest proof that its tasks are gone. */
+ * takes to try another member when it can't reach this one (two failed heartbeats), but shorter than
+ * its lease, as returning the machine is the quickest proof that its tasks are gone. */
 double fc_machine_silence_timeout_s(const fc_settings *settings);
 
 #endif
--- a/src/bookkeeping/placement.h
+++ b/src/bookkeeping/placement.h
@@ -20,18 +20,18 @@
   double running_since; /* 0: not yet */
 } fc_placement_status;
 
-/* A start command sent directly instead of in the answer to a heartbeat. */
+/* A start command sent directly instead of in the response to a heartbeat. */
 typedef enum {
   FC_DIRECT_START_NONE,
   FC_DIRECT_START_IN_FLIGHT,
-  FC_DIRECT_START_UNACKNOWLEDGED, /* not answered: the worker may still receive it */
+  FC_DIRECT_START_UNACKNOWLEDGED, /* without a response: the worker may still receive it */
 } fc_direct_start;
 
 /* How the start command has been sent so far. */
 typedef struct fc_placement_start {
   bool sent;                   /* some copy may have reached the machine */
-  uint64_t heartbeat_sequence; /* sequence of the heartbeat whose answer last carried it */
-  double sent_at;              /* when that answer was generated */
+  uint64_t heartbeat_sequence; /* sequence of the heartbeat whose response last carried it */
+  double sent_at;              /* when that response was generated */
   fc_direct_start direct;
   uint64_t direct_token; /* fencing token in the direct copy */
   uint64_t direct_epoch; /* worker epoch in the direct copy: a worker in another epoch does not execute it */
--- a/src/bookkeeping/reconciliation_progress.h
+++ b/src/bookkeeping/reconciliation_progress.h
@@ -11,8 +11,8 @@
  *
  * Before that, a slice of this shard is resolved as soon as all members that may run its tasks
  * have their machines reconciled. Among a thousand machines one is always failing: when each of
- * them was waited for at every change of term, a rolling restart started no earlier tasks for two
- * minutes (fleet day "restart", simulated). */
+ * them was waited for at every change of term, no task of a job accepted earlier was started for two
+ * minutes of a rolling restart (fleet day "restart", simulated). */
 bool fc_cluster_update_reconciled(fc_cluster *cluster);
 /* Whether all machines have been reconciled in the current term. */
 bool fc_cluster_fully_reconciled(const fc_cluster *cluster);
--- a/src/bookkeeping/shard_ownership.c
+++ b/src/bookkeeping/shard_ownership.c
@@ -61,19 +61,19 @@
 
 /* A machine that stays with the process that has reconciled it needs no new fence, as no other
  * member could command it in between. This requires a recorded owner: an owner assigned by hashing
- * may have changed and changed back. For a machine not reconciled yet, the time of silence
- * continues to count. */
+ * may have changed and changed back. For a machine that stays but is not reconciled yet, the time
+ * that it has been silent continues to count. */
 static void reassign_machine(const fc_cluster *cluster, fc_machine *machine, const previous_term *previous,
                              double now) {
   const fc_membership *membership = &cluster->membership;
-  bool was_ours = previous->continuous && machine->owner == previous->self && previous->self >= 0 &&
-                  membership->self >= 0 && strcmp(machine->record.owner, cluster->settings->name) == 0;
-  bool was_reconciled = was_ours && machine->reconciled_term == previous->number;
+  bool was_owned = previous->continuous && machine->owner == previous->self && previous->self >= 0 &&
+                   membership->self >= 0 && strcmp(machine->record.owner, cluster->settings->name) == 0;
+  bool was_reconciled = was_owned && machine->reconciled_term == previous->number;
   machine->owner = owner_by_record(cluster, machine);
   machine->view.digest = 0;
-  bool is_ours = fc_machine_owned_by_self(cluster, machine);
-  machine->reconciled_term = was_reconciled && is_ours ? membership->term.number : 0;
-  if (!was_ours || !is_ours) fc_machine_reset_owner_state(machine, now);
+  bool is_owned = fc_machine_owned_by_self(cluster, machine);
+  machine->reconciled_term = was_reconciled && is_owned ? membership->term.number : 0;
+  if (!was_owned || !is_owned) fc_machine_reset_owner_state(machine, now);
 }
 
 void fc_cluster_apply_term(fc_cluster *cluster, const fc_term *term, uint64_t version, bool continuous, double now) {
--- a/src/bookkeeping/write_request.c
+++ b/src/bookkeeping/write_request.c
@@ -124,7 +124,7 @@
   for (guint i = 0; i < write->conditions->len; i++) {
     const condition *entry = condition_at(write, i);
     /* Requests of one batch may expect different versions of a key. Both conditions are sent, and
-     * the answer of the key-value store says which one failed. */
+     * the response of the key-value store says which one failed. */
     char *condition_text = g_strdup_printf("%s@%" G_GUINT64_FORMAT, entry->key, (guint64)entry->version);
     if (g_hash_table_add(compared, condition_text)) fc_txn_compare(txn, entry->key, entry->version);
   }
--- a/src/coordination/leader_lease.c
+++ b/src/coordination/leader_lease.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Steady times in seconds. NEVER is before any time of the clock, and so is BEFORE_ALL_READS plus stale_max_s. */
+/* Monotonic times in seconds. NEVER is before any time of the clock, and so is BEFORE_ALL_READS plus stale_max_s. */
 #define NEVER (-1.0)
 #define BEFORE_ALL_READS (-1e9)
 #define UNBOUNDED 1e18
@@ -30,8 +30,8 @@
   lease->kv_read_at = BEFORE_ALL_READS;
   lease->peer_count = peer_count;
   for (size_t peer = 0; peer < FC_MEMBERS_MAX; peer++) lease->grants[peer] = (fc_peer_grant){NEVER, NEVER, NEVER};
-  /* A cancelled job must stop in time even if this member has not learned of the cancellation: after the last answer
-   * a worker runs its tasks for one more lease, and a heartbeat may be in flight. */
+  /* A cancelled job must stop in time even if this member has not learned of the cancellation: after the last
+   * response a worker runs its tasks for one more lease, and a heartbeat may be in flight. */
   double margin = heartbeat_s * IN_FLIGHT_HEARTBEATS;
   lease->stale_max_s = shortened_for_drift(cancel_s - worker_lease_s - margin);
 }
--- a/src/coordination/leader_lease.h
+++ b/src/coordination/leader_lease.h
@@ -1,5 +1,5 @@
-/* The leader lease of a member: the time until which this process may answer workers, command them and give final
- * answers as the leader of its shard. Pure arithmetic; every time is in seconds of the monotonic clock and passed in
+/* The leader lease of a member: the time until which this process may respond to workers, command them and give final
+ * responses as the leader of its shard. Pure arithmetic; every time is in seconds of the monotonic clock and passed in
  * by the caller. */
 #ifndef FC_COORDINATION_LEADER_LEASE_H
 #define FC_COORDINATION_LEADER_LEASE_H
@@ -41,13 +41,14 @@
 void fc_leader_lease_read_fresh(fc_leader_lease *lease, double sent);
 /* Discards the peers' grants at a new term: they were given for the previous one. */
 void fc_leader_lease_new_term(fc_leader_lease *lease);
-/* Records that peer `peer` granted `grant_s` seconds in answer to a message sent at `sent`. If the leader lease has
+/* Records that peer `peer` granted `grant_s` seconds in response to a message sent at `sent`. If the leader lease has
  * expired by `now`, this and all other grants are discarded instead: in the meantime a term without this member may
  * have been sent, and may still be committed. `peer_of` maps the members of `term` to peers (-1: this member); `self`
  * is this member's index in the term (-1: not a member). */
 void fc_leader_lease_granted(fc_leader_lease *lease, const fc_term *term, const int *peer_of, int self, size_t peer,
                              double now, double sent, double grant_s);
-/* Records that peer `peer`, asked at `sent`, has learned of no cancellation since `no_cancellation_from`. */
+/* Records that peer `peer` stated, in response to a message sent at `sent`, that it has learned of no cancellation
+ * since `no_cancellation_from`. */
 void fc_leader_lease_no_cancellation(fc_leader_lease *lease, size_t peer, double sent, double no_cancellation_from);
 /* Returns how many seconds a member has to wait after it joined before it may exclude another member. By then, any
  * member that missed the term in which it joined has stopped acting, whatever grants that member holds. */
--- a/src/coordination/quota_division.c
+++ b/src/coordination/quota_division.c
@@ -67,9 +67,10 @@
                              .demand = own,
                              .need = own->used + own->wanted - unplaceable,
                              .unplaceable = unplaceable};
-  /* Compared with a tolerance: shards used to pass on halves of a mere rounding error, with a write for each. */
   double missing = others->shortfall - state.unassigned;
-  /* Unplaceable tasks do not count as needed: a shard with full machines held its share for its pending tasks, while
+  /* `missing` is compared with a tolerance: without it, shards passed on halves of a mere rounding error, with a write
+   * for each.
+   * Unplaceable tasks do not count as needed: a shard with full machines held its share for its pending tasks, while
    * other shards had room but no share (scene share_without_room). */
   if (state.need < own_share && missing > ROUNDING_ERROR) return shrunk_share(&state, missing);
   if (state.need + unplaceable > own_share) return grown_share(&state);
--- a/src/coordination/quota_division.h
+++ b/src/coordination/quota_division.h
@@ -29,11 +29,11 @@
 /* Returns the share that a shard should request now; `own_share` is its present one. The result is never below the
  * shard's usage and never above what the limit leaves. Every change is a write that delays other writes, so changes
  * are few and large: a shard that needs more takes at least an even part of the unassigned quota, and it gives back
- * only when others lack more than is unassigned. It then gives at least half of what it can spare, or all of it if
- * that is too little to start any pending task. */
+ * only when others lack more than is unassigned, and then at least half of what it can spare. A remainder that is too
+ * small to start any pending task is released whenever others lack quota. */
 double fc_quota_adjust(double limit, const fc_quota_others *others, double own_share, const fc_quota_demand *own);
-/* The same when the shard's machines have no room now for `unplaceable` of the pending demand: the shard gives that
- * part back if others lack quota, and takes quota for it only while no other shard lacks any. */
+/* The same when the shard's machines have no room now for `unplaceable` of the pending demand: it can spare the
+ * share held for that part, and takes for it only unassigned quota that no other shard lacks. */
 double fc_quota_adjust_by_room(double limit, const fc_quota_others *others, double own_share,
                                const fc_quota_demand *own, double unplaceable);
 
--- a/src/scheduler/gang_precedence.h
+++ b/src/scheduler/gang_precedence.h
@@ -16,7 +16,7 @@
  * that fits the limit in addition to the usage that can't be preempted for it. The order is the same on every
  * member. NULL: there is none, or the team has no limit. */
 void fc_gang_precedence_find(const fc_cluster *cluster, const fc_job *preceding[FC_TEAMS_MAX]);
-/* Returns whether the job has to leave its team's limit to the gang (NULL: no gang). `now`: steady time. */
+/* Returns whether the job has to leave its team's limit to the gang (NULL: no gang). `now`: monotonic time. */
 bool fc_gang_precedes(const fc_cluster *cluster, const fc_job *gang, const fc_job *job, double now);
 
 /* The preceding gangs of all teams, computed once for a plan. */
@@ -27,7 +27,7 @@
   bool share_covers[FC_TEAMS_MAX];       /* the quota share of its owner covers all of it */
 } fc_gang_order;
 
-/* Computes the order for the present cluster state: valid until that changes. `now`: steady time. */
+/* Computes the order for the present cluster state: valid until that changes. `now`: monotonic time. */
 void fc_gang_order_init(const fc_cluster *cluster, fc_gang_order *order, double now);
 /* Returns whether no task of the job may start now, because its team's limit is left to a gang. The job's team
  * must be in the settings. */
--- a/src/scheduler/machine_transfer.h
+++ b/src/scheduler/machine_transfer.h
@@ -10,7 +10,7 @@
 
 typedef struct fc_machine_transfer {
   fc_machine *machine; /* owned by this shard */
-  int to;              /* the receiving member; with `preempt`, may be this member */
+  int to;              /* the receiving member; with `preempt`, may be this member: nothing is transferred then */
   fc_job *gang;
   bool preempt; /* tasks of lower priority on the machine have to be preempted first */
 } fc_machine_transfer;
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -22,7 +22,7 @@
 } job_packing;
 
 /* The minimum of each resource that any job, or any class of expected arrivals, requests. */
-static fc_job_spec least_requested(const fc_cluster *cluster, const GPtrArray *jobs) {
+static fc_job_spec minimum_request(const fc_cluster *cluster, const GPtrArray *jobs) {
   fc_job_spec least = fc_minimum_request_of(jobs);
   GHashTableIter iter;
   gpointer value;
@@ -216,7 +216,7 @@
 GArray *fc_queue_packing_plan(const fc_cluster *cluster, fc_capacity_refused_fn refused, void *refused_arg,
                               double now) {
   GPtrArray *jobs = fc_cluster_open_jobs(cluster);
-  const fc_job_spec least = least_requested(cluster, jobs);
+  const fc_job_spec least = minimum_request(cluster, jobs);
   fc_capacity_model model;
   fc_capacity_model_init(&model, cluster, &least, now);
   model.refused = refused;
--- a/tests/test_bin_packing.c
+++ b/tests/test_bin_packing.c
@@ -121,7 +121,7 @@
     {"machine without a heartbeat for half a lease", SILENT},
     {"machine with a spot notice", SPOT_NOTICE},
     {"machine whose endpoint is not recorded", ENDPOINT_UNRECORDED},
-    {"job whose tasks may be running unknown to us", UNRESOLVED},
+    {"job whose tasks may be running unknown to this member", UNRESOLVED},
     {"team without allowance", OVER_LIMIT},
     {"spot machine not allowed", SPOT},
     {"task that is on a machine", RUNNING},
--- a/tests/test_gang_precedence.c
+++ b/tests/test_gang_precedence.c
@@ -65,27 +65,27 @@
   (void)state;
   static const struct {
     const char *name;
-    bool gang_is_ours;
+    bool own_gang;
     double share;     /* of the gang's owner; the gang needs 12 GPUs */
     unsigned running; /* tasks of blue with a GPU each on a machine of that owner */
     bool held_back;
-    double reserved; /* of our allowance */
+    double reserved; /* of this member's allowance */
   } rows[] = {
       {"the share covers it", false, 12, 0, false, 0},
       {"the share is too small", false, 11, 0, true, 0},
       {"the share is in use", false, 13, 2, true, 0},
       {"the share covers it and what runs", false, 14, 2, false, 0},
-      {"the gang is ours", true, 14, 2, false, 12},
-      {"the gang is ours, our share is too small", true, 11, 0, true, 12},
+      {"the gang is this member's", true, 14, 2, false, 12},
+      {"the gang is this member's, whose share is too small", true, 11, 0, true, 12},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
     fc_cluster *cluster = fixture_cluster(&settings);
     fixture_two_members(cluster);
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
-    machine->owner = rows[i].gang_is_ours ? 0 : 1;
+    machine->owner = rows[i].own_gang ? 0 : 1;
     fc_job *gang = fixture_job(cluster, "job-000001", "gang", "high", "blue", 12, 1, "");
-    gang->record.handed_to[0] = g_strdup(rows[i].gang_is_ours ? "paddock-0" : "paddock-1");
+    gang->record.handed_to[0] = g_strdup(rows[i].own_gang ? "paddock-0" : "paddock-1");
     fc_job *array = fixture_job(cluster, "job-000002", "sweep", "standard", "blue", 4, 1, "");
     fc_job *service = fixture_job(cluster, "job-000003", "service", "prod", "blue", 20, 1, "");
     fc_job *other_gang = fixture_job(cluster, "job-000004", "gang", "standard", "blue", 2, 1, "");
--- a/tests/test_handover_planning.c
+++ b/tests/test_handover_planning.c
@@ -10,7 +10,7 @@
   unsigned expect;
   bool unavailable;
   enum { NONE_ON_PEER, ON_PEER, ON_PEER_UNRECONCILED } on_peer; /* state of a task on the peer's machine */
-  bool unreconciled;                                            /* our machine is not reconciled in this term */
+  bool unreconciled; /* this member's machine is not reconciled in this term */
 } handover_row;
 
 static const handover_row k_handovers[] = {
@@ -18,7 +18,7 @@
     {"room here", false, false, true, true, 0, false, NONE_ON_PEER, false},
     {"a task runs, its start not acknowledged", true, false, false, true, 0, false, NONE_ON_PEER, false},
     {"a task runs, its start acknowledged", true, true, false, true, 1, false, NONE_ON_PEER, false},
-    {"tasks may be running unknown to us", false, false, false, false, 0, false, NONE_ON_PEER, false},
+    {"tasks may be running unknown to this member", false, false, false, false, 0, false, NONE_ON_PEER, false},
     {"a task runs on the peer's machine", false, false, false, true, 1, false, ON_PEER, false},
     {"a task runs on the peer's unreconciled machine", false, false, false, true, 0, false, ON_PEER_UNRECONCILED,
      false},
@@ -49,7 +49,7 @@
     job->slices.resolved = row->resolved ? 1 : 0;
     if (!row->room_here || row->running) fixture_run_task(cluster, machine, job, 0, 2);
     if (!row->running && !row->room_here) {
-      /* Our machine is full with tasks of the other job instead. */
+      /* This member's machine is full with tasks of the other job instead. */
       fc_placement_remove(fc_machine_find_placement(machine, job->spec.id, 0, 2));
       fixture_run_task(cluster, machine, full, 9, 3);
       full->spec.gpus = 2;
@@ -73,7 +73,8 @@
   }
 }
 
-/* Our machine is full, one of the peer's is free, and a job of a team with a limit is pending at the peer. */
+/* This member's machine is full, one of the peer's is free, and a job of a team with a limit is pending at the
+ * peer. */
 static void room_not_claimed_by_jobs_at_their_limit(void **state) {
   (void)state;
   static const struct {
@@ -97,16 +98,16 @@
     fc_job *limited = fixture_job(cluster, "job-000002", "service", "prod", "blue", 1, 4, "");
     fixture_run_task(cluster, used_machine, limited, 0, 1);
     limited->spec.gpus = rows[i].used_gpus;
-    fc_job *theirs = fixture_job(cluster, "job-000003", "sweep", "high", "blue", 8, 1, "");
-    theirs->record.handed_to[0] = g_strdup("paddock-1");
-    fc_job *ours = fixture_job(cluster, "job-000004", "sweep", "standard", "red", 2, 1, "");
-    ours->record.handed_to[0] = g_strdup("paddock-0");
+    fc_job *peer_job = fixture_job(cluster, "job-000003", "sweep", "high", "blue", 8, 1, "");
+    peer_job->record.handed_to[0] = g_strdup("paddock-1");
+    fc_job *own_job = fixture_job(cluster, "job-000004", "sweep", "standard", "red", 2, 1, "");
+    own_job->record.handed_to[0] = g_strdup("paddock-0");
     fixture_assign_slices(cluster);
-    ours->slices.resolved = 1;
+    own_job->slices.resolved = 1;
     fc_peer_progress progress = {.available = {true, true}};
     GArray *plan = fc_handovers_plan(cluster, &progress, 90);
     check_row(rows[i].name, plan->len == rows[i].expect);
-    if (plan->len) check_row(rows[i].name, g_array_index(plan, fc_handover, 0).job == ours);
+    if (plan->len) check_row(rows[i].name, g_array_index(plan, fc_handover, 0).job == own_job);
     g_array_free(plan, TRUE);
     fc_cluster_free(cluster);
   }
--- a/tests/test_leader_lease.c
+++ b/tests/test_leader_lease.c
@@ -20,7 +20,12 @@
       {"all grants extend it", 100, 104, {104, 103}, {200, 200}, 103 + 7 * drift_factor},
       {"not past the staleness bound", 114, 100, {118, 118}, {200, 200}, 100 + 19 * drift_factor},
       {"no peer has learned of a cancellation", 114, 100, {118, 118}, {99, 100}, 118 + 7 * drift_factor},
-      {"a peer may have learned of one since our last read", 114, 100, {118, 118}, {99, 101}, 100 + 19 * drift_factor},
+      {"a peer may have learned of one since this member's last read",
+       114,
+       100,
+       {118, 118},
+       {99, 101},
+       100 + 19 * drift_factor},
   };
   fc_term term = fixture_term(3);
   const int peer_of[] = {-1, 0, 1};
@@ -66,11 +71,11 @@
   (void)state;
   fc_leader_lease lease;
   fc_leader_lease_init(&lease, 7, 14, 34, 2, 1);
-  fc_term term = fixture_term(1); /* the joining member is not in the term that we know */
+  fc_term term = fixture_term(1); /* the joining member is not in the term that this one knows */
   const int peer_of[] = {-1};
   fc_leader_lease_read_fresh(&lease, 100); /* read just before the other joined at 100 */
   double stops = fc_leader_lease_until(&lease, &term, peer_of, 0);
-  /* Our clock may be slow, that of the joining member fast. */
+  /* This member's clock may be slow, that of the joining member fast. */
   assert_true(100 + (stops - 100) * (1 + FC_CLOCK_DRIFT / 2) <
               100 + fc_leader_lease_exclusion_wait_s(&lease) * (1 - FC_CLOCK_DRIFT / 2));
 }
--- a/tests/test_machine_transfer.c
+++ b/tests/test_machine_transfer.c
@@ -3,21 +3,21 @@
 
 #include "scheduler/machine_transfer.h"
 
-/* Two members, of which this one is the first, and two machines: the first is ours, the second ours or the peer's. A
- * gang that needs both machines belongs to either member. */
+/* Two members, of which this one is the first, and two machines: the first is this member's, the second this member's
+ * or the peer's. A gang that needs both machines belongs to either member. */
 static void transfers_to_a_pending_gang(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    bool gang_ours, second_ours;
-    const char *kind, *priority; /* of the task that runs on our machine; NULL: none */
+    bool own_gang, own_second;
+    const char *kind, *priority; /* of the task that runs on the first machine; NULL: none */
     unsigned transfers;
     bool preempt;
   } rows[] = {
-      {"ours is idle, the gang is the peer's", false, false, NULL, NULL, 1, false},
+      {"this member's machine is idle, the gang is the peer's", false, false, NULL, NULL, 1, false},
       {"the idle machine is the peer's to transfer", true, false, NULL, NULL, 0, false},
-      {"both machines and the gang are ours", true, true, NULL, NULL, 0, false},
-      {"both machines are ours, the gang is not", false, true, NULL, NULL, 2, false},
+      {"both machines and the gang are this member's", true, true, NULL, NULL, 0, false},
+      {"both machines are this member's, the gang is the peer's", false, true, NULL, NULL, 2, false},
       {"an array of lower priority is preempted", false, false, "sweep", "standard", 1, true},
       {"an array of the same priority is not preempted", false, false, "sweep", "high", 0, false},
       {"a service is not preempted", false, false, "service", "prod", 0, false},
@@ -30,13 +30,13 @@
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_machine *second = fixture_machine(cluster, "vm-2", "a", false);
     machine->worker.heard_at = second->worker.heard_at = 90;
-    if (!rows[i].second_ours) second->owner = 1;
+    if (!rows[i].own_second) second->owner = 1;
     if (rows[i].kind) {
       fc_job *running = fixture_job(cluster, "job-000001", rows[i].kind, rows[i].priority, "red", 1, 1, "");
       fixture_run_task(cluster, machine, running, 0, 1);
     }
     fc_job *gang = fixture_job(cluster, "job-000002", "gang", "high", "red", 2, 4, "\"samePlace\":true");
-    gang->record.handed_to[0] = g_strdup(rows[i].gang_ours ? "paddock-0" : "paddock-1");
+    gang->record.handed_to[0] = g_strdup(rows[i].own_gang ? "paddock-0" : "paddock-1");
     fc_cluster_assign_slices(cluster, gang);
     fc_peer_progress progress = {.available = {true, true}};
     GArray *transfers = fc_machine_transfers_plan(cluster, &progress, 90);
--- a/tests/test_reconciliation_progress.c
+++ b/tests/test_reconciliation_progress.c
@@ -11,7 +11,7 @@
   static const struct {
     const char *name;
     uint64_t number;
-    bool continuous, recorded_ours, reconciled, resolved;
+    bool continuous, owner_recorded, reconciled, resolved;
   } rows[] = {
       {"a member of both terms", 2, true, true, true, true},
       {"a new incarnation", 2, false, true, false, false},
@@ -23,7 +23,7 @@
     fc_cluster *cluster = fixture_cluster(&settings);
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 1, 1, "");
-    if (!rows[i].recorded_ours) g_strlcpy(machine->record.owner, "paddock-9", sizeof machine->record.owner);
+    if (!rows[i].owner_recorded) g_strlcpy(machine->record.owner, "paddock-9", sizeof machine->record.owner);
     fc_term next = cluster->membership.term;
     next.number = rows[i].number;
     fc_cluster_apply_term(cluster, &next, 9, rows[i].continuous, 1);
@@ -50,7 +50,7 @@
       {"reconciled", true, 1, true},
       {"not reconciled", true, 0, false},
       {"reconciled in another term", true, 7, false},
-      {"its address not recorded: nothing was ever started on it", false, 0, true},
+      {"its endpoint is not recorded: nothing was ever started on it", false, 0, true},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
@@ -70,7 +70,7 @@
   uint64_t accepted, names_since; /* terms; the current one is 10 */
   unsigned handed_over;
   bool other_owner, resolved;
-  uint64_t transferred_in; /* the term of the first slice's last handover */
+  uint64_t handed_over_in; /* the term of the first slice's last handover */
   unsigned machine_owners; /* one bit for each member: its machines may hold tasks of the slice since that handover */
 } resolution_row;
 
@@ -83,8 +83,8 @@
     {"the slice has been handed over", true, false, 5, 5, 1, false, false, 0, 0},
     {"another slice has been handed over", true, false, 5, 5, 2, false, true, 0, 0},
     {"it belongs to another shard", true, false, 5, 5, 0, true, false, 0, 0},
-    {"handed over to us, with no task elsewhere", true, false, 5, 5, 1, false, true, 7, 1},
-    {"handed over to us, with tasks on the peer's machines", true, false, 5, 5, 1, false, false, 7, 3},
+    {"handed over to this member, with no task elsewhere", true, false, 5, 5, 1, false, true, 7, 1},
+    {"handed over to this member, with tasks on the peer's machines", true, false, 5, 5, 1, false, false, 7, 3},
     {"the peer's are reconciled, and its tasks are on this member's too", false, true, 5, 5, 1, false, false, 7, 3},
     {"the peer's are reconciled, and its tasks are on those alone", false, true, 5, 5, 1, false, true, 7, 2},
     {"handed over since the member names changed", true, false, 3, 6, 1, false, true, 6, 1},
@@ -110,7 +110,7 @@
   fc_job_spec_clear(&record.spec);
 }
 
-/* Slices that were always in this shard, or were transferred to it with known tasks, are resolved
+/* Slices that were always in this shard, or were handed over to it with known tasks, are resolved
  * as soon as the machines that may hold their tasks are reconciled. */
 static void slices_resolved_before_all_machines_are_reconciled(void **state) {
   (void)state;
@@ -123,7 +123,7 @@
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     job->record.origin = (fc_job_origin){.term = row->accepted,
                                          .handed_over = row->handed_over,
-                                         .last_handover = {{row->transferred_in, row->machine_owners}}};
+                                         .last_handover = {{row->handed_over_in, row->machine_owners}}};
     job->record.handed_to[0] = g_strdup(row->other_owner ? "paddock-1" : "paddock-0");
     g_strlcpy(peer_machine->record.owner, "paddock-1", sizeof peer_machine->record.owner);
     fc_term term = {
@@ -139,7 +139,7 @@
   }
 }
 
-/* Applies the job's record with its slice transferred to `to`. */
+/* Applies the job's record with its slice handed over to `to`. */
 static void apply_handover(fc_cluster *cluster, const fc_job *job, const char *to, unsigned machine_owners,
                            bool partly_known) {
   fc_job_record record = {.phase = FC_PHASE_ACCEPTED,
@@ -166,13 +166,13 @@
     bool reconciled;          /* all machines are reconciled before */
     bool resolved;
   } rows[] = {
-      {"to us, fully known", "paddock-0", NULL, false, false, true},
-      {"to us, partly known", "paddock-0", NULL, true, false, false},
-      {"to us, partly known, all machines reconciled", "paddock-0", NULL, true, true, true},
+      {"to this member, fully known", "paddock-0", NULL, false, false, true},
+      {"to this member, partly known", "paddock-0", NULL, true, false, false},
+      {"to this member, partly known, all machines reconciled", "paddock-0", NULL, true, true, true},
       {"between others", "paddock-1", NULL, false, false, false},
-      {"between others, then to us, fully known", "paddock-1", "paddock-0", false, false, true},
-      {"between others, then to us, partly known", "paddock-1", "paddock-0", true, false, false},
-      {"to us, and then to another", "paddock-0", "paddock-1", false, false, false},
+      {"between others, then to this member, fully known", "paddock-1", "paddock-0", false, false, true},
+      {"between others, then to this member, partly known", "paddock-1", "paddock-0", true, false, false},
+      {"to this member, and then to another", "paddock-0", "paddock-1", false, false, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     fc_settings settings = fixture_settings();
