--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -60,9 +60,9 @@
     const fc_machine *machine = placement->machine;
     if (placement->index >= job->spec.tasks || fc_job_slice_of(job, placement->index) != slice) continue;
     if (job->spec.kind == FC_JOB_GANG) return KNOWLEDGE_INCOMPLETE;
-    /* This holds for this member's own machines too: the peer disregards its view of a machine that this term's
-     * views show as not reconciled, even if it acknowledged the tasks in an earlier term. Without this check, a slice
-     * was handed over and its tasks were started a second time (fault test with meetings, seed 566). */
+    /* This holds for this member's own machines too: the peer disregards the tasks that a view shows on a machine not
+     * reconciled in this term, even if it acknowledged them in an earlier term. Without this check, a slice was handed
+     * over and its tasks were started a second time (fault test with meetings, seed 566). */
     if (!fc_machine_reconciled(cluster, machine)) return KNOWLEDGE_INCOMPLETE;
     if (fc_machine_owned_by_self(cluster, machine)) {
       if (peers->acked_view[peer] < placement->first_view || peers->acked_revision[peer] < machine->record_version)
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -62,8 +62,8 @@
   if (job->spec.kind == FC_JOB_GANG || !fc_job_placeable(round->cluster, job, round->now) ||
       job->slices.handover_pending)
     return false;
-  /* No room is made for a job that may not be placed: its victims were placed there again and preempted again, twice
-   * a second (scene preempted_for_nothing). */
+  /* No room is made for a job that may not be placed: when it was, the victims were placed there again and preempted
+   * again, twice a second (scene preempted_for_nothing). */
   if (fc_gang_order_holds_back(&round->gang_order, job)) return false;
   /* Free room in another shard is cheaper than preemption; allow time for a handover to find it. */
   if (round->now < job->queue.entered_at + settings->operator_settings.handover_wait_s +
