--- a/tests/test_dependencies.c
+++ b/tests/test_dependencies.c
@@ -331,7 +331,7 @@
   bool in_order;
 } order_row;
 
-/* Jobs of equal priority are ordered by their latest start. */
+/* Jobs are ordered by priority, then by their latest start, or without a deadline by when they entered the queue. */
 static void queue_order_of_two_jobs(void **state) {
   (void)state;
   static const order_row rows[] = {
