--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -60,9 +60,9 @@
     const fc_machine *machine = placement->machine;
     if (placement->index >= job->spec.tasks || fc_job_slice_of(job, placement->index) != slice) continue;
     if (job->spec.kind == FC_JOB_GANG) return KNOWLEDGE_INCOMPLETE;
-    /* This holds for our own machines too: the peer disregards our view of a machine that this term's views show
-     * as not reconciled, even if it acknowledged the tasks in an earlier term. A slice was handed over and its
-     * tasks were started a second time (fault test with meetings, seed 566). */
+    /* This holds for this member's own machines too: the peer disregards the tasks that a view shows on a machine not
+     * reconciled in this term, even if it acknowledged them in an earlier term. Without this check, a slice was handed
+     * over and its tasks were started a second time (fault test with meetings, seed 566). */
     if (!fc_machine_reconciled(cluster, machine)) return KNOWLEDGE_INCOMPLETE;
     if (fc_machine_owned_by_self(cluster, machine)) {
       if (peers->acked_view[peer] < placement->first_view || peers->acked_revision[peer] < machine->record_version)
@@ -197,7 +197,7 @@
   fc_free_capacity_sort(capacity);
   const fc_shard_room room = {.cluster = cluster, .capacity = capacity};
   GPtrArray *jobs = pending_jobs(cluster);
-  const fc_job_spec least = fc_least_resources_of(jobs);
+  const fc_job_spec least = fc_minimum_request_of(jobs);
   GArray *queue = keep_fitting(cluster, capacity, &least) ? pack_own_queues(&room, jobs) : NULL;
   for (guint i = 0; queue && i < queue->len && keep_fitting(cluster, capacity, &least); i++) {
     const queued_job *queued = &g_array_index(queue, queued_job, i);
