--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -10,7 +10,7 @@
   fc_leader_lease lease;
   uint64_t incarnation;
   bool term_write_pending;
-  double entered_at;
+  double joined_at;
   double term_since;
   double peer_left_at;
   int peer_of[FC_MEMBERS_MAX]; /* index of a member of the current term among the peers; -1: none */
@@ -66,12 +66,12 @@
   leadership->incarnation = 0;
 }
 
-void fc_leadership_entered(fc_leadership *leadership) {
-  leadership->entered_at = fc_now();
+void fc_leadership_joined(fc_leadership *leadership) {
+  leadership->joined_at = fc_now();
 }
 
 bool fc_leadership_may_exclude(const fc_leadership *leadership) {
-  return fc_now() >= leadership->entered_at + fc_leader_lease_exclusion_wait_s(&leadership->lease);
+  return fc_now() >= leadership->joined_at + fc_leader_lease_exclusion_wait_s(&leadership->lease);
 }
 
 bool fc_leadership_term_write_pending(const fc_leadership *leadership) {
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -37,7 +37,7 @@
 
 /* Records that this member has just joined a term. For some time afterwards it must not exclude
  * other members (fc_leader_lease_exclusion_wait_s()). */
-void fc_leadership_entered(fc_leadership *leadership);
+void fc_leadership_joined(fc_leadership *leadership);
 /* Returns whether that time has passed. */
 bool fc_leadership_may_exclude(const fc_leadership *leadership);
 /* Whether a transaction of this process that writes the term may still be applied. */
--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -8,7 +8,7 @@
 
 /* Upper bounds of the random delay before a retry. */
 #define LEASE_RETRY_S 0.3
-#define ENTRY_RETRY_S 0.1
+#define JOIN_RETRY_S 0.1
 
 /* Shares of the member lease. */
 #define TICK_LEASES 0.04
@@ -103,7 +103,7 @@
 
 /* Joins by committing a new term, also when the current one already lists this member: commands of
  * an earlier incarnation may still be in flight with the old fencing token. */
-static bool enter_term(fc_membership_routine *routine) {
+static bool join_term(fc_membership_routine *routine) {
   const fc_membership *membership = &routine->cluster->membership;
   const char *name = routine->cluster->settings->name;
   fc_term next = membership->term;
@@ -120,7 +120,7 @@
   qsort(next.members, next.count, sizeof next.members[0], compare_names);
   (void)commit_term(routine, &next, NULL);
   if (!fc_leadership_in_term(routine->leadership)) return false;
-  fc_leadership_entered(routine->leadership);
+  fc_leadership_joined(routine->leadership);
   return true;
 }
 
@@ -243,10 +243,10 @@
       continue;
     }
     while (!fc_leadership_incarnation(leadership) && lease_valid(routine))
-      if (!assign_incarnation(routine)) pause_before_retry(ENTRY_RETRY_S);
+      if (!assign_incarnation(routine)) pause_before_retry(JOIN_RETRY_S);
     if (!fc_leadership_incarnation(leadership)) continue;
     while (!fc_leadership_in_term(leadership) && lease_valid(routine))
-      if (!enter_term(routine)) pause_before_retry(ENTRY_RETRY_S);
+      if (!join_term(routine)) pause_before_retry(JOIN_RETRY_S);
     if (fc_leadership_in_term(leadership)) serve_as_member(routine);
   }
 }
