--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -120,7 +120,7 @@
   if (!reconciled && (now < term_since + settings->heartbeat_s * RECONCILIATION_HEARTBEATS ||
                       !fc_peers_all_renewals_known(shares->peers, term_since)))
     return false;
-  fc_quota_tally_take(cluster, !reconciled, shares->tally);
+  fc_quota_tally_compute(cluster, !reconciled, shares->tally);
   return fc_quota_plan_divide(cluster, shares->tally, shares->next) || reconciled;
 }
 
@@ -148,7 +148,7 @@
 /* Plans a change of this member's shares. Returns false if nothing is to be written. */
 static bool plan_change(fc_quota_shares *shares) {
   *shares->next = shares->cluster->quota.record;
-  fc_quota_tally_take(shares->cluster, false, shares->tally);
+  fc_quota_tally_compute(shares->cluster, false, shares->tally);
   fc_quota_room_find_unplaceable(shares->cluster, shares->next, shares->tally, fc_now());
   log_demand(shares);
   /* While there are caps the record is written even if unchanged: otherwise a write of unknown outcome would leave them
--- a/src/controller/quota_tally.c
+++ b/src/controller/quota_tally.c
@@ -69,7 +69,7 @@
   g_array_free(pending, TRUE);
 }
 
-void fc_quota_tally_take(const fc_cluster *cluster, bool pessimistic, fc_quota_tally *tally) {
+void fc_quota_tally_compute(const fc_cluster *cluster, bool pessimistic, fc_quota_tally *tally) {
   memset(tally, 0, sizeof *tally);
   fc_gang_order order;
   fc_gang_order_init(cluster, &order, fc_now());
--- a/src/controller/quota_tally.h
+++ b/src/controller/quota_tally.h
@@ -17,6 +17,6 @@
 
 /* Sets *tally to the sums over the cluster state. `pessimistic`: an unreconciled machine counts as fully used by every
  * team; otherwise only its known tasks count. */
-void fc_quota_tally_take(const fc_cluster *cluster, bool pessimistic, fc_quota_tally *tally);
+void fc_quota_tally_compute(const fc_cluster *cluster, bool pessimistic, fc_quota_tally *tally);
 
 #endif
--- a/tests/test_quota_room.c
+++ b/tests/test_quota_room.c
@@ -46,7 +46,7 @@
   fixture_assign_slices(cluster);
   const fc_quota_record quota = shares_of(cluster, row->shares);
   fc_quota_tally *tally = g_new0(fc_quota_tally, 1);
-  fc_quota_tally_take(cluster, false, tally);
+  fc_quota_tally_compute(cluster, false, tally);
   fc_quota_room_find_unplaceable(cluster, &quota, tally, NOW);
   double gpus = tally->unplaceable_gpus[0][1];
   g_free(tally);
