--- a/src/controller/worker_calls.c
+++ b/src/controller/worker_calls.c
@@ -196,7 +196,7 @@
  * such calls would use up all file descriptors, including those for the key-value store. Calls that fence or probe may
  * use half of the limit, so that starts and stops always find a socket; a machine without one is called in a later
  * round. */
-bool fc_worker_calls_available(const fc_worker_calls *calls, const fc_machine *machine) {
+bool fc_worker_calls_socket_available(const fc_worker_calls *calls, const fc_machine *machine) {
   unsigned max = MAX(calls->cluster->settings->fd_limit / FDS_PER_CALL, CALLS_MIN);
   bool commands_only = fc_machine_reconciled(calls->cluster, machine) && !machine->probe.wanted;
   return calls->in_flight < (commands_only ? max : max / FENCES_AND_PROBES_DIVISOR);
@@ -204,7 +204,7 @@
 
 void fc_worker_calls_send(fc_worker_calls *calls, fc_machine *machine) {
   if (machine->command_in_flight || !fc_machine_owned_by_self(calls->cluster, machine) ||
-      !machine->record.endpoint[0] || !fc_worker_calls_available(calls, machine))
+      !machine->record.endpoint[0] || !fc_worker_calls_socket_available(calls, machine))
     return;
   call_routine *routine = g_new0(call_routine, 1);
   routine->calls = calls;
--- a/src/controller/worker_calls.h
+++ b/src/controller/worker_calls.h
@@ -26,7 +26,7 @@
                                   double sent_at);
 
 /* Whether there is a socket for a call to the machine. */
-bool fc_worker_calls_available(const fc_worker_calls *calls, const fc_machine *machine);
+bool fc_worker_calls_socket_available(const fc_worker_calls *calls, const fc_machine *machine);
 /* Number of calls in flight, including those of other modules. */
 unsigned fc_worker_calls_in_flight(const fc_worker_calls *calls);
 /* Count a call that another module makes to a worker: to be called before and after it. */
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -26,7 +26,7 @@
     machine->probe.wanted = rows[i].probe;
     fixture->settings.fd_limit = rows[i].limit;
     for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(fixture->calls);
-    check_row(rows[i].name, fc_worker_calls_available(fixture->calls, machine) == rows[i].available);
+    check_row(rows[i].name, fc_worker_calls_socket_available(fixture->calls, machine) == rows[i].available);
     worker_fixture_free(fixture);
   }
 }
