--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -79,9 +79,9 @@
 }
 
 /* Checks all dependencies, and adds the ids of those that are not done yet to `open`. */
-static fc_dependency_verdict check_all(fc_dependency_resolver *resolver, char *const *ids, double deadline,
-                                       GPtrArray *open) {
-  fc_dependency_verdict verdict = FC_DEPENDENCIES_ADMITTED;
+static fc_dependency_admission check_all(fc_dependency_resolver *resolver, char *const *ids, double deadline,
+                                         GPtrArray *open) {
+  fc_dependency_admission verdict = FC_DEPENDENCIES_ADMITTED;
   bool fresh = false;
   for (char *const *id = ids; *id; id++) {
     switch (look_up_status(resolver, *id, deadline, &fresh)) {
@@ -102,12 +102,12 @@
   return verdict;
 }
 
-fc_dependency_verdict fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids, double deadline,
-                                                   char ***open) {
+fc_dependency_admission fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids,
+                                                     double deadline, char ***open) {
   *open = NULL;
   if (!ids) return FC_DEPENDENCIES_ADMITTED;
   GPtrArray *open_ids = g_ptr_array_new_with_free_func(g_free);
-  fc_dependency_verdict verdict = check_all(resolver, ids, deadline, open_ids);
+  fc_dependency_admission verdict = check_all(resolver, ids, deadline, open_ids);
   if (verdict == FC_DEPENDENCIES_ADMITTED && open_ids->len > 0) {
     g_ptr_array_add(open_ids, NULL);
     *open = (char **)g_ptr_array_steal(open_ids, NULL);
--- a/src/controller/dependency_resolver.h
+++ b/src/controller/dependency_resolver.h
@@ -11,7 +11,7 @@
   FC_DEPENDENCIES_CANCELLED,   /* one of them is cancelled, so the job is stored as cancelled */
   FC_DEPENDENCIES_REFUSED,     /* one was never accepted, or is a service */
   FC_DEPENDENCIES_UNAVAILABLE, /* can't be determined now */
-} fc_dependency_verdict;
+} fc_dependency_admission;
 
 typedef struct fc_dependency_resolver fc_dependency_resolver;
 
@@ -26,8 +26,8 @@
 /* Checks the jobs that a submission depends on, a NULL-terminated list of ids or NULL. *open is set to those that are
  * not done yet, which the caller frees with g_strfreev(); to NULL if there are none, or the job is not admitted. May
  * suspend the calling routine, until the deadline (steady time) at the latest. */
-fc_dependency_verdict fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids, double deadline,
-                                                   char ***open);
+fc_dependency_admission fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids,
+                                                     double deadline, char ***open);
 
 /* Looks up the dependencies of a job whose state is unknown. Returns false if it is still unknown whether the job is
  * cancelled because of one. May suspend the calling routine; the job may have left the cluster state meanwhile. */
