--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -23,7 +23,7 @@
 /* A submission that is being checked and stored. */
 typedef struct submission {
   const fc_job_spec *spec;
-  double deadline;          /* steady time */
+  double deadline;          /* monotonic time */
   char **open;              /* dependencies that are not done yet, NULL-terminated; NULL: none */
   fc_job_phase phase;       /* initial phase of the job */
   json_t *record;           /* encoded job record */
--- a/src/controller/admission.h
+++ b/src/controller/admission.h
@@ -8,7 +8,7 @@
 
 typedef struct fc_admission fc_admission;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_admission *fc_admission_new(fc_cluster *cluster, fc_group_commit *commit, fc_peers *peers, fc_job_lookup *lookup,
                                fc_dependency_resolver *resolver, fc_description_store *descriptions);
 
--- a/src/controller/cancellation_deadline.c
+++ b/src/controller/cancellation_deadline.c
@@ -3,12 +3,12 @@
 #include "bookkeeping/cluster_machines.h"
 #include "transport/routine.h"
 
-/* The time before the deadline that is reserved for the return, the longer of both: calls may fail, and
- * the cloud limits their rate. */
+/* The time before the deadline that is reserved for the return, the longer of the two: calls may fail, and the cloud
+ * limits their rate. */
 #define RESERVE_LEASES 0.5
 #define RESERVE_HEARTBEATS 3
 
-/* The same while the key-value store is unreachable, the sum of both. */
+/* The same while the key-value store is unreachable, the sum of the two. */
 #define OUTAGE_RESERVE_LEASES 1
 #define OUTAGE_RESERVE_HEARTBEATS 1.5
 
@@ -39,10 +39,10 @@
   return placement->start.sent && placement->status.state != FC_TASK_EXITED;
 }
 
-/* The reserved time in seconds. While the key-value store is unreachable, our leadership may end as soon
- * as another member fails, and with it the right to return machines, whereas worker leases that we
- * have renewed last for one more lease. With the usual reserve a delayed start was executed just
- * before the deadline, and its task ran past it (fault test, upgrades_and_meetings 20169). */
+/* The reserved time in seconds. While the key-value store is unreachable, this member's leadership may end as soon as
+ * another member fails, and with it the right to return machines, whereas worker leases renewed by it run for one more
+ * lease duration. With the usual reserve a delayed start was executed just before the deadline, and its task ran past
+ * it (fault test, upgrades_and_meetings 20169). */
 static double reserve_s(const fc_cluster *cluster, double now) {
   const fc_settings *settings = cluster->settings;
   double reserve_s = MAX(settings->lease_s * RESERVE_LEASES, settings->heartbeat_s * RESERVE_HEARTBEATS);
@@ -77,9 +77,8 @@
   return ids;
 }
 
-/* Other tasks on the machines are lost, and a suspected outage of our own connection is ignored: the
- * deadline takes precedence. The records are left to the next run of the disposal, as the key-value
- * store may be unreachable. */
+/* Other tasks on the machines are lost, and a suspected outage of this member's own connection is ignored: the deadline
+ * takes precedence. The records are left to the next run of the disposal, as the key-value store may be unreachable. */
 static void return_overdue(const fc_cancellation_deadline *deadline) {
   GPtrArray *ids = begin_returns(deadline->cluster);
   double timeout_s = deadline->cluster->settings->heartbeat_s * CLOUD_TIMEOUT_HEARTBEATS;
--- a/src/controller/capacity_refusals.c
+++ b/src/controller/capacity_refusals.c
@@ -5,7 +5,7 @@
 
 struct fc_capacity_refusals {
   const fc_cluster *cluster;
-  GHashTable *until; /* "type zone spot" -> double: end of the refusal, steady time */
+  GHashTable *until; /* "type zone spot" -> double: end of the refusal, monotonic time */
 };
 
 fc_capacity_refusals *fc_capacity_refusals_new(const fc_cluster *cluster) {
--- a/src/controller/capacity_refusals.h
+++ b/src/controller/capacity_refusals.h
@@ -9,10 +9,11 @@
 
 typedef struct fc_capacity_refusals fc_capacity_refusals;
 
-/* The cluster state has to outlive it; it lives as long as the process. */
+/* `cluster` must outlive the result, which is never freed. */
 fc_capacity_refusals *fc_capacity_refusals_new(const fc_cluster *cluster);
 
-/* Records that the kind was refused, valid until the given steady time. `type`: name of the machine type. */
+/* Records that the kind was refused; the refusal is valid until the monotonic time `until`. `type`: name of the machine
+ * type. */
 void fc_capacity_refusals_note(fc_capacity_refusals *refusals, const char *type, const char *zone, bool spot,
                                double until);
 /* Whether a refusal of the kind is still valid. An fc_capacity_refused_fn: `type` is an index into the machine types,
--- a/src/controller/cloud_access.h
+++ b/src/controller/cloud_access.h
@@ -11,7 +11,7 @@
 
 typedef struct fc_cloud_access fc_cloud_access;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_cloud_access *fc_cloud_access_new(const fc_cluster *cluster, const fc_leadership *leadership);
 
 /* The client; owned by `access`. */
--- a/src/controller/dependency_resolver.c
+++ b/src/controller/dependency_resolver.c
@@ -81,7 +81,7 @@
 /* Checks all dependencies, and adds the ids of those that are not done yet to `open`. */
 static fc_dependency_admission check_all(fc_dependency_resolver *resolver, char *const *ids, double deadline,
                                          GPtrArray *open) {
-  fc_dependency_admission verdict = FC_DEPENDENCIES_ADMITTED;
+  fc_dependency_admission admission = FC_DEPENDENCIES_ADMITTED;
   bool fresh = false;
   for (char *const *id = ids; *id; id++) {
     switch (look_up_status(resolver, *id, deadline, &fresh)) {
@@ -91,7 +91,7 @@
       case DEPENDENCY_DONE:
         break;
       case DEPENDENCY_CANCELLED:
-        verdict = FC_DEPENDENCIES_CANCELLED;
+        admission = FC_DEPENDENCIES_CANCELLED;
         break;
       case DEPENDENCY_REFUSED:
         return FC_DEPENDENCIES_REFUSED;
@@ -99,7 +99,7 @@
         return FC_DEPENDENCIES_UNAVAILABLE;
     }
   }
-  return verdict;
+  return admission;
 }
 
 fc_dependency_admission fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids,
@@ -107,13 +107,13 @@
   *open = NULL;
   if (!ids) return FC_DEPENDENCIES_ADMITTED;
   GPtrArray *open_ids = g_ptr_array_new_with_free_func(g_free);
-  fc_dependency_admission verdict = check_all(resolver, ids, deadline, open_ids);
-  if (verdict == FC_DEPENDENCIES_ADMITTED && open_ids->len > 0) {
+  fc_dependency_admission admission = check_all(resolver, ids, deadline, open_ids);
+  if (admission == FC_DEPENDENCIES_ADMITTED && open_ids->len > 0) {
     g_ptr_array_add(open_ids, NULL);
     *open = (char **)g_ptr_array_steal(open_ids, NULL);
   }
   g_ptr_array_free(open_ids, TRUE);
-  return verdict;
+  return admission;
 }
 
 /* ---- resolving ---- */
--- a/src/controller/dependency_resolver.h
+++ b/src/controller/dependency_resolver.h
@@ -15,17 +15,17 @@
 
 typedef struct fc_dependency_resolver fc_dependency_resolver;
 
-/* The arguments have to outlive it, and it lives as long as its routine. */
+/* The arguments must outlive the result, which is never freed. */
 fc_dependency_resolver *fc_dependency_resolver_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                                    const fc_leadership *leadership, fc_archive_lookup *archive,
                                                    fc_wakeups *wakeups, fc_metrics *metrics);
-/* Starts its routine, which looks up dependencies that are not in the cluster state, and records cancellations. Returns
+/* Starts the routine, which looks up dependencies that are not in the cluster state, and records cancellations. Returns
  * false when out of memory. */
 bool fc_dependency_resolver_start(fc_dependency_resolver *resolver);
 
 /* Checks the jobs that a submission depends on, a NULL-terminated list of ids or NULL. *open is set to those that are
  * not done yet, which the caller frees with g_strfreev(); to NULL if there are none, or the job is not admitted. May
- * suspend the calling routine, until the deadline (steady time) at the latest. */
+ * suspend the calling routine, until the deadline (monotonic time) at the latest. */
 fc_dependency_admission fc_dependency_resolver_admit(fc_dependency_resolver *resolver, char *const *ids,
                                                      double deadline, char ***open);
 
--- a/src/controller/description_cleanup.h
+++ b/src/controller/description_cleanup.h
@@ -8,10 +8,10 @@
 
 typedef struct fc_description_cleanup fc_description_cleanup;
 
-/* The arguments have to outlive it, and it lives as long as its routine. */
+/* The arguments must outlive the result, which is never freed. */
 fc_description_cleanup *fc_description_cleanup_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                                    const fc_leadership *leadership, fc_metrics *metrics);
-/* Starts its routine. Returns false when out of memory. */
+/* Starts the routine. Returns false when out of memory. */
 bool fc_description_cleanup_start(fc_description_cleanup *cleanup);
 
 #endif
--- a/src/controller/handover_execution.c
+++ b/src/controller/handover_execution.c
@@ -19,7 +19,7 @@
   fc_handover_execution *execution;
   char id[JOB_ID_BYTES];
   uint64_t version;                          /* of the job's record, on which the write is conditional */
-  uint64_t term_version, term_number;        /* of the present term; the write is conditional on the version too */
+  uint64_t term_version, term_number;        /* of the current term; the write is conditional on the version too */
   unsigned slices;                           /* one bit per slice */
   unsigned partly_known;                     /* one bit per slice, as in fc_handover */
   unsigned machine_owners[FC_SLICES_MAX];    /* as in fc_handover */
--- a/src/controller/handover_execution.h
+++ b/src/controller/handover_execution.h
@@ -8,7 +8,7 @@
 
 typedef struct fc_handover_execution fc_handover_execution;
 
-/* The arguments have to outlive it and its routines. */
+/* The arguments must outlive the result, which is never freed. */
 fc_handover_execution *fc_handover_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                                  fc_wakeups *wakeups, fc_metrics *metrics);
 
--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -8,12 +8,12 @@
 #include "protocol/worker_api.h"
 #include "transport/routine.h"
 
-#define ANSWER_RECENT_HEARTBEATS 2.0 /* an older answer says nothing about the connection now */
-#define OWNER_SILENT_HEARTBEATS 1.5  /* an owner that is silent for longer counts as unreachable */
-#define OWNER_RECONCILES_LEASES 0.6  /* time for a new owner to call the machine itself */
-#define OWNER_SUSPECTS_LEASES 3.0    /* time for an owner that may have lost the machine to reach it */
-#define UNANSWERED_HEARTBEATS 2.0    /* a worker that we have not answered for longer is answered here */
-#define REDIRECT_SPACING_LEASES 0.6  /* least time between two redirects of the same worker */
+#define RESPONSE_RECENT_HEARTBEATS 2.0 /* an older response says nothing about the connection now */
+#define OWNER_SILENT_HEARTBEATS 1.5    /* an owner that is silent for longer counts as unreachable */
+#define OWNER_RECONCILES_LEASES 0.6    /* time for a new owner to call the machine itself */
+#define OWNER_SUSPECTS_LEASES 3.0      /* time for an owner that may have lost the machine to reach it */
+#define UNANSWERED_HEARTBEATS 2.0      /* a worker that this member has not answered for longer is not redirected */
+#define REDIRECT_SPACING_LEASES 0.6    /* least time between two redirects of the same worker */
 #define ERROR_BYTES 200
 
 enum { STATUS_OK = 200, STATUS_BAD_REQUEST = 400, STATUS_MISDIRECTED = 421, STATUS_UNAVAILABLE = 503 };
@@ -72,19 +72,19 @@
   fc_error_answer(out->body, "not entitled now");
 }
 
-/* Updates `unidirectional_since` by whether the heartbeat shows that the worker has received our last
- * answer. A worker that gets no answer within FC_WORKER_REQUEST_TIMEOUT_S tries the next member, and
- * sends no request on a connection before it has read the last answer there. So a worker that
- * returns sooner than that, or on the same connection, has received it. The arrival of heartbeats
- * alone proves nothing, as the connection may be unidirectional. The time alone is not enough either:
- * where the heartbeat interval exceeds the timeout, every machine was probed between any two heartbeats. */
+/* Updates `unidirectional_since` by whether the heartbeat shows that the worker has received this member's last
+ * response. A worker that gets no response within FC_WORKER_REQUEST_TIMEOUT_S tries the next member, and sends no
+ * request on a connection before it has read the last response there. So a worker that returns sooner than that, or on
+ * the same connection, has received it. The arrival of heartbeats alone proves nothing, as the connection may be
+ * unidirectional. The time alone is not enough either: where the heartbeat interval exceeds the timeout, every machine
+ * was probed between any two heartbeats. */
 static void update_unidirectional(const fc_heartbeats *heartbeats, fc_machine *machine, uint64_t connection) {
   const fc_machine_lease *lease = &machine->lease;
-  double now = fc_now(), since_answer_s = now - lease->answered_at;
-  bool soon = since_answer_s < FC_WORKER_REQUEST_TIMEOUT_S;
+  double now = fc_now(), since_response_s = now - lease->answered_at;
+  bool soon = since_response_s < FC_WORKER_REQUEST_TIMEOUT_S;
   bool same_connection = connection && connection == lease->connection;
-  double max_s = heartbeats->cluster->settings->heartbeat_s * ANSWER_RECENT_HEARTBEATS;
-  if (lease->answered_at && (soon || same_connection) && since_answer_s < max_s) {
+  double max_s = heartbeats->cluster->settings->heartbeat_s * RESPONSE_RECENT_HEARTBEATS;
+  if (lease->answered_at && (soon || same_connection) && since_response_s < max_s) {
     machine->reachability.unidirectional_since = 0;
   } else if (!machine->reachability.unidirectional_since) {
     machine->reachability.unidirectional_since = now;
@@ -93,12 +93,11 @@
 
 /* ---- machines of other members ---- */
 
-/* Returns whether a worker with tasks is better answered here than redirected to its owner. An owner
- * that has not reconciled the machine yet, or has lost contact with it, keeps calling it, and informs
- * us when it succeeds. Until then another attempt at the owner only uses up the worker's lease, and
- * the time after which the owner considers the machine lost; with a third member gone, both ran out
- * (scene unreachable_machines_at_a_leader_change). If the owner's calls never succeed, the worker is
- * redirected in the end, as its heartbeats may get through. */
+/* Returns whether a worker with tasks is better answered here than redirected to its owner. An owner that has not
+ * reconciled the machine yet, or has lost contact with it, keeps calling it, and informs this member when it succeeds.
+ * Until then another attempt at the owner only uses up the worker's lease, and the time after which the owner considers
+ * the machine lost; with a third member gone, both ran out (scene unreachable_machines_at_a_leader_change). If the
+ * owner's calls never succeed, the worker is redirected in the end, as its heartbeats may get through. */
 static bool owner_out_of_touch(const fc_heartbeats *heartbeats, const fc_machine *machine, double now) {
   const fc_settings *settings = heartbeats->cluster->settings;
   const fc_machine_reachability *reach = &machine->reachability;
@@ -111,8 +110,8 @@
          now > machine->lease.answered_at + settings->heartbeat_s * UNANSWERED_HEARTBEATS;
 }
 
-/* Returns whether to redirect the worker to its owner: not while the owner is silent towards us, and
- * not shortly after an earlier redirect, from which the worker may just have returned. */
+/* Returns whether to redirect the worker to its owner: not while this member hears nothing from the owner, and not
+ * shortly after an earlier redirect, from which the worker may just have returned. */
 static bool should_redirect(const fc_heartbeats *heartbeats, const fc_machine *machine, const fc_heartbeat *heartbeat) {
   const fc_settings *settings = heartbeats->cluster->settings;
   double now = fc_now();
@@ -124,7 +123,7 @@
 
 static void redirect(const fc_heartbeats *heartbeats, fc_machine *machine, const received_heartbeat *received,
                      const response *out) {
-  /* A prompt heartbeat proves that our last answer arrived; a later one would prove nothing. */
+  /* A prompt heartbeat proves that the last response arrived; a later one proves nothing. */
   if (fc_heartbeat_order_is_newer(machine, &received->heartbeat) &&
       fc_now() < machine->lease.answered_at + FC_WORKER_REQUEST_TIMEOUT_S)
     update_unidirectional(heartbeats, machine, received->connection);
@@ -167,15 +166,15 @@
     redirect(heartbeats, machine, received, out);
     return true;
   }
-  /* A copy does not show that the worker is alive, and nobody waits for the answer. */
+  /* A copy does not show that the worker is alive, and nobody waits for the response. */
   if (!fc_heartbeat_order_is_newer(machine, &received->heartbeat)) return false;
   renew_for_owner(heartbeats, machine, received, out);
   return true;
 }
 
-/* ---- our machines ---- */
+/* ---- machines of this shard ---- */
 
-/* Has the worker asked directly which tasks it holds. */
+/* Probes the worker by a direct call for the tasks that it holds. */
 static void probe(const fc_heartbeats *heartbeats, fc_machine *machine) {
   machine->probe.wanted = true;
   fc_worker_calls_send(heartbeats->calls, machine);
@@ -184,8 +183,8 @@
 /* Applies the heartbeat of an owned machine. Returns false if it is to be refused. */
 static bool accept_heartbeat(const fc_heartbeats *heartbeats, fc_machine *machine, const received_heartbeat *received) {
   if (machine->agent.restarted && fc_machine_reconciled(heartbeats->cluster, machine)) {
-    /* A delayed heartbeat from before the restart would look newer than one sent after it, so only
-     * answers to direct calls show what the worker holds (fault test, seed 38). */
+    /* A delayed heartbeat from before the restart would look newer than one sent after it, so only responses to direct
+     * calls show what the worker holds (fault test, seed 38). */
     update_unidirectional(heartbeats, machine, received->connection);
     machine->lease.answered_at = fc_now();
     probe(heartbeats, machine);
@@ -197,13 +196,13 @@
     machine->lease.answered_at = fc_now();
     return true;
   }
-  /* The answer to a direct call has overtaken the heartbeat, or it is a delayed copy, or the worker was
+  /* The response to a direct call has overtaken the heartbeat, or the heartbeat is a delayed copy, or the worker was
    * restarted and counts from the beginning: probe it. */
   probe(heartbeats, machine);
   if (received->heartbeat.epoch != machine->agent.epoch) return false; /* from an incarnation that has ended */
-  /* Answered without commands: the answer to a copy reaches nobody, yet a start in it would count as
-   * sent. The lease runs from when the heartbeat was sent, which is before the last message that was
-   * received; so a copy does not extend it. */
+  /* Answered without commands: the response to a copy reaches nobody, yet a start in it would count as sent. The lease
+   * runs from when the heartbeat was sent, which is before the last message that was received; so a copy does not
+   * extend it. */
   machine->lease.answered_at = MAX(machine->lease.answered_at, machine->agent.heard_at);
   return true;
 }
@@ -253,7 +252,7 @@
                     !fc_leadership_held(heartbeats->leadership)))
     return NULL;
   machine = fc_cluster_find_machine(cluster, heartbeat->machine);
-  /* A fencing token above ours: there is a newer term that has not been read here yet. The worker would
+  /* A fencing token above the term known here: there is a newer term that has not been read here yet. The worker would
    * drop a 200 with the old token, and would stay with this member while its lease expires. */
   if (!machine || !machine->record_version || heartbeat->fencing_token > cluster->membership.term.number) return NULL;
   if (machine->record_write_pending) return NULL; /* another member may already own it */
--- a/src/controller/job_lookup.h
+++ b/src/controller/job_lookup.h
@@ -10,7 +10,7 @@
 
 typedef struct fc_job_lookup fc_job_lookup;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_job_lookup *fc_job_lookup_new(const fc_cluster *cluster, fc_kv_watch *watch, fc_dependency_resolver *resolver,
                                  fc_archive_lookup *archive);
 
@@ -20,7 +20,7 @@
 /* The job; NULL if it is not in the cluster state, or that has not been loaded yet. */
 const fc_job *fc_job_lookup_known(const fc_job_lookup *lookup, const char *id);
 /* Waits until the cluster state is current, and it is known whether the job is cancelled because of a dependency.
- * Returns false if that can't be established by the deadline (steady time), or at once while the key-value store is
+ * Returns false if that can't be established by the deadline (monotonic time), or at once while the key-value store is
  * unreachable. May suspend the calling routine. */
 bool fc_job_lookup_wait_current(fc_job_lookup *lookup, const char *id, double deadline);
 
--- a/src/controller/job_queries.h
+++ b/src/controller/job_queries.h
@@ -6,7 +6,7 @@
 
 typedef struct fc_job_queries fc_job_queries;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_job_queries *fc_job_queries_new(fc_cluster *cluster, fc_kv_watch *watch, fc_group_commit *commit,
                                    fc_cancellations *cancellations, fc_job_lookup *lookup);
 
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -19,18 +19,18 @@
 /* Returns whether this process may now answer workers, send them commands and give clients final
  * answers: it is a member of the current term and its leader lease has not expired. */
 bool fc_leadership_held(const fc_leadership *leadership);
-/* Returns whether the current term lists this member with its present incarnation. */
+/* Returns whether the current term lists this member with its current incarnation. */
 bool fc_leadership_in_term(const fc_leadership *leadership);
 
 /* The number of this incarnation; 0 before one is assigned and after the member lease is lost. */
 uint64_t fc_leadership_incarnation(const fc_leadership *leadership);
 void fc_leadership_set_incarnation(fc_leadership *leadership, uint64_t incarnation);
 
-/* The member's own lease in the key-value store: its duration in seconds, and the earliest steady
- * time at which it may expire. */
+/* The member's own lease in the key-value store: its duration in seconds, and the earliest monotonic time at which it
+ * may expire. */
 double fc_leadership_lease_s(const fc_leadership *leadership);
 double fc_leadership_lease_until(const fc_leadership *leadership);
-/* Records that a request sent at steady time `sent_at` opened or renewed the lease. */
+/* Records that a request sent at monotonic time `sent_at` opened or renewed the lease. */
 void fc_leadership_lease_renewed(fc_leadership *leadership, double sent_at);
 /* Records that the lease is lost; this also clears the incarnation. */
 void fc_leadership_lease_lost(fc_leadership *leadership);
@@ -44,21 +44,21 @@
 bool fc_leadership_term_write_pending(const fc_leadership *leadership);
 void fc_leadership_set_term_write_pending(fc_leadership *leadership, bool pending);
 
-/* Records that a read of the store, sent at steady time `sent_at`, proved the cluster state current. */
+/* Records that a read of the store, sent at monotonic time `sent_at`, proved the cluster state current. */
 void fc_leadership_read_fresh(fc_leadership *leadership, double sent_at);
-/* Records that a new term was applied to the cluster state at steady time `now`. `peer_left`: the
- * incarnation of another member is no longer part of the term. */
+/* Records that a new term was applied to the cluster state at monotonic time `now`. `peer_left`: the incarnation of
+ * another member is no longer part of the term. */
 void fc_leadership_term_applied(fc_leadership *leadership, double now, bool peer_left);
-/* Records that peer number `peer`, in reply to a message sent at steady time `sent_at`, has guaranteed
- * for `grant_s` seconds not to commit a term without this member. */
+/* Records that peer number `peer`, in reply to a message sent at monotonic time `sent_at`, has guaranteed for `grant_s`
+ * seconds not to commit a term without this member. */
 void fc_leadership_granted(fc_leadership *leadership, size_t peer, double sent_at, double grant_s);
-/* Records that peer number `peer`, asked at steady time `sent_at`, has learned of no cancellation
- * since `quiet_since`. */
+/* Records that peer number `peer`, in reply to a message sent at monotonic time `sent_at`, has learned of no
+ * cancellation since `quiet_since`. */
 void fc_leadership_no_cancellation(fc_leadership *leadership, size_t peer, double sent_at, double quiet_since);
 
-/* Steady time at which the current term was applied here. */
+/* Monotonic time at which the current term was applied here. */
 double fc_leadership_term_since(const fc_leadership *leadership);
-/* Steady time at which the incarnation of another member was last seen to leave the term; 0: never. */
+/* Monotonic time at which the incarnation of another member was last seen to leave the term; 0: never. */
 double fc_leadership_peer_left_at(const fc_leadership *leadership);
 /* Maps a member of the current term to its index among the peers of the settings; -1: this member,
  * or a controller that is not in the settings. */
--- a/src/controller/machine_disposal.c
+++ b/src/controller/machine_disposal.c
@@ -46,10 +46,9 @@
 
 /* ---- lost machines ---- */
 
-/* Returns whether the worker has just changed to another member after failing to reach us. Only its
- * next heartbeat there shows whether answers reach it. Without this check a machine full of work that
- * was cut off from its owner alone was returned within a second (scene
- * unreachable_machines_at_a_leader_change). */
+/* Returns whether the worker has just changed to another member after failing to reach this member. Only its next
+ * heartbeat there shows whether responses reach it. Without this check a machine full of work that was cut off from its
+ * owner alone was returned within a second (scene unreachable_machines_at_a_leader_change). */
 static bool just_changed_member(const fc_machine_disposal *disposal, const fc_machine *machine) {
   const fc_machine_reachability *reach = &machine->reachability;
   double redirection_s = disposal->cluster->settings->heartbeat_s * REDIRECTION_HEARTBEATS;
@@ -57,8 +56,8 @@
          fc_now() < reach->peer_unidirectional_at + redirection_s;
 }
 
-/* Returns whether no other member has renewed the worker's lease since steady time `since`: others may
- * reach a machine that we can't. */
+/* Returns whether no other member has renewed the worker's lease since monotonic time `since`: others may reach a
+ * machine that this member can't. */
 static bool unrenewed_by_peers(const fc_machine_disposal *disposal, const fc_machine *machine, double since) {
   if (machine->reachability.peer_bidirectional_at > since) return false;
   if (just_changed_member(disposal, machine)) return false;
@@ -85,15 +84,15 @@
   double silence_s = fc_machine_silence_timeout_s(settings);
   bool outage = fc_outage_suspicion_covers(&state->suspicion, machine);
   double timeout_s = outage ? settings->lease_s * OUTAGE_LEASES : silence_s;
-  /* Renewals by peers are reported up to half a heartbeat interval later, and a heartbeat that failed
-   * to reach us takes a whole interval more until it reaches another member. */
+  /* Renewals by peers are reported up to half a heartbeat interval later, and a heartbeat that failed to reach this
+   * member takes a whole interval more until it reaches another member. */
   double renewal_s = silence_s + settings->heartbeat_s * RENEWAL_DELAY_HEARTBEATS;
   if (machine->agent.reported && fc_machine_unreachable_since(machine, state->now - timeout_s) &&
       unrenewed_by_peers(disposal, machine, state->now - renewal_s))
     return true;
-  /* A machine whose lease another member has renewed since we became its owner, or just before, was
-   * alive then. It gets the time that its worker needs to try us, return to that member and show there
-   * that answers reach it. */
+  /* A machine whose lease another member has renewed since this member became its owner, or just before, was alive
+   * then. It gets the time that its worker needs to try this member, return to the other and show there that responses
+   * reach it. */
   bool at_once = !outage && machine->lease.peer_renewed_at <= machine->owned_since - silence_s;
   return fc_machine_never_heard(cluster, machine, state->now) &&
          (at_once || state->now > machine->owned_since + timeout_s) &&
@@ -119,10 +118,10 @@
 
 /* ---- unacknowledged starts ---- */
 
-/* Returns whether the machine has a start from before `since` that only its return can rule out. A lost
- * direct start may arrive minutes later, and until that is ruled out its task may not be started
- * elsewhere; a gang's task not even after the attempt has ended, because a copy of the start would
- * begin it again. Without the return the job was pending forever (fault test, seeds 555 and 847). */
+/* Returns whether the machine has a start from before `since` that only the machine's return can rule out. A lost
+ * direct start may arrive minutes later, and until that is ruled out its task may not be started elsewhere; a gang's
+ * task not even after the attempt has ended, because a copy of the start would begin it again. Without the return the
+ * job was pending forever (fault test, seeds 555 and 847). */
 static bool holds_lost_start(const fc_machine *machine, double since) {
   for (guint i = 0; i < machine->placements->len; i++) {
     const fc_placement *placement = machine->placements->pdata[i];
--- a/src/controller/machine_disposal.h
+++ b/src/controller/machine_disposal.h
@@ -15,7 +15,7 @@
 fc_machine_disposal *fc_machine_disposal_new(fc_cluster *cluster, fc_cloud_access *cloud,
                                              const fc_leadership *leadership, fc_peers *peers,
                                              fc_machine_returns *returns);
-/* Returns owned machines that are lost, did not start up, or are faulty or surplus to the cloud, at most
+/* Returns to the cloud owned machines that are lost, did not start up, are faulty or are surplus; at most
  * FC_RELEASE_MACHINES_MAX per call. May suspend the calling routine. */
 void fc_machine_disposal_run(fc_machine_disposal *disposal);
 
--- a/src/controller/machine_probes.c
+++ b/src/controller/machine_probes.c
@@ -7,12 +7,12 @@
 #include "protocol/worker_api.h"
 #include "transport/routine.h"
 
-#define UNIDIRECTIONAL_LEASES 0.2   /* probed after this long without a sign that answers arrive */
+#define UNIDIRECTIONAL_LEASES 0.2   /* probed after this long without a sign that responses arrive */
 #define PEER_RENEWAL_HEARTBEATS 2.0 /* how long a lease renewal by a peer counts as recent */
 #define RECONCILE_HEARTBEATS 1.5    /* after a new term, the time for an owner to reconcile its machines */
 #define PROBE_SPACING_HEARTBEATS 1.0
 #define PROBE_TIMEOUT_HEARTBEATS 0.75
-#define SOCKETS_PER_PROBE 32u /* probes use one in so many sockets; calls to owned machines come first */
+#define FDS_PER_PROBE 32u /* probes may use one in this many file descriptors; calls to owned machines come first */
 #define PROBES_MIN 1u
 #define MACHINE_ID_BYTES 64
 
@@ -37,7 +37,7 @@
   g_free(probes);
 }
 
-/* ---- our machines ---- */
+/* ---- machines of this shard ---- */
 
 bool fc_machine_probes_check(const fc_machine_probes *probes, fc_machine *machine) {
   const fc_cluster *cluster = probes->cluster;
@@ -47,7 +47,7 @@
   const fc_machine_reachability *reach = &machine->reachability;
   if (reach->unidirectional_since && now > reach->unidirectional_since + settings->lease_s * UNIDIRECTIONAL_LEASES)
     machine->probe.wanted = true;
-  /* A peer renews its lease, and redirects the worker here once we have reached it again. */
+  /* A peer renews its lease, and redirects the worker here once this member has reached it again. */
   if (reach->peer_bidirectional_at > now - settings->heartbeat_s * PEER_RENEWAL_HEARTBEATS &&
       fc_machine_suspect(cluster, machine, now))
     machine->probe.wanted = true;
@@ -68,17 +68,17 @@
   const fc_machine *known = fc_cluster_find_machine(cluster, id);
   fc_endpoint endpoint;
   if (!known || !fc_endpoint_parse(known->record.endpoint, &endpoint)) return;
-  double asked_at = fc_now();
+  double sent_at = fc_now();
   fc_heartbeat heartbeat;
   fc_worker_call_result result =
       fc_worker_call(&endpoint, cluster->membership.term.number, known->agent.epoch, NULL, 0,
-                     asked_at + cluster->settings->heartbeat_s * PROBE_TIMEOUT_HEARTBEATS, &heartbeat);
+                     sent_at + cluster->settings->heartbeat_s * PROBE_TIMEOUT_HEARTBEATS, &heartbeat);
   bool answered = fc_worker_call_answered(result);
   fc_machine *machine = fc_cluster_find_machine(cluster, id);
   if (machine) {
     /* Its address may belong to another machine by now, which would be the one that answered. */
     machine->probe.answered = answered && strcmp(heartbeat.machine, machine->id) == 0;
-    machine->probe.sent_at = asked_at;
+    machine->probe.sent_at = sent_at;
   }
   if (answered) fc_heartbeat_clear(&heartbeat);
 }
@@ -110,7 +110,7 @@
   if (!owner_needs_help(probes, machine, now)) return false;
   if (now < machine->probe.sent_at + settings->heartbeat_s * PROBE_SPACING_HEARTBEATS) return false;
   return fc_leadership_held(probes->leadership) &&
-         fc_worker_calls_in_flight(probes->calls) < MAX(settings->fd_limit / SOCKETS_PER_PROBE, PROBES_MIN);
+         fc_worker_calls_in_flight(probes->calls) < MAX(settings->fd_limit / FDS_PER_PROBE, PROBES_MIN);
 }
 
 void fc_machine_probes_assist_owner(fc_machine_probes *probes, fc_machine *machine) {
--- a/src/controller/machine_probes.h
+++ b/src/controller/machine_probes.h
@@ -1,5 +1,5 @@
-/* Machine probes: decides when a machine is asked directly which tasks it holds, because its heartbeats
- * do not show that it receives our answers, or because it may have been restarted or lost. */
+/* Machine probes: decides when a machine is called directly for its list of tasks, because its heartbeats do not show
+ * that it receives this controller's responses, or because it may have been restarted or lost. */
 #ifndef FC_CONTROLLER_MACHINE_PROBES_H
 #define FC_CONTROLLER_MACHINE_PROBES_H
 
--- a/src/controller/machine_reachability.c
+++ b/src/controller/machine_reachability.c
@@ -22,9 +22,8 @@
   bool outdated =
       renewal->epoch < agent->epoch || (renewal->epoch == agent->epoch && renewal->sequence < agent->sequence);
   machine->lease.peer_renewed_at = MAX(machine->lease.peer_renewed_at, renewed_at);
-  /* Peers repeat a renewal for two leases. A direct answer since the renewal makes another probe
-   * needless; with a probe at every acknowledgement, machines that had returned from another member
-   * cost more than all heartbeats. */
+  /* Peers repeat a renewal for two leases. A direct response since the renewal makes another probe needless; with a
+   * probe at every acknowledgement, machines that had returned from another member cost more than all heartbeats. */
   double latest = renewed_at + age_s(renewal->age_ms) * 2 * FC_CLOCK_DRIFT;
   if (outdated && machine->owner == cluster->membership.self && latest >= machine->probe.confirmed_at)
     machine->probe.wanted = true;
@@ -42,8 +41,8 @@
                                 double now) {
   fc_machine *machine = fc_cluster_find_machine(cluster, probe->machine);
   if (!machine) return;
-  /* The peer computed the age at some time between `sent_at` and `now`. The uncertainty favours a
-   * reachable machine: an answer counts from the latest possible time, a failure from the earliest. */
+  /* The peer computed the age at some time between `sent_at` and `now`. The uncertainty favours a reachable machine: a
+   * response counts from the latest possible time, a failure from the earliest. */
   if (probe->answered) {
     machine->probe.peer_answered_at = MAX(machine->probe.peer_answered_at, now - age_s(probe->age_ms));
   } else {
--- a/src/controller/machine_reachability.h
+++ b/src/controller/machine_reachability.h
@@ -10,17 +10,17 @@
 #include "controller/leadership.h"
 #include "protocol/peer_frame.h"
 
-/* Records that another member has renewed the lease of a machine's worker. `now`: steady time. */
+/* Records that another member has renewed the lease of a machine's worker. `now`: monotonic time. */
 void fc_reachability_note_renewal(fc_cluster *cluster, const fc_frame_lease_renewal *renewal, double now);
-/* Records that a peer (by its index in the settings) has probed a machine directly. `sent_at`: steady
- * time at which the view was sent whose acknowledgement reports the probe. */
+/* Records that a peer (by its index in the settings) has probed a machine directly. `sent_at`: monotonic time at which
+ * the view was sent whose acknowledgement reports the probe. */
 void fc_reachability_note_probe(fc_cluster *cluster, size_t peer, const fc_frame_probe *probe, double sent_at,
                                 double now);
 /* Returns whether another member's incarnation ended so recently that a worker whose lease it renewed
  * last may not have contacted other members yet. The period is well above the duration of a lease. */
 bool fc_reachability_peer_left_recently(const fc_leadership *leadership, const fc_settings *settings, double now);
-/* Returns whether every member has probed the machine without an answer, recently and since the last
- * time that an incarnation of another member ended. */
+/* Returns whether every member has probed the machine without a response, recently and since the last time that an
+ * incarnation of another member ended. */
 bool fc_reachability_all_probes_failed(const fc_cluster *cluster, const fc_leadership *leadership,
                                        const fc_machine *machine);
 
--- a/src/controller/machine_returns.c
+++ b/src/controller/machine_returns.c
@@ -70,8 +70,8 @@
   fc_kv_result result = FC_KV_OK;
   for (guint i = 0; i < ids->len && result == FC_KV_OK;) {
     fc_write *write = fc_write_new();
-    /* Writing a new machine record is conditional on the version of this mark, so that a delayed one
-     * fails. */
+    /* The record of a machine that has sent a heartbeat is written on condition that this mark has not changed, so that
+     * a delayed write fails. */
     fc_write_put(write, FC_KEY_RETURNED, fc_marker_encode());
     i = add_removals(returns, write, ids, i);
     result = fc_group_commit_write(returns->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + WRITE_TIMEOUT_S,
--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -130,7 +130,7 @@
   return g_hash_table_lookup(routine->cluster->membership.keys, name) == NULL;
 }
 
-/* Steady time at which the member's lease was first seen expired; inserts the present time if new. */
+/* Monotonic time at which the member's lease was first seen expired; inserts the current time if new. */
 static double absent_since(GHashTable *absences, const char *name) {
   double *since = g_hash_table_lookup(absences, name);
   if (!since) {
@@ -167,7 +167,7 @@
   g_info("exclusion from the term member=%s result=%d", name, result);
 }
 
-/* Excludes the first member that has been absent for long enough and whose grant from us, if any, has
+/* Excludes the first member that has been absent for long enough and whose grant from this controller, if any, has
  * expired. */
 static void exclude_expired(fc_membership_routine *routine, GHashTable *absences) {
   const fc_membership *membership = &routine->cluster->membership;
@@ -190,7 +190,7 @@
 
 typedef enum { LEASE_HELD, LEASE_GONE } lease_state;
 
-/* Renews the lease when it is due. *renewed_at: steady time of the last successful renewal. */
+/* Renews the lease when it is due. *renewed_at: monotonic time of the last successful renewal. */
 static lease_state renew_lease(fc_membership_routine *routine, double *renewed_at) {
   double now = fc_now();
   if (now < *renewed_at + fc_leadership_lease_s(routine->leadership) * RENEWAL_LEASES) return LEASE_HELD;
--- a/src/controller/orphan_machines.c
+++ b/src/controller/orphan_machines.c
@@ -5,11 +5,11 @@
 #define LIST_TIMEOUT_S 3.0
 #define RELEASE_TIMEOUT_S 4.0
 
-#define SWEEP_INTERVAL_TIMES 3 /* multiple of the worker lease or the lag of the cloud's list, if longer */
+#define SWEEP_INTERVAL_TIMES 3 /* times the worker lease or the lag of the cloud's list, whichever is longer */
 #define PAGE_MACHINES 500
 #define ORPHANS_PER_SWEEP 20 /* no further page is read once so many are found */
 
-/* A machine without a record is orphaned from the age that is the sum of these. */
+/* A machine without a record counts as orphaned once it is older than the sum of these. */
 #define ORPHAN_STARTUP_TIMES 3
 #define ORPHAN_LIST_LAGS 3
 #define ORPHAN_LEASES 1
--- a/src/controller/outage_suspicion.h
+++ b/src/controller/outage_suspicion.h
@@ -15,7 +15,7 @@
   bool zones[FC_ZONES_MAX + 1]; /* by fc_machine.zone: the connection of the zone may be cut */
 } fc_outage_suspicion;
 
-/* Derives the suspicion at steady time `now` from the state of all machines. */
+/* Derives the suspicion at monotonic time `now` from the state of all machines. */
 fc_outage_suspicion fc_outage_suspicion_assess(const fc_cluster *cluster, fc_peers *peers, double now);
 /* Returns whether a suspected outage may explain the silence of the machine. */
 bool fc_outage_suspicion_covers(const fc_outage_suspicion *suspicion, const fc_machine *machine);
--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -81,8 +81,8 @@
   g_array_free(tasks, TRUE);
 }
 
-/* Skips members whose machines are not reconciled, as what they hold is unknown: after each change of term the last
- * member to reconcile would be left without a share. */
+/* Skips members whose machines are not reconciled, as what they hold is unknown: otherwise, after each change of term,
+ * the last member to reconcile would be left without a share. */
 static void add_unplaceable(const fc_shard_room *room, const fc_job *job, fc_quota_tally *tally) {
   unsigned pending[FC_MEMBERS_MAX];
   count_by_member(job, pending);
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -112,8 +112,8 @@
   /* Any member may write them; the delays are staggered, and the first member of the term has none. */
   if (now < term_since + settings->operator_settings.round_s * FIRST_WRITE_ROUNDS * cluster->membership.self)
     return false;
-  /* An unresponsive machine of a dead owner would block all members for a worker lease, so after a while it counts as
-   * full instead. On reconciled machines the use can only have shrunk since. Members that have not acknowledged the
+  /* An unresponsive machine of a crashed owner would block all members for a worker lease, so after a while it counts
+   * as full instead. On reconciled machines the use can only have shrunk since. Members that have not acknowledged the
    * term are still waited for. */
   bool reconciled = fc_cluster_update_reconciled(cluster);
   if (fc_quota_plan_carry_over(cluster, shares->next)) return true;
--- a/src/controller/quota_shares.h
+++ b/src/controller/quota_shares.h
@@ -17,11 +17,11 @@
 
 typedef struct fc_quota_shares fc_quota_shares;
 
-/* The arguments have to outlive it, and it lives as long as its routine. */
+/* The arguments must outlive the result, which is never freed. */
 fc_quota_shares *fc_quota_shares_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                      const fc_leadership *leadership, fc_peers *peers, fc_wakeups *wakeups,
                                      fc_metrics *metrics);
-/* Starts its routine. Returns false when out of memory. */
+/* Starts the routine. Returns false when out of memory. */
 bool fc_quota_shares_start(fc_quota_shares *shares);
 
 /* Sets *allowance to the amounts that this shard may still start for each team now; INFINITY: no limit. */
--- a/src/controller/quota_tally.h
+++ b/src/controller/quota_tally.h
@@ -1,4 +1,4 @@
-/* Counts what every shard uses of each team's limit, and what its pending tasks ask for in addition. */
+/* Counts what every shard uses of each team's limit, and what its pending tasks request in addition. */
 #ifndef FC_CONTROLLER_QUOTA_TALLY_H
 #define FC_CONTROLLER_QUOTA_TALLY_H
 
@@ -7,7 +7,7 @@
 #include "bookkeeping/cluster.h"
 #include "coordination/quota_division.h"
 
-/* Use and demand by member of the present term, then by team. */
+/* Use and demand by member of the current term, then by team. */
 typedef struct fc_quota_tally {
   fc_quota_demand cpus[FC_MEMBERS_MAX][FC_TEAMS_MAX], gpus[FC_MEMBERS_MAX][FC_TEAMS_MAX];
   /* Part of the wanted amount that has no room on the member's machines now; 0 unless fc_quota_room_find_unplaceable()
--- a/src/controller/reconciler.c
+++ b/src/controller/reconciler.c
@@ -15,9 +15,9 @@
 
 /* The source of a worker's task list, and what the list proves. */
 typedef struct list_origin {
-  double asked_at; /* steady time at which the direct call was sent that it answers; 0: it came with a heartbeat */
-  bool reconciles; /* it is the first list with the fencing token of this term */
-  bool new_epoch;  /* the epoch has changed since the last list, so the worker has stopped all earlier tasks */
+  double call_sent_at; /* monotonic time at which the direct call was sent; 0: the list came with a heartbeat */
+  bool reconciles;     /* the first list with the fencing token of this term */
+  bool new_epoch;      /* the epoch has changed since the last list, so the worker has stopped all earlier tasks */
 } list_origin;
 
 fc_reconciler *fc_reconciler_new(fc_cluster *cluster, fc_task_completion *completion, fc_wakeups *wakeups,
@@ -62,8 +62,8 @@
   if (heartbeat->spot_notice_s >= 0 && !machine->drain.spot_notice_until)
     machine->drain.spot_notice_until = now + heartbeat->spot_notice_s;
   if (heartbeat->endpoint[0]) g_strlcpy(machine->record.endpoint, heartbeat->endpoint, sizeof machine->record.endpoint);
-  /* The worker has received a call of ours, or the token of this term. */
-  bool receives_messages = origin->asked_at > 0 || origin->reconciles;
+  /* The worker has received a call of this controller, or the token of this term. */
+  bool receives_messages = origin->call_sent_at > 0 || origin->reconciles;
   if (receives_messages) machine->reachability.unidirectional_since = 0;
   if (origin->reconciles) machine->agent.restarted = false; /* heartbeats from before the restart lack this token */
 }
@@ -112,15 +112,15 @@
   /* A restarted worker counts its epochs from the beginning, and may reach the one that a start named. */
   if (origin->new_epoch) return start->direct == FC_DIRECT_START_NONE;
   if (placement->status.reported) return true;
-  /* Sent but never listed. The outcome is unknown while a direct copy of the start may arrive. After
-   * that it is decided by the heartbeat that follows the one whose answer carried the start, or by
-   * the answer to a direct call sent after the worker's request timeout for that heartbeat. Of a
-   * restarted machine only direct answers count: when they decided nothing, such a start counted
-   * against its team's limit for good, and a gang waited forever (fault test with meetings, seed 241). */
+  /* Sent but never listed. The outcome is unknown while a direct copy of the start may arrive. After that it is decided
+   * by the heartbeat that follows the one whose response carried the start, or by the response to a direct call sent
+   * after the worker's request timeout for that heartbeat. Of a restarted machine only responses to direct calls count:
+   * when they decided nothing, such a start counted against its team's limit for good, and a gang waited forever (fault
+   * test with meetings, seed 241). */
   if (start->direct) return false;
-  if (origin->asked_at <= 0 && heartbeat->sequence <= start->heartbeat_sequence) return false;
-  double answer_lost_at = start->sent_at + FC_WORKER_REQUEST_TIMEOUT_S * (1 + 2 * FC_CLOCK_DRIFT);
-  if (origin->asked_at > 0 && start->heartbeat_sequence && origin->asked_at < answer_lost_at) return false;
+  if (origin->call_sent_at <= 0 && heartbeat->sequence <= start->heartbeat_sequence) return false;
+  double response_lost_at = start->sent_at + FC_WORKER_REQUEST_TIMEOUT_S * (1 + 2 * FC_CLOCK_DRIFT);
+  if (origin->call_sent_at > 0 && start->heartbeat_sequence && origin->call_sent_at < response_lost_at) return false;
   /* The start was not executed: it is sent again, or dropped if the task is to be stopped. */
   if (!placement->stop.requested) placement->start.sent = false;
   return placement->stop.requested;
@@ -182,12 +182,12 @@
   fc_wakeups_raise(reconciler->wakeups, FC_WAKEUP_SCHEDULE);
 }
 
-static void apply(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat, double asked_at) {
+static void apply(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat, double call_sent_at) {
   const fc_cluster *cluster = reconciler->cluster;
   double now = fc_now();
   bool was_reconciled = fc_machine_reconciled(cluster, machine);
   const list_origin origin = {
-      .asked_at = asked_at,
+      .call_sent_at = call_sent_at,
       .reconciles = !was_reconciled && heartbeat->fencing_token == cluster->membership.term.number,
       .new_epoch = machine->agent.reported && heartbeat->epoch > machine->agent.epoch,
   };
@@ -206,6 +206,6 @@
 }
 
 void fc_reconciler_apply_answer(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat,
-                                double asked_at) {
-  apply(reconciler, machine, heartbeat, asked_at);
+                                double call_sent_at) {
+  apply(reconciler, machine, heartbeat, call_sent_at);
 }
--- a/src/controller/reconciler.h
+++ b/src/controller/reconciler.h
@@ -20,8 +20,8 @@
 /* Applies a heartbeat, which must be newer than the last one applied for that machine
  * (fc_heartbeat_order_is_newer()). */
 void fc_reconciler_apply_heartbeat(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat);
-/* Applies the answer to a direct call that was sent at steady time `asked_at`, which is above 0. */
+/* Applies the response to a direct call that was sent at monotonic time `call_sent_at`, which is above 0. */
 void fc_reconciler_apply_answer(fc_reconciler *reconciler, fc_machine *machine, const fc_heartbeat *heartbeat,
-                                double asked_at);
+                                double call_sent_at);
 
 #endif
--- a/src/controller/rental_execution.h
+++ b/src/controller/rental_execution.h
@@ -14,7 +14,7 @@
 
 typedef struct fc_rental_execution fc_rental_execution;
 
-/* The arguments have to outlive it; it lives as long as the process. */
+/* The arguments must outlive the result, which is never freed. */
 fc_rental_execution *fc_rental_execution_new(fc_cluster *cluster, fc_cloud_access *cloud, fc_group_commit *commit,
                                              fc_kv_watch *watch, fc_leadership *leadership);
 
--- a/src/controller/scaling.h
+++ b/src/controller/scaling.h
@@ -16,7 +16,7 @@
 
 typedef struct fc_scaling fc_scaling;
 
-/* The modules that it uses; all have to outlive it. */
+/* The modules that the routine uses. */
 typedef struct fc_scaling_deps {
   fc_cluster *cluster;
   fc_cloud_access *cloud;
@@ -28,9 +28,9 @@
   fc_metrics *metrics;
 } fc_scaling_deps;
 
-/* Lives as long as its routine. */
+/* The modules in `deps` must outlive the result, which is never freed. */
 fc_scaling *fc_scaling_new(const fc_scaling_deps *deps);
-/* Starts its routine. Returns false when out of memory. */
+/* Starts the routine. Returns false when out of memory. */
 bool fc_scaling_start(fc_scaling *scaling);
 
 #endif
--- a/src/controller/scheduling_loop.c
+++ b/src/controller/scheduling_loop.c
@@ -127,8 +127,8 @@
 static bool check_own_machine(fc_scheduling_loop *loop, fc_machine *machine) {
   bool reconciled = fc_machine_reconciled(loop->deps.cluster, machine);
   bool call = !reconciled || fc_machine_probes_check(loop->deps.probes, machine);
-  /* Not before it is reconciled, when a machine is only probed for its task list: a task marked to be stopped by then
-   * never got the stop if its machine sent no heartbeats. */
+  /* Not before the machine is reconciled, as calls to it carry no commands until then: a task marked to be stopped by
+   * then never got the stop if its machine sent no heartbeats. */
   if (reconciled) call |= fc_task_stops_request_unwanted(loop->deps.stops, machine);
   call |= fc_task_stops_drain(loop->deps.stops, machine);
   return call;
--- a/src/controller/scheduling_loop.h
+++ b/src/controller/scheduling_loop.h
@@ -15,7 +15,7 @@
 
 typedef struct fc_scheduling_loop fc_scheduling_loop;
 
-/* The modules that it uses; all have to outlive it. */
+/* The modules that the loop uses. */
 typedef struct fc_scheduling_loop_deps {
   fc_cluster *cluster;
   const fc_leadership *leadership;
@@ -30,9 +30,9 @@
   fc_metrics_sources status;
 } fc_scheduling_loop_deps;
 
-/* Lives as long as its routine. */
+/* The modules in `deps` must outlive the result, which is never freed. */
 fc_scheduling_loop *fc_scheduling_loop_new(const fc_scheduling_loop_deps *deps);
-/* Starts its routine. Returns false when out of memory. */
+/* Starts the routine. Returns false when out of memory. */
 bool fc_scheduling_loop_start(fc_scheduling_loop *loop);
 
 #endif
--- a/src/controller/shard_balancer.h
+++ b/src/controller/shard_balancer.h
@@ -9,7 +9,7 @@
 
 typedef struct fc_shard_balancer fc_shard_balancer;
 
-/* The arguments have to outlive it. */
+/* The arguments must outlive the result, which is never freed. */
 fc_shard_balancer *fc_shard_balancer_new(const fc_cluster *cluster, fc_peers *peers, fc_handover_execution *handovers,
                                          fc_transfer_execution *transfers);
 
--- a/src/controller/task_completion.h
+++ b/src/controller/task_completion.h
@@ -10,8 +10,8 @@
 
 typedef struct fc_task_completion fc_task_completion;
 
-/* The arguments have to outlive it. The caller frees it with fc_task_completion_free(), once none of its routines runs
- * any more. */
+/* The arguments must outlive the result, which the caller frees with fc_task_completion_free() after all of its
+ * routines have ended. */
 fc_task_completion *fc_task_completion_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                            fc_metrics *metrics);
 void fc_task_completion_free(fc_task_completion *completion);
--- a/src/controller/task_stops.h
+++ b/src/controller/task_stops.h
@@ -8,7 +8,7 @@
 
 typedef struct fc_task_stops fc_task_stops;
 
-/* The arguments have to outlive it. */
+/* The arguments must outlive the result, which is never freed. */
 fc_task_stops *fc_task_stops_new(fc_cluster *cluster, fc_worker_calls *calls);
 
 /* Requests a stop, without time for a checkpoint, for tasks on the machine that must not run any more. Returns whether
--- a/src/controller/transfer_execution.c
+++ b/src/controller/transfer_execution.c
@@ -24,7 +24,7 @@
   char id[MACHINE_ID_BYTES];
   char to[MEMBER_NAME_BYTES]; /* name of the new owner */
   uint64_t version;           /* of the machine's record, on which the write is conditional */
-  uint64_t term_version;      /* of the present term; the write is conditional on it too */
+  uint64_t term_version;      /* of the current term; the write is conditional on it too */
 } pending_transfer;
 
 fc_transfer_execution *fc_transfer_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
--- a/src/controller/transfer_execution.h
+++ b/src/controller/transfer_execution.h
@@ -10,7 +10,7 @@
 
 typedef struct fc_transfer_execution fc_transfer_execution;
 
-/* The arguments have to outlive it and its routines. */
+/* The arguments must outlive the result, which is never freed. */
 fc_transfer_execution *fc_transfer_execution_new(fc_cluster *cluster, fc_group_commit *commit, fc_kv_watch *watch,
                                                  fc_worker_calls *calls, fc_metrics *metrics);
 
--- a/src/controller/worker_calls.c
+++ b/src/controller/worker_calls.c
@@ -11,7 +11,7 @@
 #define CALLS_MIN 2u
 #define FENCES_AND_PROBES_DIVISOR 2u /* calls that fence or probe may use one in this many of those */
 #define CALL_TIMEOUT_HEARTBEATS 0.75
-#define CALLS_PER_ROUTINE_MAX 2 /* the second fences with the epoch that the answer to the first has shown */
+#define CALLS_PER_ROUTINE_MAX 2 /* the second fences with the epoch that the response to the first has shown */
 #define MACHINE_ID_BYTES 64
 
 struct fc_worker_calls {
@@ -32,7 +32,7 @@
 typedef struct direct_call {
   uint64_t term; /* its fencing token */
   bool fencing;  /* the machine was not reconciled in the term */
-  bool probing;  /* it was to be asked which tasks it has */
+  bool probing;  /* it was to be probed for its list of tasks */
   double sent_at;
 } direct_call;
 
@@ -60,7 +60,7 @@
   calls->in_flight--;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 /* Records the outcome of a start that a call carried. */
 static void record_start_outcome(fc_placement *placement, fc_worker_call_result result) {
@@ -73,8 +73,8 @@
     return;
   }
   start->direct = FC_DIRECT_START_NONE;
-  bool carried_out = result == FC_WORKER_CALL_DONE;
-  if (!carried_out && !placement->status.reported) start->sent = start->heartbeat_sequence != 0;
+  bool executed = result == FC_WORKER_CALL_DONE;
+  if (!executed && !placement->status.reported) start->sent = start->heartbeat_sequence != 0;
 }
 
 static void record_start_outcomes(fc_worker_calls *calls, fc_machine *machine, fc_worker_call_result result) {
@@ -95,7 +95,7 @@
 }
 
 /* Resets what is known of the worker after a restart. Its tasks are gone, except those with a direct start that may
- * still arrive and would then be carried out. */
+ * still arrive and would then be executed. */
 static void reset_worker_state(fc_machine *machine, const fc_heartbeat *heartbeat) {
   for (guint i = 0; i < machine->placements->len; i++) {
     fc_placement *placement = machine->placements->pdata[i];
@@ -110,7 +110,7 @@
 
 void fc_worker_calls_apply_answer(fc_worker_calls *calls, fc_machine *machine, const fc_heartbeat *heartbeat,
                                   double sent_at) {
-  /* An answer is newer than every heartbeat that had arrived when the call was sent. If its numbers say otherwise, the
+  /* A response is newer than every heartbeat that had arrived when the call was sent. If its numbers say otherwise, the
    * worker was restarted and counts from the beginning. A call sent before the worker's lease expired may have been
    * answered in the epoch that ended with the lease. */
   bool sent_afterwards = sent_at > MAX(machine->agent.heard_at, machine->agent.expired_at);
@@ -124,7 +124,7 @@
   machine->probe.confirmed_at = sent_at;
 }
 
-/* Applies the answer to a call. Returns whether the machine has to be fenced with the epoch that it has shown. */
+/* Applies the response to a call. Returns whether the machine has to be fenced with the epoch that it has shown. */
 static bool accept_answer(fc_worker_calls *calls, fc_machine *machine, const direct_call *call,
                           fc_worker_call_result result, const fc_heartbeat *heartbeat) {
   const fc_cluster *cluster = calls->cluster;
--- a/src/controller/worker_calls.h
+++ b/src/controller/worker_calls.h
@@ -12,8 +12,8 @@
 
 typedef struct fc_worker_calls fc_worker_calls;
 
-/* The arguments have to outlive it. The caller frees it with fc_worker_calls_free(), once none of its routines runs any
- * more. */
+/* The arguments must outlive the result, which the caller frees with fc_worker_calls_free() after all of its routines
+ * have ended. */
 fc_worker_calls *fc_worker_calls_new(fc_cluster *cluster, const fc_leadership *leadership, fc_worker_commands *commands,
                                      fc_reconciler *reconciler, fc_metrics *metrics);
 void fc_worker_calls_free(fc_worker_calls *calls);
@@ -21,7 +21,7 @@
 /* Starts a routine that sends the machine its commands or, if it is not reconciled yet, an empty call that fences it.
  * Returns at once. Does nothing if a call to the machine is in flight, or there is no socket for it. */
 void fc_worker_calls_send(fc_worker_calls *calls, fc_machine *machine);
-/* Applies the answer of a machine of this shard to a direct call that was sent at `sent_at` (steady time). */
+/* Applies the response of a machine of this shard to a direct call that was sent at `sent_at` (monotonic time). */
 void fc_worker_calls_apply_answer(fc_worker_calls *calls, fc_machine *machine, const fc_heartbeat *heartbeat,
                                   double sent_at);
 
--- a/src/controller/worker_commands.c
+++ b/src/controller/worker_commands.c
@@ -14,7 +14,7 @@
 /* How commands are sent. */
 typedef struct command_route {
   bool direct;       /* by a direct call */
-  uint64_t sequence; /* otherwise with the answer to this heartbeat */
+  uint64_t sequence; /* otherwise with the response to this heartbeat */
 } command_route;
 
 fc_worker_commands *fc_worker_commands_new(const fc_cluster *cluster, fc_task_completion *completion) {
@@ -44,20 +44,20 @@
 /* Fills in the command to forget an exited task. Returns false if it must not be forgotten yet. */
 static bool forget_command(fc_worker_commands *commands, fc_placement *placement, fc_command *command) {
   fc_task_completion_update(commands->completion, placement);
-  /* A late copy of the start would run the task again after the worker has forgotten it. */
+  /* A delayed copy of the start would run the task again after the worker has forgotten it. */
   if (!placement->end_recorded || placement->start.direct) return false;
   command->op = FC_COMMAND_FORGET;
   return true;
 }
 
 /* Fills in the command to stop a task. Returns false if its start was never sent: no stop is needed then, and the
- * placement is removed unless an earlier copy of the start may still be carried out. */
+ * placement is removed unless an earlier copy of the start may still be executed. */
 static bool stop_command(const fc_worker_commands *commands, fc_placement *placement, fc_command *command) {
   if (!placement->start.sent) {
     if (!fc_placement_copy_outstanding(placement)) fc_placement_remove(placement);
     return false;
   }
-  /* This includes a start that no heartbeat has listed: the worker ignores a stop of a task that it doesn't have. */
+  /* This includes a task that no heartbeat has listed yet: the worker ignores a stop of a task that it doesn't have. */
   command->op = FC_COMMAND_STOP;
   /* If the job is cancelled while the task writes a checkpoint, a second stop ends it at once. */
   command->grace_s = fc_worker_commands_task_unwanted(commands->cluster, placement) ? 0 : placement->stop.grace_s;
@@ -68,7 +68,7 @@
  * not to be sent on this route. */
 static bool start_command(const fc_worker_commands *commands, fc_placement *placement, const command_route *route,
                           fc_command *command) {
-  /* Only one direct copy is tracked; further copies are sent with the answers to heartbeats. */
+  /* Only one direct copy is tracked; further copies are sent with the responses to heartbeats. */
   if (route->direct && placement->start.direct != FC_DIRECT_START_NONE) return false;
   command->op = FC_COMMAND_START;
   placement->start.sent = true;
@@ -125,7 +125,7 @@
 }
 
 GArray *fc_worker_commands_for_call(fc_worker_commands *commands, fc_machine *machine) {
-  /* A call names the epoch. Whether a start under an epoch that the worker has not shown was carried out could never be
+  /* A call names the epoch. Whether a start under an epoch that the worker has not shown was executed could never be
    * proved. */
   if (!machine->agent.epoch_shown) return g_array_new(FALSE, TRUE, sizeof(fc_command));
   return list_commands(commands, machine, &(command_route){.direct = true});
--- a/src/controller/worker_commands.h
+++ b/src/controller/worker_commands.h
@@ -1,5 +1,5 @@
-/* Determines the commands that a worker has to carry out next: starts, stops, and commands to forget tasks whose ends
- * are recorded. */
+/* Determines the commands that a worker has to execute next: starts, stops, and commands to forget tasks whose ends are
+ * recorded. */
 #ifndef FC_CONTROLLER_WORKER_COMMANDS_H
 #define FC_CONTROLLER_WORKER_COMMANDS_H
 
@@ -10,7 +10,7 @@
 
 typedef struct fc_worker_commands fc_worker_commands;
 
-/* The arguments have to outlive it. The caller frees it with fc_worker_commands_free(). */
+/* The arguments must outlive the result, which the caller frees with fc_worker_commands_free(). */
 fc_worker_commands *fc_worker_commands_new(const fc_cluster *cluster, fc_task_completion *completion);
 void fc_worker_commands_free(fc_worker_commands *commands);
 
@@ -18,13 +18,13 @@
  * epoch is not known. Starts are marked as sent. The placement of a task that is to be stopped, and whose start was
  * never sent, is removed. The caller frees the array; its strings are owned by the placements. */
 GArray *fc_worker_commands_for_call(fc_worker_commands *commands, fc_machine *machine);
-/* The same for the answer to the heartbeat with this sequence number. */
+/* The same for the response to the heartbeat with this sequence number. */
 GArray *fc_worker_commands_for_answer(fc_worker_commands *commands, fc_machine *machine, uint64_t sequence);
 
 /* Whether the task must not run any more: it is done, or its job has ended. */
 bool fc_worker_commands_task_unwanted(const fc_cluster *cluster, const fc_placement *placement);
 /* Marks the task, whose job has to be in the cluster state, to be stopped with enough time for a checkpoint. The stop
- * is sent with the next call or answer. */
+ * is sent with the next call or response. */
 void fc_worker_commands_request_stop(const fc_settings *settings, fc_placement *placement);
 
 #endif
--- a/src/controller/worker_leases.c
+++ b/src/controller/worker_leases.c
@@ -17,7 +17,7 @@
 
 /* The last known renewal of a worker's lease. */
 typedef struct lease_renewal {
-  double at;      /* steady time */
+  double at;      /* monotonic time */
   const char *by; /* for the log */
 } lease_renewal;
 
@@ -33,18 +33,17 @@
   g_free(leases);
 }
 
-/* The last renewal known here. Any member may answer the worker's heartbeats, so this is final only
- * once each has reported its answers (renewals_known_until()). An incarnation that has left the
- * term answered nothing after the term was applied here. */
+/* The last renewal known here. Any member may answer the worker's heartbeats, so this is final only once each has
+ * reported its renewals (renewals_known_until()). An incarnation that has left the term answered nothing after the term
+ * was applied here. */
 static lease_renewal last_renewal(const fc_worker_leases *leases, const fc_machine *machine) {
   const lease_renewal candidates[] = {
       {machine->lease.answered_at, "self"},
       {machine->lease.peer_renewed_at, "peer"},
       {machine->owned_since, "former owner"},
       {fc_leadership_term_since(leases->leadership), "former term"},
-      /* A new epoch has a full lease from its beginning, even before any answer. Without this, tasks
-       * started in it by direct commands alone were considered gone and started elsewhere (fault
-       * test, seed 43). */
+      /* A new epoch has a full lease from its beginning, even before any response. Without this, tasks started in it by
+       * direct calls alone were considered gone and started elsewhere (fault test, seed 43). */
       {machine->agent.epoch_began_at, "epoch"},
   };
   lease_renewal last = candidates[0];
@@ -53,14 +52,14 @@
   return last;
 }
 
-/* Steady time from which the worker has certainly stopped its tasks. */
+/* Monotonic time from which the worker has certainly stopped its tasks. */
 static double expires_at(const fc_worker_leases *leases, const lease_renewal *renewal) {
   const fc_settings *settings = leases->cluster->settings;
   return renewal->at + settings->lease_s * (1 + 2 * FC_CLOCK_DRIFT) + settings->heartbeat_s * EXPIRY_MARGIN_HEARTBEATS;
 }
 
-/* Returns whether every controller that may have answered the worker has reported its answers up to
- * steady time `until`. */
+/* Returns whether every controller that may have answered the worker has reported its renewals up to monotonic time
+ * `until`. */
 static bool renewals_known_until(const fc_worker_leases *leases, double until) {
   const fc_cluster *cluster = leases->cluster;
   if (!fc_peers_all_renewals_known(leases->peers, until)) return false;
@@ -71,17 +70,16 @@
   return all_are_members || cluster->sync.read_at >= until;
 }
 
-/* The lowest epoch that the worker may be in after its lease has expired. An expiry ends the epoch
- * that the worker has shown and proves nothing about later ones: incremented on every round, the
- * epoch got ahead of the worker's own. */
+/* The lowest epoch that the worker may be in after its lease has expired. An expiry ends the epoch that the worker has
+ * shown and proves nothing about later ones: when it was incremented on every round, the epoch got ahead of the
+ * worker's own. */
 static uint64_t lowest_epoch_after(const fc_machine_agent *agent) {
   return agent->epoch_shown ? agent->epoch + 1 : agent->epoch;
 }
 
-/* Ends the epoch that the worker has shown: it has stopped its tasks and is in a later epoch, or will
- * be once it resumes. A heartbeat of the ended epoch may still arrive, newer than any received so
- * far; applied, it reported tasks here that had been started elsewhere (scene
- * heartbeats_after_lease_expiry). */
+/* Ends the epoch that the worker has shown: it has stopped its tasks and is in a later epoch, or will be once it
+ * resumes. A heartbeat of the ended epoch may still arrive, newer than any received so far; when one was applied, it
+ * added tasks here that had been started elsewhere (scene heartbeats_after_lease_expiry). */
 static void end_epoch(fc_machine_agent *agent) {
   if (!agent->epoch_shown) return;
   agent->epoch = lowest_epoch_after(agent);
@@ -109,8 +107,8 @@
   for (guint i = machine->placements->len; i-- > 0;) end_placement(machine->placements->pdata[i], lowest_epoch);
 }
 
-/* Called before the epoch is ended. `tasks`: the placements before the expiry, of which those remain
- * whose starts may still be executed. */
+/* Called before the epoch is ended. `tasks`: number of placements before the expiry; those whose starts may still be
+ * executed remain. */
 static void log_expiry(const fc_cluster *cluster, const fc_machine *machine, const lease_renewal *renewal,
                        unsigned tasks) {
   g_info("worker lease expired machine=%s tasks=%u starts_kept=%u term=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT
--- a/src/controller/worker_leases.h
+++ b/src/controller/worker_leases.h
@@ -17,8 +17,8 @@
                                        fc_wakeups *wakeups, fc_metrics *metrics);
 void fc_worker_leases_free(fc_worker_leases *leases);
 
-/* Ends the placements on every owned machine whose worker's lease has certainly expired, and marks the
- * machine as reconciled. A placement whose start may still be carried out stays on the machine. */
+/* Ends the placements on every owned machine whose worker's lease has certainly expired, and marks the machine as
+ * reconciled. A placement whose start may still be executed stays on the machine. */
 void fc_worker_leases_expire(fc_worker_leases *leases);
 
 #endif
--- a/tests/test_heartbeats.c
+++ b/tests/test_heartbeats.c
@@ -9,16 +9,16 @@
   static const struct {
     const char *name;
     int owner;
-    bool lease, owner_recent; /* our member lease is valid; the peer was heard from recently */
+    bool lease, owner_recent; /* this member's lease is valid; the peer was heard from recently */
     unsigned fencing_token;
     int status;
     const char *text;
   } rows[] = {
-      {"ours", 0, true, true, 5, 200, "\"captaincy\":5"},
-      {"ours, without leadership", 0, false, true, 5, 503, ""},
-      {"a fencing token above our term", 0, true, true, 6, 503, ""},
-      {"a peer's, which is reachable: redirected", 1, true, true, 5, 421, "\"coach\":\"paddock-1\""},
-      {"a peer's, which is silent: lease renewed here", 1, true, false, 5, 200, "\"calls\":[]"},
+      {"own machine", 0, true, true, 5, 200, "\"captaincy\":5"},
+      {"own machine, without leadership", 0, false, true, 5, 503, ""},
+      {"a fencing token above the term known here", 0, true, true, 6, 503, ""},
+      {"machine of a reachable peer: redirected", 1, true, true, 5, 421, "\"coach\":\"paddock-1\""},
+      {"machine of a silent peer: lease renewed here", 1, true, false, 5, 200, "\"calls\":[]"},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -30,7 +30,7 @@
     GString *out = g_string_new(NULL);
     check_row(rows[i].name, send_heartbeat(fixture, 1, 1, rows[i].fencing_token, "", out) == rows[i].status);
     check_row(rows[i].name, body_contains(out, rows[i].text));
-    /* A renewal for a peer's machine is recorded, so that its owner can be informed. */
+    /* A renewal for a peer's machine is recorded, so that the owner can be informed. */
     check_row(rows[i].name, (machine->lease.answered_at > 0) == (rows[i].status == 200));
     g_string_free(out, TRUE);
     worker_fixture_free(fixture);
@@ -49,9 +49,9 @@
   worker_fixture_free(fixture);
 }
 
-/* A copy of a heartbeat may arrive at any later time, also at a member that has just become the owner.
- * It changes nothing, and no command counts as sent with its answer. */
-static void late_copies(void **state) {
+/* A copy of a heartbeat may arrive at any later time, also at a member that has just become the owner. It changes
+ * nothing, and no command counts as sent with the response. */
+static void delayed_copies(void **state) {
   (void)state;
   static const struct {
     const char *name;
@@ -85,17 +85,17 @@
 
 /* A member that becomes the owner keeps the order of heartbeats that it knew as a peer, so that it does
  * not apply a copy. */
-static void late_copy_after_a_change_of_owner(void **state) {
+static void delayed_copy_after_a_change_of_owner(void **state) {
   (void)state;
   worker_fixture *fixture = worker_fixture_new();
   fc_cluster *cluster = fixture->cluster;
   fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
   machine->owner = 1;
-  fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* we renew its lease for its owner */
+  fc_peers_at(fixture->peers, 0)->heard_at = -1e9; /* so that this member renews the lease for it */
   GString *out = g_string_new(NULL);
   assert_int_equal(send_heartbeat(fixture, 1, 20, 5, "", out), 200);
   double answered = machine->lease.answered_at;
-  assert_int_equal(send_heartbeat(fixture, 1, 19, 5, "", out), 503); /* nobody waits for this answer */
+  assert_int_equal(send_heartbeat(fixture, 1, 19, 5, "", out), 503); /* nobody waits for this response */
   assert_true(machine->lease.answered_at == answered);
   fc_cluster_assign_machine(cluster, machine, 1);
   assert_int_equal(machine->owner, 0);
@@ -106,20 +106,20 @@
   worker_fixture_free(fixture);
 }
 
-/* The arrival of a heartbeat proves only that the worker can send. Whether it receives our answers is
+/* The arrival of a heartbeat proves only that the worker can send. Whether it receives this member's responses is
  * derived from the time and the connection of its next heartbeat. */
 static void unidirectional_connections(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double since_answer, unidirectional_s; /* seconds before the heartbeat; < 0: not unidirectional until then */
-    uint64_t before, now;                  /* the connections of our last answer and of the heartbeat */
+    double since_response, unidirectional_s; /* seconds before the heartbeat; < 0: not unidirectional until then */
+    uint64_t before, now;                    /* the connections of the last response and of the heartbeat */
     double heartbeat_s;
     bool unidirectional, usable;
   } rows[] = {
       {"within the timeout", 2, -1, 1, 2, 2, false, true},
       {"within the timeout, after a late one", 2, 9, 1, 2, 2, false, true},
-      {"after the timeout", 5, -1, 1, 2, 2, true, true}, /* one answer may be lost */
+      {"after the timeout", 5, -1, 1, 2, 2, true, true}, /* one response may be lost */
       {"after the timeout again", 5, 6, 1, 2, 2, true, false},
       {"heartbeats are far apart, on another connection", 6, -1, 1, 2, 6, true, true},
       {"heartbeats are far apart, on the same connection", 6, 9, 7, 7, 6, false, true},
@@ -130,7 +130,7 @@
     worker_fixture *fixture = worker_fixture_new();
     fc_cluster *cluster = fixture->cluster;
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
-    machine->lease.answered_at = fc_now() - rows[i].since_answer;
+    machine->lease.answered_at = fc_now() - rows[i].since_response;
     machine->lease.connection = rows[i].before;
     fixture->connection = rows[i].now;
     fixture->settings.heartbeat_s = rows[i].heartbeat_s;
@@ -140,7 +140,7 @@
     double now = machine->agent.heard_at;
     check_row(rows[i].name, (machine->reachability.unidirectional_since != 0) == rows[i].unidirectional);
     check_row(rows[i].name, fc_machine_usable(cluster, machine, now) == rows[i].usable);
-    /* A worker that may not receive answers is probed, and is usable again once it answers. */
+    /* A worker that may not receive responses is probed, and is usable again once it answers. */
     check_row(rows[i].name, fc_machine_probes_check(fixture->probes, machine) == !rows[i].usable);
     g_string_free(out, TRUE);
     worker_fixture_free(fixture);
@@ -186,8 +186,8 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(answer_depends_on_owner_and_lease),
       cmocka_unit_test(worker_back_from_its_owner_is_answered),
-      cmocka_unit_test(late_copies),
-      cmocka_unit_test(late_copy_after_a_change_of_owner),
+      cmocka_unit_test(delayed_copies),
+      cmocka_unit_test(delayed_copy_after_a_change_of_owner),
       cmocka_unit_test(unidirectional_connections),
       cmocka_unit_test(restarted_worker),
       cmocka_unit_test(heartbeat_that_does_not_match_the_record),
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -8,7 +8,7 @@
   (void)state;
   static const struct {
     const char *name;
-    unsigned limit, under_way;
+    unsigned limit, in_flight;
     bool reconciled, probe, available;
   } rows[] = {
       {"the last for a command", 800, 99, true, false, true},
@@ -25,7 +25,7 @@
     if (!rows[i].reconciled) machine->reconciled_term = 0;
     machine->probe.wanted = rows[i].probe;
     fixture->settings.fd_limit = rows[i].limit;
-    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(fixture->calls);
+    for (unsigned j = 0; j < rows[i].in_flight; j++) fc_worker_calls_begin(fixture->calls);
     check_row(rows[i].name, fc_worker_calls_socket_available(fixture->calls, machine) == rows[i].available);
     worker_fixture_free(fixture);
   }
@@ -39,11 +39,11 @@
     const char *name;
     unsigned epoch, sequence; /* of that heartbeat; the last one received here had (2, 9) */
     double answered_s;        /* seconds since the peer answered it */
-    double asked_s;           /* seconds since the last probe; 0: never */
+    double probed_s;          /* seconds since the last probe; 0: never */
     int owner;
     bool probes;
   } rows[] = {
-      {"newer than ours", 2, 10, 5, 0, 0, false},
+      {"newer than the last one received here", 2, 10, 5, 0, 0, false},
       {"older, never probed", 2, 8, 5, 0, 0, true},
       {"of an earlier epoch", 1, 50, 5, 0, 0, true},
       {"older, probed before it was answered", 2, 8, 5, 6, 0, true},
@@ -59,7 +59,7 @@
     machine->agent.epoch = 2;
     machine->agent.sequence = 9;
     double now = fc_now();
-    machine->probe.confirmed_at = rows[i].asked_s > 0 ? now - rows[i].asked_s : 0;
+    machine->probe.confirmed_at = rows[i].probed_s > 0 ? now - rows[i].probed_s : 0;
     fc_frame_lease_renewal renewal = {.machine = "vm-1", .epoch = rows[i].epoch, .sequence = rows[i].sequence};
     renewal.age_ms = (uint32_t)(rows[i].answered_s * 1000);
     fc_reachability_note_renewal(fixture->cluster, &renewal, now);
@@ -68,21 +68,21 @@
   }
 }
 
-/* After a member's incarnation has ended, the machine counts as unreachable once this and every other
- * member have probed it since, recently, and none got an answer. */
+/* After a member's incarnation has ended, the machine counts as unreachable once this and every other member have
+ * probed it since, recently, and none got a response. */
 static void probed_by_all_in_vain(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    double ended, ours; /* seconds since the incarnation ended, and since our probe; 0: never */
+    double ended, own_probe; /* seconds since the incarnation ended, and since this member's probe; 0: never */
     bool answered;
-    double theirs; /* age in seconds of the peer's probe, as it acknowledges our view; -1: none */
+    double peer_probe; /* age in seconds of the peer's probe, as it acknowledges this member's view; -1: none */
     bool reached;
-    double view; /* seconds since we sent that view */
+    double view; /* seconds since this member sent that view */
     bool unreachable;
-    double again; /* seconds since the peer's next probe, without an answer; 0: none */
+    double again; /* seconds since the peer's next probe, without a response; 0: none */
   } rows[] = {
-      {"no answer to either", 5, 2, false, 1.5, false, 0.5, true, 0},
+      {"no response to either", 5, 2, false, 1.5, false, 0.5, true, 0},
       {"the peer has not probed", 5, 2, false, -1, false, 0.5, false, 0},
       {"the peer has reached it", 5, 2, false, 1.5, true, 0.5, false, 0},
       {"the peer has reached it, but not again", 5, 2, false, 1.5, true, 0.5, false, 0.5},
@@ -90,9 +90,9 @@
       {"the peer reached it before the end, and has not probed since", 5, 2, false, 6, true, 0.5, false, 0},
       {"the peer probed before the end", 5, 2, false, 5.5, false, 0.1, false, 0},
       {"the peer may have probed before the end: the view was sent long ago", 5, 2, false, 4.5, false, 1, false, 0},
-      {"we have not probed", 5, 0, false, 1.5, false, 0.5, false, 0},
-      {"we probed before the end", 5, 6, false, 1.5, false, 0.5, false, 0},
-      {"we were answered", 5, 2, true, 1.5, false, 0.5, false, 0},
+      {"this member has not probed", 5, 0, false, 1.5, false, 0.5, false, 0},
+      {"this member probed before the end", 5, 6, false, 1.5, false, 0.5, false, 0},
+      {"this member was answered", 5, 2, true, 1.5, false, 0.5, false, 0},
       {"probed long ago", 60, 30, false, 29, false, 0.5, false, 0},
       {"the peer probed long ago", 60, 2, false, 29, false, 0.5, false, 0},
   };
@@ -101,11 +101,11 @@
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     double now = fc_now();
     fc_leadership_term_applied(fixture->leadership, now - rows[i].ended, true);
-    machine->probe.sent_at = rows[i].ours > 0 ? now - rows[i].ours : 0;
+    machine->probe.sent_at = rows[i].own_probe > 0 ? now - rows[i].own_probe : 0;
     machine->probe.answered = rows[i].answered;
     fc_frame_probe probe = {
-        .machine = "vm-1", .age_ms = (uint32_t)(rows[i].theirs * 1000), .answered = rows[i].reached};
-    if (rows[i].theirs >= 0) fc_reachability_note_probe(fixture->cluster, 0, &probe, now - rows[i].view, now);
+        .machine = "vm-1", .age_ms = (uint32_t)(rows[i].peer_probe * 1000), .answered = rows[i].reached};
+    if (rows[i].peer_probe >= 0) fc_reachability_note_probe(fixture->cluster, 0, &probe, now - rows[i].view, now);
     probe.age_ms = (uint32_t)(rows[i].again * 1000);
     probe.answered = false;
     if (rows[i].again > 0) fc_reachability_note_probe(fixture->cluster, 0, &probe, now, now);
@@ -123,8 +123,8 @@
     int owner;
     double ended; /* seconds since another member's incarnation ended */
     bool reconciled, owner_suspects, endpoint_recorded;
-    double term, asked; /* seconds since the term was applied, and since the last probe */
-    unsigned under_way;
+    double term, probed; /* seconds since the term was applied, and since the last probe */
+    unsigned in_flight;
     bool probes;
   } rows[] = {
       {"its owner suspects it", 1, 5, true, true, true, 5, 10, 0, true},
@@ -143,18 +143,18 @@
     fc_machine *machine = fixture_machine(fixture->cluster, "vm-1", "a", false);
     double now = fc_now();
     fixture->settings.fd_limit = 800;
-    for (unsigned j = 0; j < rows[i].under_way; j++) fc_worker_calls_begin(fixture->calls);
+    for (unsigned j = 0; j < rows[i].in_flight; j++) fc_worker_calls_begin(fixture->calls);
     fc_leadership_term_applied(fixture->leadership, now - rows[i].ended, true);
     fc_leadership_term_applied(fixture->leadership, now - rows[i].term, false);
     machine->owner = rows[i].owner;
     machine->endpoint_recorded = rows[i].endpoint_recorded;
     machine->reachability.owner_suspects = rows[i].owner_suspects;
-    machine->probe.sent_at = now - rows[i].asked;
+    machine->probe.sent_at = now - rows[i].probed;
     machine->reconciled_term = rows[i].reconciled ? 5 : 0;
     g_strlcpy(machine->record.endpoint, "10.1.0.2:9000", sizeof machine->record.endpoint);
     fc_machine_probes_assist_owner(fixture->probes, machine);
     check_row(rows[i].name, machine->probe.in_flight == rows[i].probes);
-    check_row(rows[i].name, fc_worker_calls_in_flight(fixture->calls) == rows[i].under_way + rows[i].probes);
+    check_row(rows[i].name, fc_worker_calls_in_flight(fixture->calls) == rows[i].in_flight + rows[i].probes);
     worker_fixture_free(fixture);
   }
 }
--- a/tests/test_reconciler.c
+++ b/tests/test_reconciler.c
@@ -57,8 +57,8 @@
   }
 }
 
-/* A direct start without an answer may still arrive until the worker has shown a higher fencing token
- * than the start carried, or a later epoch than it named. */
+/* A direct start without a response may still arrive until the worker has shown a higher fencing token than the start
+ * carried, or a later epoch than it named. */
 static void unacknowledged_direct_starts(void **state) {
   (void)state;
   static const struct {
@@ -129,7 +129,7 @@
     bool fenced;           /* the machine was reconciled in this term before */
     bool reported;         /* the task was listed before */
     bool stopping;
-    bool started_again; /* by the answer */
+    bool started_again; /* by the response */
   } rows[] = {
       {"a later epoch", 2, 5, true, false, false, true},
       {"a later epoch, the task was listed before", 2, 5, true, true, false, true},
@@ -167,15 +167,14 @@
   }
 }
 
-/* A start was sent and never listed, on a machine of which only direct answers count. The outcome is
- * decided by the answer to a probe that was sent when no copy of the start could be executed any
- * more. */
+/* A start was sent and never listed, on a machine of which only responses to direct calls count. The outcome is decided
+ * by the response to a probe that was sent when no copy of the start could be executed any more. */
 static void starts_decided_by_direct_answers(void **state) {
   (void)state;
   static const struct {
     const char *name;
-    unsigned sent_sequence; /* of the heartbeat whose answer carried the start; 0: none did */
-    double sent_s, asked_s; /* seconds ago: that answer, the probe */
+    unsigned sent_sequence;  /* of the heartbeat whose response carried the start; 0: none did */
+    double sent_s, probed_s; /* seconds ago: that response, the probe */
     bool unacknowledged, stopping;
     bool left, sent; /* afterwards */
   } rows[] = {
@@ -204,7 +203,7 @@
     placement->start.direct_epoch = 1;
     placement->stop.requested = rows[i].stopping;
     fc_heartbeat heartbeat = {.machine = "vm-1", .epoch = 1, .sequence = 4, .fencing_token = 5, .spot_notice_s = -1};
-    fc_worker_calls_apply_answer(fixture->calls, machine, &heartbeat, now - rows[i].asked_s);
+    fc_worker_calls_apply_answer(fixture->calls, machine, &heartbeat, now - rows[i].probed_s);
     check_row(rows[i].name, machine->placements->len == (rows[i].left ? 1 : 0));
     if (rows[i].left) check_row(rows[i].name, placement->start.sent == rows[i].sent);
     worker_fixture_free(fixture);
--- a/tests/test_worker_commands.c
+++ b/tests/test_worker_commands.c
@@ -1,4 +1,4 @@
-/* Commands that a worker is sent with the answer to a heartbeat or by a direct call; no network. */
+/* Commands that a worker is sent with the response to a heartbeat or by a direct call; no network. */
 #include "worker_bench.h"
 
 /* A start is repeated until a heartbeat lists the task. While a copy of the start may still arrive, a heartbeat without
@@ -99,7 +99,7 @@
     fc_machine *machine = fixture_machine(cluster, "vm-1", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     if (rows[i].done_recorded) job->completion.bitmap[0] = 1;
-    /* The end is being recorded already; the answer to the heartbeat must not wait for that. */
+    /* The end is being recorded already; the response to the heartbeat must not wait for that. */
     fc_task_completion_record(fixture->completion, "job-000001");
     fc_placement *placement = fc_cluster_add_placement(cluster, machine, "job-000001", 0, 1, 0);
     placement->start.sent = placement->status.reported = true;
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -9,9 +9,9 @@
   (void)state;
   static const struct {
     const char *name;
-    double answered_s, epoch_s; /* seconds since our last answer, and since the epoch began */
+    double answered_s, epoch_s; /* seconds since this member's last response, and since the epoch began */
     unsigned renewed_sequence;  /* of a heartbeat that a peer has answered; the last one received here had 9; 0: none */
-    double renewed_s;           /* seconds since that answer */
+    double renewed_s;           /* seconds since that response */
     bool alone;                 /* sole member of the term; the peer may have joined since the last read */
     double read_s;              /* seconds since the last read of the store */
     bool expired;
@@ -117,14 +117,14 @@
   }
 }
 
-/* A start of unknown outcome that was sent since we became the machine's owner stays on the machine: a
- * worker that keeps running refuses it, but a restarted one would execute it (test_restarted_workers). */
+/* A start of unknown outcome that was sent since this member became the machine's owner stays on the machine: a worker
+ * that keeps running refuses it, but a restarted one would execute it (test_restarted_workers). */
 static void expiry_keeps_starts_of_unknown_outcome(void **state) {
   (void)state;
   static const struct {
     const char *name;
     fc_direct_start direct;
-    bool owned_since_then; /* the task was placed after we became the owner */
+    bool owned_since_then; /* the task was placed after this member became the owner */
     bool stopping, exited;
     bool kept, abandoned; /* afterwards */
   } rows[] = {
@@ -133,8 +133,8 @@
       {"unacknowledged", FC_DIRECT_START_UNACKNOWLEDGED, true, false, false, true, false},
       {"unacknowledged, to be stopped", FC_DIRECT_START_UNACKNOWLEDGED, true, true, false, true, true},
       {"unacknowledged, the task has exited", FC_DIRECT_START_UNACKNOWLEDGED, true, false, true, false, false},
-      {"unacknowledged, placed before we became the owner", FC_DIRECT_START_UNACKNOWLEDGED, false, false, false, false,
-       false},
+      {"unacknowledged, placed before this member became the owner", FC_DIRECT_START_UNACKNOWLEDGED, false, false,
+       false, false, false},
   };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
     worker_fixture *fixture = worker_fixture_new();
@@ -161,13 +161,13 @@
   (void)state;
   static const struct {
     const char *name;
-    double asked_s;           /* seconds since the probe; the lease is found to have expired now */
-    unsigned epoch, sequence; /* of the answer; 0: none */
+    double probed_s;          /* seconds since the probe; the lease is found to have expired now */
+    unsigned epoch, sequence; /* of the response; 0: none */
     bool reachable;           /* afterwards */
     unsigned epoch_after;
     bool restarted;
   } rows[] = {
-      {"no answer", 0, 0, 0, false, 2, false},
+      {"no response", 0, 0, 0, false, 2, false},
       {"probed before, answered in the ended epoch", 1, 1, 12, false, 2, false},
       {"probed before, answered in the next epoch", 1, 2, 12, true, 2, false},
       {"probed after, in the next epoch", -1, 2, 12, true, 2, false},
@@ -187,7 +187,7 @@
                            .fencing_token = 5,
                            .spot_notice_s = -1};
     uint64_t wakeups = fc_wakeups_count(fixture->wakeups, FC_WAKEUP_SCHEDULE);
-    if (rows[i].epoch) fc_worker_calls_apply_answer(fixture->calls, machine, &answer, now - rows[i].asked_s);
+    if (rows[i].epoch) fc_worker_calls_apply_answer(fixture->calls, machine, &answer, now - rows[i].probed_s);
     check_row(rows[i].name, fc_machine_reachable(fixture->cluster, machine, now) == rows[i].reachable);
     bool woken = fc_wakeups_count(fixture->wakeups, FC_WAKEUP_SCHEDULE) > wakeups;
     check_row(rows[i].name, woken == (rows[i].reachable && !rows[i].restarted));
