--- a/src/controller/heartbeats.c
+++ b/src/controller/heartbeats.c
@@ -11,7 +11,7 @@
 #define RESPONSE_RECENT_HEARTBEATS 2.0 /* an older response says nothing about the connection now */
 #define OWNER_SILENT_HEARTBEATS 1.5    /* an owner that is silent for longer counts as unreachable */
 #define OWNER_RECONCILES_LEASES 0.6    /* time for a new owner to call the machine itself */
-#define OWNER_SUSPECTS_LEASES 3.0      /* time for an owner that may have lost the machine to reach it */
+#define OWNER_SUSPECTS_LEASES 3.0      /* time for an owner that suspects the machine is lost to reach it */
 #define UNANSWERED_HEARTBEATS 2.0      /* a worker that this member has not answered for longer is not redirected */
 #define REDIRECT_SPACING_LEASES 0.6    /* least time between two redirects of the same worker */
 #define ERROR_BYTES 200
--- a/src/controller/leadership.c
+++ b/src/controller/leadership.c
@@ -109,8 +109,9 @@
                           sent_at, grant_s);
 }
 
-void fc_leadership_no_cancellation(fc_leadership *leadership, size_t peer, double sent_at, double quiet_since) {
-  fc_leader_lease_no_cancellation(&leadership->lease, peer, sent_at, quiet_since);
+void fc_leadership_no_cancellation(fc_leadership *leadership, size_t peer, double sent_at,
+                                   double no_cancellation_from) {
+  fc_leader_lease_no_cancellation(&leadership->lease, peer, sent_at, no_cancellation_from);
 }
 
 double fc_leadership_term_since(const fc_leadership *leadership) {
--- a/src/controller/leadership.h
+++ b/src/controller/leadership.h
@@ -53,8 +53,8 @@
  * seconds not to commit a term without this member. */
 void fc_leadership_granted(fc_leadership *leadership, size_t peer, double sent_at, double grant_s);
 /* Records that peer number `peer`, in reply to a message sent at monotonic time `sent_at`, has learned of no
- * cancellation since `quiet_since`. */
-void fc_leadership_no_cancellation(fc_leadership *leadership, size_t peer, double sent_at, double quiet_since);
+ * cancellation since monotonic time `no_cancellation_from`. */
+void fc_leadership_no_cancellation(fc_leadership *leadership, size_t peer, double sent_at, double no_cancellation_from);
 
 /* Monotonic time at which the current term was applied here. */
 double fc_leadership_term_since(const fc_leadership *leadership);
--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -74,8 +74,8 @@
   return false;
 }
 
-/* Replaces the current term by `next`. `excluded`: the commit also requires that the lease of this
- * member has expired; NULL: no member is excluded. */
+/* Replaces the current term by `next`. `excluded`: name of the member that is excluded, whose lease must have expired
+ * for the commit to succeed; NULL: none. */
 static fc_kv_result commit_term(fc_membership_routine *routine, const fc_term *next, const char *excluded) {
   fc_txn *txn = fc_txn_new();
   fc_txn_compare(txn, FC_KEY_TERM, routine->cluster->membership.term_version);
