--- a/src/controller/membership.c
+++ b/src/controller/membership.c
@@ -8,7 +8,7 @@
 
 /* Upper bounds of the random delay before a retry. */
 #define LEASE_RETRY_S 0.3
-#define ENTRY_RETRY_S 0.1
+#define JOIN_RETRY_S 0.1
 
 /* Shares of the member lease. */
 #define TICK_LEASES 0.04
@@ -74,8 +74,8 @@
   return false;
 }
 
-/* Replaces the current term by `next`. `excluded`: the commit also requires that the lease of this
- * member has expired; NULL: no member is excluded. */
+/* Replaces the current term by `next`. `excluded`: name of the member that is excluded, whose lease must have expired
+ * for the commit to succeed; NULL: none. */
 static fc_kv_result commit_term(fc_membership_routine *routine, const fc_term *next, const char *excluded) {
   fc_txn *txn = fc_txn_new();
   fc_txn_compare(txn, FC_KEY_TERM, routine->cluster->membership.term_version);
@@ -103,7 +103,7 @@
 
 /* Joins by committing a new term, also when the current one already lists this member: commands of
  * an earlier incarnation may still be in flight with the old fencing token. */
-static bool enter_term(fc_membership_routine *routine) {
+static bool join_term(fc_membership_routine *routine) {
   const fc_membership *membership = &routine->cluster->membership;
   const char *name = routine->cluster->settings->name;
   fc_term next = membership->term;
@@ -120,7 +120,7 @@
   qsort(next.members, next.count, sizeof next.members[0], compare_names);
   (void)commit_term(routine, &next, NULL);
   if (!fc_leadership_in_term(routine->leadership)) return false;
-  fc_leadership_entered(routine->leadership);
+  fc_leadership_joined(routine->leadership);
   return true;
 }
 
@@ -130,7 +130,7 @@
   return g_hash_table_lookup(routine->cluster->membership.keys, name) == NULL;
 }
 
-/* Steady time at which the member's lease was first seen expired; inserts the present time if new. */
+/* Monotonic time at which the member's lease was first seen expired; inserts the current time if new. */
 static double absent_since(GHashTable *absences, const char *name) {
   double *since = g_hash_table_lookup(absences, name);
   if (!since) {
@@ -167,7 +167,7 @@
   g_info("exclusion from the term member=%s result=%d", name, result);
 }
 
-/* Excludes the first member that has been absent for long enough and whose grant from us, if any, has
+/* Excludes the first member that has been absent for long enough and whose grant from this controller, if any, has
  * expired. */
 static void exclude_expired(fc_membership_routine *routine, GHashTable *absences) {
   const fc_membership *membership = &routine->cluster->membership;
@@ -190,7 +190,7 @@
 
 typedef enum { LEASE_HELD, LEASE_GONE } lease_state;
 
-/* Renews the lease when it is due. *renewed_at: steady time of the last successful renewal. */
+/* Renews the lease when it is due. *renewed_at: monotonic time of the last successful renewal. */
 static lease_state renew_lease(fc_membership_routine *routine, double *renewed_at) {
   double now = fc_now();
   if (now < *renewed_at + fc_leadership_lease_s(routine->leadership) * RENEWAL_LEASES) return LEASE_HELD;
@@ -243,10 +243,10 @@
       continue;
     }
     while (!fc_leadership_incarnation(leadership) && lease_valid(routine))
-      if (!assign_incarnation(routine)) pause_before_retry(ENTRY_RETRY_S);
+      if (!assign_incarnation(routine)) pause_before_retry(JOIN_RETRY_S);
     if (!fc_leadership_incarnation(leadership)) continue;
     while (!fc_leadership_in_term(leadership) && lease_valid(routine))
-      if (!enter_term(routine)) pause_before_retry(ENTRY_RETRY_S);
+      if (!join_term(routine)) pause_before_retry(JOIN_RETRY_S);
     if (fc_leadership_in_term(leadership)) serve_as_member(routine);
   }
 }
--- a/src/controller/quota_shares.c
+++ b/src/controller/quota_shares.c
@@ -112,15 +112,15 @@
   /* Any member may write them; the delays are staggered, and the first member of the term has none. */
   if (now < term_since + settings->operator_settings.round_s * FIRST_WRITE_ROUNDS * cluster->membership.self)
     return false;
-  /* An unresponsive machine of a dead owner would block all members for a worker lease, so after a while it counts as
-   * full instead. On reconciled machines the use can only have shrunk since. Members that have not acknowledged the
+  /* An unresponsive machine of a crashed owner would block all members for a worker lease, so after a while it counts
+   * as full instead. On reconciled machines the use can only have shrunk since. Members that have not acknowledged the
    * term are still waited for. */
   bool reconciled = fc_cluster_update_reconciled(cluster);
   if (fc_quota_plan_carry_over(cluster, shares->next)) return true;
   if (!reconciled && (now < term_since + settings->heartbeat_s * RECONCILIATION_HEARTBEATS ||
                       !fc_peers_all_renewals_known(shares->peers, term_since)))
     return false;
-  fc_quota_tally_take(cluster, !reconciled, shares->tally);
+  fc_quota_tally_compute(cluster, !reconciled, shares->tally);
   return fc_quota_plan_divide(cluster, shares->tally, shares->next) || reconciled;
 }
 
@@ -148,7 +148,7 @@
 /* Plans a change of this member's shares. Returns false if nothing is to be written. */
 static bool plan_change(fc_quota_shares *shares) {
   *shares->next = shares->cluster->quota.record;
-  fc_quota_tally_take(shares->cluster, false, shares->tally);
+  fc_quota_tally_compute(shares->cluster, false, shares->tally);
   fc_quota_room_find_unplaceable(shares->cluster, shares->next, shares->tally, fc_now());
   log_demand(shares);
   /* While there are caps the record is written even if unchanged: otherwise a write of unknown outcome would leave them
