--- a/src/controller/archive_lookup.h
+++ b/src/controller/archive_lookup.h
@@ -10,7 +10,7 @@
 typedef enum {
   FC_ARCHIVE_FOUND,
   FC_ARCHIVE_MISSING,     /* there is no archived job of that id */
-  FC_ARCHIVE_UNAVAILABLE, /* unknown: the rate limit is reached, or the store did not answer */
+  FC_ARCHIVE_UNAVAILABLE, /* unknown: the rate limit is reached, or the store did not respond */
 } fc_archive_result;
 
 typedef struct fc_archive_lookup fc_archive_lookup;
--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -3,8 +3,8 @@
 #include "bookkeeping/dependencies.h"
 
 #define PAUSE_ROUNDS 2.5     /* between two passes, in intervals of scheduling rounds */
-#define WRITE_RATE_SHARE 0.5 /* the most that it uses of this member's write rate */
-#define WRITES_PER_JOB 2     /* deletes one key and puts another */
+#define WRITE_RATE_SHARE 0.5 /* the most that archiving uses of this member's write rate */
+#define WRITES_PER_JOB 2     /* one key is deleted, another written */
 
 struct fc_archiver {
   fc_cluster *cluster;
@@ -54,8 +54,8 @@
                               fc_now() + archiver->cluster->settings->lease_s, NULL);
 }
 
-/* Whether this controller may archive the job: it ended before `before`, nothing needs its record any more, and
- * we own its first slice. */
+/* Whether this controller may archive the job: the job ended before `before`, nothing needs its record
+ * any more, and this controller owns its first slice. */
 static bool is_archivable(const fc_cluster *cluster, const fc_job *job, double before) {
   if (!job->lifecycle.ended_at || job->lifecycle.ended_at > before || job->placements->len > 0) return false;
   /* Dependent jobs read the end of the job from its record. */
--- a/src/controller/cancellations.h
+++ b/src/controller/cancellations.h
@@ -16,9 +16,10 @@
 fc_cancellations *fc_cancellations_new(fc_cluster *cluster, fc_wakeups *wakeups);
 void fc_cancellations_free(fc_cancellations *cancellations);
 
-/* Applies a committed cancellation, which we have written, read, or received from a peer: no task of
- * the job is started any more, running tasks are stopped, and peers are informed. `revision` is that
- * of its transaction; `since` (monotonic time): no user had it confirmed earlier. */
+/* Applies a committed cancellation that this process has written, read, or received from a peer: no
+ * task of the job is started any more, running tasks are stopped, and peers are informed. `revision` is
+ * that of its transaction; `since` is the earliest monotonic time at which a user may have had it
+ * confirmed. */
 void fc_cancellations_learned(fc_cancellations *cancellations, const char *job, uint64_t revision, double since);
 /* Applies cancellations that a peer has sent. */
 void fc_cancellations_learned_from_peer(fc_cancellations *cancellations, const fc_frame_cancellation *list,
--- a/src/controller/decided_write.c
+++ b/src/controller/decided_write.c
@@ -1,6 +1,6 @@
 #include "controller/decided_write.h"
 
-#define RETRY_HEARTBEATS 0.1
+#define RETRY_PAUSE_HEARTBEATS 0.1
 
 static void wait_for_revision(fc_kv_watch *watch, uint64_t revision, double heartbeat_s) {
   while (!fc_kv_watch_wait_revision(watch, revision, fc_now() + heartbeat_s) && !fc_routine_cancelled()) {
@@ -29,7 +29,7 @@
     if (result == FC_KV_CONFLICT) break;
     maybe_executed |= result == FC_KV_UNKNOWN;
     if (!maybe_executed) return;
-    (void)fc_routine_sleep(heartbeat_s * RETRY_HEARTBEATS);
+    (void)fc_routine_sleep(heartbeat_s * RETRY_PAUSE_HEARTBEATS);
   }
   /* The conflict may be with an earlier copy of this write, whose effect has to be read first. */
   wait_for_fresh_read(watch, heartbeat_s);
--- a/src/controller/kv_watch.c
+++ b/src/controller/kv_watch.c
@@ -8,7 +8,7 @@
 #define PAGE_ROWS_MAX 1000u   /* the most that the store returns at once */
 #define PAGE_ROWS_MIN 100u    /* every page costs a round trip */
 #define ROW_PARSE_CPU_S 10e-6 /* CPU time to parse one row; rows of 310 bytes take 13e-6 */
-#define PAGE_PARSE_S 0.05     /* heartbeats are delayed by no more than this for a page */
+#define PAGE_PARSE_S 0.05     /* parsing a page delays heartbeats by no more than this */
 #define PAGE_PAUSE_S 0.03     /* between two pages */
 #define PAGE_TIMEOUT_S 2.0
 #define LOAD_RETRY_MIN_S 0.2
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -41,7 +41,7 @@
   uint64_t reads;      /* reads of changes from the key-value store */
   uint64_t heartbeats; /* well-formed ones from workers */
   uint64_t requests;   /* HTTP requests at the client address */
-  uint64_t exchanges;  /* with peers, attempts included */
+  uint64_t exchanges;  /* of views with peers, failed attempts included */
   uint64_t views_received;
   uint64_t worker_calls;         /* direct calls sent to workers */
   uint64_t expired_leases;       /* of workers, at most once per epoch */
--- a/src/controller/peer_view.c
+++ b/src/controller/peer_view.c
@@ -119,7 +119,7 @@
 
 /* Whether the view for the peer must include the machine: the view is complete, the machine has changed
  * since the acknowledged view, or the peer had not read the machine's current record by then. A peer
- * ignores what we send of a machine while it does not know that we own it. */
+ * ignores what a view states of a machine while it does not know that the sender owns the machine. */
 static bool needs_sending(const fc_peer *peer, const fc_machine *machine) {
   const fc_peer_acknowledged *acknowledged = &peer->acknowledged;
   return !acknowledged->sequence || machine->view.changed_in > acknowledged->view_number ||
@@ -194,7 +194,7 @@
     placement->status.running_since = now;
 }
 
-/* Replaces our placements on the machine by the task list of its owner. */
+/* Replaces the known placements on the machine by the task list of its owner. */
 static void apply_machine(fc_cluster *cluster, fc_machine *machine, const fc_frame_machine *described) {
   double now = fc_now();
   for (guint i = 0; i < machine->placements->len; i++)
@@ -219,7 +219,7 @@
   received->partial_sequence = view->sequence;
   bool base_missing = view->base && view->base != received->sequence;
   received->next_piece = base_missing ? SKIP_VIEW : 0;
-  /* Until its last piece has arrived, we hold neither the old view nor the new one completely. */
+  /* Until its last piece has arrived, neither the old view nor the new one is complete here. */
   received->sequence = 0;
   return true;
 }
--- a/src/controller/peer_view.h
+++ b/src/controller/peer_view.h
@@ -30,13 +30,14 @@
  * (seconds), but is short enough that peers learn of changes within a heartbeat interval. */
 double fc_peer_view_min_interval_s(const fc_settings *settings, double lag_s);
 
-/* Appends the frames of a view for the peer to `out`: all our machines, or those that have changed
- * since the newest view that it has acknowledged. `sequence` numbers the view on the link. */
+/* Appends the frames of a view for the peer to `out`: all machines of this controller, or those that
+ * have changed since the newest view that the peer has acknowledged. `sequence` numbers the view on the
+ * link. */
 void fc_peer_views_encode(fc_peer_views *views, const fc_peer *peer, uint64_t sequence, GByteArray *out);
 
 typedef enum {
   FC_VIEW_OUT_OF_ORDER, /* pieces are missing, or the view is outdated: the link must be closed */
-  FC_VIEW_IGNORED,      /* of another term or incarnation, or based on a view that we don't hold */
+  FC_VIEW_IGNORED,      /* of another term or incarnation, or based on a view that is missing here */
   FC_VIEW_APPLIED,      /* the piece; with the last one, the whole view */
 } fc_view_result;
 
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -1,5 +1,6 @@
 /* State of the other controllers named in the settings: what each has reported, and how far it has
- * acknowledged our views. The view sender and receiver update it; it holds no connections. */
+ * acknowledged this controller's views. The view sender and receiver update it; it holds no
+ * connections. */
 #ifndef FC_CONTROLLER_PEERS_H
 #define FC_CONTROLLER_PEERS_H
 
@@ -19,8 +20,8 @@
 
 /* What a peer's incarnation in the current term has acknowledged; 0: nothing yet. */
 typedef struct fc_peer_acknowledged {
-  double renewals_known_until; /* we know of every worker lease that it renewed before this time */
-  uint64_t view_number;        /* fc_cluster.view_number of the newest of our views that it has applied */
+  double renewals_known_until; /* every worker lease that it renewed before this time is known here */
+  uint64_t view_number;        /* fc_cluster.view_number of the newest view that it has applied */
   uint64_t revision;           /* of its cluster state when it applied that view */
   uint64_t sequence;           /* of that view on the link; 0: the next view has to be complete */
 } fc_peer_acknowledged;
@@ -28,7 +29,7 @@
 /* Times are those of the monotonic clock (fc_now()), in seconds. */
 typedef struct fc_peer {
   const fc_peer_settings *settings;
-  double grant_given_until; /* until then we commit no term that excludes it */
+  double grant_given_until; /* until then this controller commits no term that excludes it */
   double kv_read_at;        /* its last read of the key-value store that it has reported */
   double heard_at;          /* when its last acknowledgement arrived */
   uint64_t revision;        /* up to which it has read the key-value store, as last reported */
--- a/src/controller/readiness.h
+++ b/src/controller/readiness.h
@@ -14,9 +14,10 @@
 fc_readiness *fc_readiness_new(const fc_cluster *cluster, const fc_leadership *leadership, fc_peers *peers);
 
 /* Ready while this controller reaches the key-value store and knows the machine types. While no
- * controller reaches the store we stay ready, and refuse at once what we can't serve: leaving the load
- * balancer would only prolong the outage by its delays. Not ready if a peer still reaches the store
- * and can serve users instead, or if we reach no peer either and have lost the leadership. */
+ * controller reaches the store, this one stays ready and refuses at once what it can't serve: leaving
+ * the load balancer would only prolong the outage by the balancer's delays. Not ready if a peer still
+ * reaches the store and can serve users instead, or if this controller reaches no peer either and has
+ * lost its leadership. */
 bool fc_readiness_is_ready(const fc_readiness *readiness);
 
 #endif
--- a/src/controller/record_applier.c
+++ b/src/controller/record_applier.c
@@ -37,7 +37,7 @@
 }
 
 /* Whether this incarnation of this controller is a member of the term. */
-static bool names_us(const fc_record_applier *applier, const fc_term *term) {
+static bool includes_this_incarnation(const fc_record_applier *applier, const fc_term *term) {
   int index = fc_term_find(term, applier->cluster->settings->name);
   return index >= 0 && term->members[index].incarnation == fc_leadership_incarnation(applier->leadership);
 }
@@ -51,14 +51,14 @@
     return;
   }
   if (term.number <= membership->term.number && membership->term_version) return;
-  bool ours = names_us(applier, &term);
-  bool continuous = ours && fc_leadership_in_term(applier->leadership);
+  bool self_in_term = includes_this_incarnation(applier, &term);
+  bool continuous = self_in_term && fc_leadership_in_term(applier->leadership);
   bool left = membership->term_version && peer_left(membership, &term);
   fc_peers_reset_acknowledged(applier->peers);
   double now = fc_now();
   fc_cluster_apply_term(cluster, &term, change->version, continuous, now);
-  /* The member of our name is another incarnation, which owns that shard. */
-  if (membership->self >= 0 && !ours) membership->self = -1;
+  /* The member of this name is another incarnation, which owns that member's shard. */
+  if (membership->self >= 0 && !self_in_term) membership->self = -1;
   fc_leadership_term_applied(applier->leadership, now, left);
   g_info("term number=%" G_GUINT64_FORMAT " members=%zu self=%d continuous=%d", (guint64)term.number, term.count,
          membership->self, continuous);
--- a/src/controller/record_applier.h
+++ b/src/controller/record_applier.h
@@ -23,8 +23,9 @@
  * read as a change, in the order of revisions, and not as part of a snapshot. A malformed record is
  * logged and skipped. */
 void fc_record_applier_apply(fc_record_applier *applier, const fc_kv_change *change, bool ordered);
-/* After a snapshot as of the revision: removes everything not newer than it whose key is not in
- * `present`, a set of strings. */
+/* After a snapshot as of the revision: removes the jobs, descriptions, machines, members' keys and
+ * rentals whose key is not in `present`, a set of strings. Jobs, descriptions and machines newer than
+ * the revision stay. */
 void fc_record_applier_retain(fc_record_applier *applier, GHashTable *present, uint64_t revision);
 
 #endif
--- a/src/controller/status_log.c
+++ b/src/controller/status_log.c
@@ -8,12 +8,12 @@
 #define SILENT_HEARTBEATS 2
 
 typedef struct job_summary {
-  unsigned pending;    /* our runnable jobs with tasks to place */
-  unsigned unresolved; /* our runnable jobs whose slices are not resolved */
+  unsigned pending;    /* this controller's runnable jobs with tasks to place */
+  unsigned unresolved; /* this controller's runnable jobs whose slices are not resolved */
 } job_summary;
 
 typedef struct machine_summary {
-  unsigned ours, silent;       /* in our shard */
+  unsigned owned, silent;      /* in the shard of this controller */
   unsigned unreconciled;       /* in all shards */
   const char *unreconciled_id; /* of one of them; "-" if there are none */
 } machine_summary;
@@ -35,9 +35,9 @@
   double silent_since = fc_now() - cluster->settings->heartbeat_s * SILENT_HEARTBEATS;
   fc_machine_iter machine_iter = fc_cluster_machines(cluster);
   for (const fc_machine *machine; (machine = fc_machine_iter_next(&machine_iter));) {
-    bool ours = fc_machine_owned_by_self(cluster, machine);
-    summary.ours += ours;
-    summary.silent += ours && machine->agent.heard_at < silent_since;
+    bool owned = fc_machine_owned_by_self(cluster, machine);
+    summary.owned += owned;
+    summary.silent += owned && machine->agent.heard_at < silent_since;
     if (!machine->record_version || fc_machine_reconciled(cluster, machine)) continue;
     summary.unreconciled++;
     summary.unreconciled_id = machine->id;
@@ -53,8 +53,8 @@
          " waiting=%u unclear=%u machines=%u silent=%u unsettled=%u e.g. %s routines=%zu",
          (guint64)cluster->membership.term.number, cluster->membership.self, fc_leadership_held(sources->leadership),
          fc_now() - cluster->sync.read_at, fc_cluster_fully_reconciled(cluster), (guint64)cluster->quota.record.term,
-         jobs.pending, jobs.unresolved, machines.ours, machines.silent, machines.unreconciled, machines.unreconciled_id,
-         fc_routine_count());
+         jobs.pending, jobs.unresolved, machines.owned, machines.silent, machines.unreconciled,
+         machines.unreconciled_id, fc_routine_count());
 }
 
 static void log_counters(const fc_counters *counters) {
--- a/src/controller/view_receiver.c
+++ b/src/controller/view_receiver.c
@@ -54,7 +54,7 @@
       peer->backlog = view->backlog;
       peer->backlog_at = now;
     }
-    /* A peer that has not reported lately may be writing, and only be disconnected from us. */
+    /* A peer that has not reported lately may still be writing, and only be disconnected from this controller. */
     all += 1 + (now < peer->backlog_at + heartbeat_s ? peer->backlog : 0);
   }
   fc_group_commit_set_share(receiver->deps.commit, own / all, 1.0 / (double)(fc_peers_count(peers) + 1));
@@ -62,15 +62,15 @@
 
 /* ---- acknowledgements ---- */
 
-/* For how many seconds from now we commit no term that excludes the sender; 0: no grant. */
+/* For how many seconds from now this controller commits no term that excludes the sender; 0: no grant. */
 static double make_grant_s(fc_view_receiver *receiver, const fc_view *view) {
   const fc_leadership *leadership = receiver->deps.leadership;
   const fc_term *term = &receiver->deps.cluster->membership.term;
   /* A term transaction whose outcome is unknown may exclude the sender at any time. */
   if (fc_leadership_term_write_pending(leadership)) return 0;
   double duration_s = fc_leadership_lease_s(leadership);
-  /* A controller outside the term can't exclude anybody: its entry keeps all members, and afterwards
-   * it waits longer than this grant (fc_leader_lease_exclusion_wait_s). */
+  /* A controller outside the term can't exclude anybody: the term in which it joins keeps all members,
+   * and afterwards it waits longer than this grant (fc_leader_lease_exclusion_wait_s()). */
   if (!fc_leadership_in_term(leadership)) return duration_s;
   int sender = fc_term_find(term, view->sender);
   if (sender < 0 || view->incarnation != term->members[sender].incarnation) return 0;
@@ -96,7 +96,7 @@
   g_array_append_val(probes, probe);
 }
 
-/* Lists the machines of other members whose lease we have renewed, and those that we have probed. */
+/* Lists the machines of other members whose lease this controller has renewed, and those that it has probed. */
 static void describe_foreign_machines(const fc_cluster *cluster, fc_ack *ack) {
   double now = fc_now(), since = now - cluster->settings->lease_s * FOREIGN_MACHINE_LEASES;
   GArray *renewals = g_array_new(FALSE, TRUE, sizeof(fc_frame_lease_renewal));
@@ -127,7 +127,7 @@
   bool complete =
       fc_cancellations_since(receiver->deps.cancellations, view->revision, &ack.cancellations, &ack.cancellation_count);
   /* Until the store has been read completely, a former incarnation of this controller may have
-   * confirmed cancellations that we don't know of. */
+   * confirmed cancellations that are unknown here. */
   ack.cancellations_complete = complete && cluster->sync.loaded;
   describe_foreign_machines(cluster, &ack);
   g_strlcpy(ack.sender, cluster->settings->name, sizeof ack.sender);
--- a/src/controller/view_receiver.h
+++ b/src/controller/view_receiver.h
@@ -1,5 +1,5 @@
-/* Serves the peer address: applies the views of peers and acknowledges them, with what we have read
- * and what we grant, and answers operators' HTTP requests for the metrics. */
+/* Serves the peer address: applies the views of peers, acknowledges them with what this controller has
+ * read and grants, and answers operators' HTTP requests for the metrics. */
 #ifndef FC_CONTROLLER_VIEW_RECEIVER_H
 #define FC_CONTROLLER_VIEW_RECEIVER_H
 
--- a/src/controller/view_sender.c
+++ b/src/controller/view_sender.c
@@ -65,8 +65,8 @@
   fc_cancellations_learned_from_peer(sender->cancellations, ack->cancellations, ack->cancellation_count);
   peer->revision = ack->revision;
   fc_cancellations_trim(sender->cancellations, fc_peers_common_revision(sender->peers));
-  /* If the list is complete, we know every cancellation that the peer knows, and stop the tasks
-   * concerned: there is none that only the peer has learned of. */
+  /* If the list is complete, this controller now knows every cancellation that the peer knows, and
+   * stops the tasks concerned: there is none that only the peer has learned of. */
   double quiet_since = ack->cancellations_complete ? -INFINITY : now - ack->no_cancellation_ms / FC_MS_PER_S;
   fc_leadership_no_cancellation(sender->leadership, link->peer, sent->sent_at, quiet_since);
 }
@@ -85,7 +85,8 @@
          term->members[member].incarnation == ack->incarnation;
 }
 
-/* Applies what the peer, as a member of the current term, has acknowledged and reports of our machines. */
+/* Applies what the peer, as a member of the current term, has acknowledged, and what it reports of the
+ * machines of this controller. */
 static void apply_acknowledged(peer_link *link, const fc_ack *ack, const sent_view *sent) {
   fc_view_sender *sender = link->sender;
   fc_peer_acknowledged *acknowledged = &fc_peers_at(sender->peers, link->peer)->acknowledged;
--- a/src/controller/view_sender.h
+++ b/src/controller/view_sender.h
@@ -1,6 +1,6 @@
-/* Sends our views to every peer, over one link and in one routine each, and applies the
- * acknowledgements: what the peer has read, what it grants us, and which of our machines it has
- * reached. */
+/* Sends the views of this controller to every peer, over one link and in one routine each, and applies
+ * the acknowledgements: what the peer has read, what it grants, and which machines of this controller
+ * it has reached. */
 #ifndef FC_CONTROLLER_VIEW_SENDER_H
 #define FC_CONTROLLER_VIEW_SENDER_H
 
