--- a/src/protocol/cloud_api.c
+++ b/src/protocol/cloud_api.c
@@ -76,20 +76,20 @@
   }
 }
 
-/* Makes the call. On FC_CLOUD_OK *answer is a reference to the body, owned by the caller; else NULL. */
+/* Makes the call. On FC_CLOUD_OK *response is a reference to the body, owned by the caller; else NULL. */
 static fc_cloud_result call_cloud(fc_cloud *cloud, const char *method, const char *path, json_t *body, double deadline,
-                                  json_t **answer) {
+                                  json_t **response) {
   fc_json_reply reply = fc_json_call(cloud->http, method, path, body, deadline);
   fc_cloud_result result = result_of_reply(&reply);
-  *answer = result == FC_CLOUD_OK ? json_incref(reply.object) : NULL;
+  *response = result == FC_CLOUD_OK ? json_incref(reply.object) : NULL;
   fc_json_reply_clear(&reply);
   return result;
 }
 
-/* Decodes the array `field` of an answer; returns `malformed` if the answer has no such array. */
-static fc_cloud_result read_list(const json_t *answer, const char *field, fc_json_decoder decode,
+/* Decodes the array `field` of a response; returns `malformed` if there is no such array. */
+static fc_cloud_result read_list(const json_t *response, const char *field, fc_json_decoder decode,
                                  fc_cloud_result malformed, GPtrArray *out) {
-  const json_t *list = json_object_get(answer, field);
+  const json_t *list = json_object_get(response, field);
   if (!json_is_array(list)) return malformed;
   (void)fc_json_decode_list(list, decode, out);
   return FC_CLOUD_OK;
@@ -144,10 +144,10 @@
 }
 
 fc_cloud_result fc_cloud_types(fc_cloud *cloud, double deadline, GPtrArray *out) {
-  json_auto_t *answer = NULL;
-  fc_cloud_result result = call_cloud(cloud, "GET", TYPES_PATH, NULL, deadline, &answer);
+  json_auto_t *response = NULL;
+  fc_cloud_result result = call_cloud(cloud, "GET", TYPES_PATH, NULL, deadline, &response);
   if (result != FC_CLOUD_OK) return result;
-  return read_list(answer, FIELD_TYPES, decode_type, FC_CLOUD_REFUSED, out);
+  return read_list(response, FIELD_TYPES, decode_type, FC_CLOUD_REFUSED, out);
 }
 
 /* ---- machines ---- */
@@ -161,19 +161,19 @@
                               unsigned count, double deadline, GPtrArray *out) {
   json_t *body = json_pack("{ss ss ss sb si}", FIELD_RENTAL, rental, FIELD_TYPE, type, FIELD_ZONE, zone, FIELD_SPOT,
                            (int)spot, FIELD_COUNT, (int)count);
-  json_auto_t *answer = NULL;
-  fc_cloud_result result = call_cloud(cloud, "POST", MACHINES_PATH, body, deadline, &answer);
+  json_auto_t *response = NULL;
+  fc_cloud_result result = call_cloud(cloud, "POST", MACHINES_PATH, body, deadline, &response);
   if (result != FC_CLOUD_OK) return result;
   /* Without a list of ids it is unknown which machines were rented. */
-  return read_list(answer, FIELD_MACHINES, decode_id, FC_CLOUD_UNKNOWN, out);
+  return read_list(response, FIELD_MACHINES, decode_id, FC_CLOUD_UNKNOWN, out);
 }
 
 fc_cloud_result fc_cloud_release(fc_cloud *cloud, const char *const *ids, size_t count, double deadline) {
   json_t *list = json_array();
   for (size_t i = 0; i < count; i++) json_array_append_new(list, json_string(ids[i]));
   json_t *body = json_pack("{so}", FIELD_MACHINES, list);
-  json_auto_t *answer = NULL;
-  return call_cloud(cloud, "POST", RELEASE_PATH, body, deadline, &answer);
+  json_auto_t *response = NULL;
+  return call_cloud(cloud, "POST", RELEASE_PATH, body, deadline, &response);
 }
 
 void fc_listed_machine_free(gpointer data) {
@@ -217,10 +217,10 @@
   g_autoptr(GString) path = g_string_new(MACHINES_PATH "?");
   if (after) g_string_append_printf(path, QUERY_FROM "%s&", after);
   g_string_append_printf(path, QUERY_PAGE "%u", limit);
-  json_auto_t *answer = NULL;
+  json_auto_t *response = NULL;
   *more = false;
-  fc_cloud_result result = call_cloud(cloud, "GET", path->str, NULL, deadline, &answer);
+  fc_cloud_result result = call_cloud(cloud, "GET", path->str, NULL, deadline, &response);
   if (result != FC_CLOUD_OK) return result;
-  *more = json_is_true(json_object_get(answer, FIELD_MORE));
-  return read_list(answer, FIELD_MACHINES, decode_machine, FC_CLOUD_REFUSED, out);
+  *more = json_is_true(json_object_get(response, FIELD_MORE));
+  return read_list(response, FIELD_MACHINES, decode_machine, FC_CLOUD_REFUSED, out);
 }
--- a/src/protocol/cloud_api.h
+++ b/src/protocol/cloud_api.h
@@ -35,8 +35,8 @@
   FC_CLOUD_NO_CAPACITY, /* of this type in this zone: not executed */
   FC_CLOUD_BUSY,        /* rate limited: not executed */
   FC_CLOUD_DOWN,        /* unavailable or no connection: not executed */
-  FC_CLOUD_UNKNOWN,     /* no usable answer: it may have been executed, or may still be */
-  FC_CLOUD_REFUSED,     /* malformed request or answer */
+  FC_CLOUD_UNKNOWN,     /* no usable response: it may have been executed, or may still be */
+  FC_CLOUD_REFUSED,     /* malformed request or response */
 } fc_cloud_result;
 
 typedef struct fc_cloud fc_cloud;
@@ -46,8 +46,8 @@
 void fc_machine_type_free(gpointer type);
 void fc_listed_machine_free(gpointer machine);
 
-/* Each of the calls below may suspend the calling routine. `out` receives the elements of the
- * answer and owns them; malformed elements are skipped. */
+/* Each of the calls below may suspend the calling routine. `out` receives the elements of the response
+ * and owns them; malformed elements are skipped. */
 
 /* Lists the machine types. `out` receives fc_machine_type. */
 fc_cloud_result fc_cloud_types(fc_cloud *cloud, double deadline, GPtrArray *out);
--- a/src/protocol/job.c
+++ b/src/protocol/job.c
@@ -33,7 +33,7 @@
 #define FIELD_DEADLINE "whistleS"
 #define FIELD_DEPENDENCIES "awaits"
 
-/* Fields of answers. */
+/* Fields of responses. */
 #define FIELD_STATUS "status"
 #define FIELD_DONE "done"
 #define FIELD_RUNNING "running"
@@ -282,7 +282,7 @@
   return slices;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 void fc_job_answer(GString *out, const char *id, fc_job_status status, uint32_t done, uint32_t running,
                    bool with_counts) {
--- a/src/protocol/job.h
+++ b/src/protocol/job.h
@@ -1,5 +1,5 @@
-/* Parses the jobs that users submit, encodes job descriptions, and writes the answers to users. Nothing
- * here suspends the calling routine. */
+/* Parses the jobs that users submit, encodes job descriptions, and writes the responses to users.
+ * Nothing here suspends the calling routine. */
 #ifndef FC_PROTOCOL_JOB_H
 #define FC_PROTOCOL_JOB_H
 
@@ -15,7 +15,7 @@
 typedef enum { FC_PRIORITY_BEST_EFFORT, FC_PRIORITY_STANDARD, FC_PRIORITY_HIGH, FC_PRIORITY_PROD } fc_priority;
 /* The phase of a job in its stored record. */
 typedef enum { FC_PHASE_ACCEPTED, FC_PHASE_CANCELLED, FC_PHASE_DONE } fc_job_phase;
-/* The status of a job in answers to users. */
+/* The status of a job in responses to users. */
 typedef enum { FC_STATUS_PENDING, FC_STATUS_RUNNING, FC_STATUS_DONE, FC_STATUS_CANCELLED } fc_job_status;
 
 /* Buffer sizes in bytes, including the NUL: for a job's id; for the name of a machine, type, zone or
@@ -75,7 +75,7 @@
  * other, have one. */
 unsigned fc_job_slice_count(const fc_job_spec *spec, unsigned limit);
 
-/* Append the body of an answer: the status of a job (with the numbers of done and running tasks if
+/* Append the body of a response: the status of a job (with the numbers of done and running tasks if
  * `with_counts`), GET /ready, an error. */
 void fc_job_answer(GString *out, const char *id, fc_job_status status, uint32_t done, uint32_t running,
                    bool with_counts);
--- a/src/protocol/json_call.c
+++ b/src/protocol/json_call.c
@@ -2,7 +2,7 @@
 
 #include "protocol/json.h"
 
-/* The JSON object in an answer's body, an empty object if the body is empty; NULL: not an object. */
+/* The JSON object in a response's body, an empty object if the body is empty; NULL: not an object. */
 static json_t *parse_object(const GString *body) {
   if (body->len == 0) return json_object();
   json_t *value = fc_json_parse(body->str, body->len);
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -38,7 +38,7 @@
 
 struct fc_kv {
   fc_http_client *http;
-  bool too_large; /* the answer to the last call exceeded REPLY_MAX_BYTES */
+  bool too_large; /* the response to the last call exceeded REPLY_MAX_BYTES */
 };
 
 struct fc_txn {
@@ -102,7 +102,7 @@
 }
 
 static fc_kv_result result_of_reply(const fc_json_reply *reply) {
-  /* An answer that is not an object does not tell what was executed. */
+  /* A response that is not an object does not tell what was executed. */
   bool readable = reply->object != NULL;
   switch (reply->status) {
     case 0:
@@ -123,22 +123,22 @@
   }
 }
 
-/* Makes the call. On FC_KV_OK and FC_KV_CONFLICT *answer is a reference to the body, owned by the
+/* Makes the call. On FC_KV_OK and FC_KV_CONFLICT *response is a reference to the body, owned by the
  * caller; else NULL. */
 static fc_kv_result call_store(fc_kv *kv, const char *method, const char *path, json_t *body, double deadline,
-                               json_t **answer) {
+                               json_t **response) {
   fc_json_reply reply = fc_json_call(kv->http, method, path, body, deadline);
   fc_kv_result result = result_of_reply(&reply);
   kv->too_large = reply.too_large;
-  *answer = result == FC_KV_OK || result == FC_KV_CONFLICT ? json_incref(reply.object) : NULL;
+  *response = result == FC_KV_OK || result == FC_KV_CONFLICT ? json_incref(reply.object) : NULL;
   fc_json_reply_clear(&reply);
   return result;
 }
 
-/* Reads a required number of an answer; false if it is missing or malformed. */
-static bool read_number(const json_t *answer, const char *field, uint64_t *number) {
+/* Reads a required number of a response; false if it is missing or malformed. */
+static bool read_number(const json_t *response, const char *field, uint64_t *number) {
   fc_reader reader;
-  fc_reader_init(&reader, answer);
+  fc_reader_init(&reader, response);
   *number = fc_read_count(&reader, field, 0, FC_COUNT_MAX);
   return fc_reader_ok(&reader);
 }
@@ -149,11 +149,11 @@
 
 fc_kv_result fc_kv_commit(fc_kv *kv, const fc_txn *txn, double deadline, uint64_t *revision, GPtrArray *failed) {
   json_t *body = json_pack("{sO sO}", FIELD_CONDITIONS, txn->conditions, FIELD_WRITES, txn->writes);
-  json_auto_t *answer = NULL;
-  fc_kv_result result = call_store(kv, "POST", COMMIT_PATH, body, deadline, &answer);
-  if (result == FC_KV_OK && !read_number(answer, FIELD_REVISION, revision)) result = FC_KV_UNKNOWN;
+  json_auto_t *response = NULL;
+  fc_kv_result result = call_store(kv, "POST", COMMIT_PATH, body, deadline, &response);
+  if (result == FC_KV_OK && !read_number(response, FIELD_REVISION, revision)) result = FC_KV_UNKNOWN;
   if (result == FC_KV_CONFLICT && failed)
-    (void)fc_json_decode_list(json_object_get(answer, FIELD_FAILED_KEYS), decode_key, failed);
+    (void)fc_json_decode_list(json_object_get(response, FIELD_FAILED_KEYS), decode_key, failed);
   return result;
 }
 
@@ -186,11 +186,11 @@
 
 fc_kv_result fc_kv_get(fc_kv *kv, const char *key, double deadline, json_t **value) {
   g_autofree char *path = g_strconcat(KEYS_PATH "/", key, NULL);
-  json_auto_t *answer = NULL;
+  json_auto_t *response = NULL;
   *value = NULL;
-  fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &answer);
+  fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &response);
   if (result != FC_KV_OK) return result;
-  fc_kv_change *row = decode_row(answer);
+  fc_kv_change *row = decode_row(response);
   if (row && strcmp(row->key, key) == 0) *value = json_incref(row->value);
   fc_kv_change_free(row);
   return *value ? FC_KV_OK : FC_KV_UNKNOWN;
@@ -202,12 +202,12 @@
   g_string_append(path, prefix);
   if (after) g_string_append_printf(path, "&" QUERY_FROM "%s", after);
   g_string_append_printf(path, "&" QUERY_PAGE "%u", limit);
-  json_auto_t *answer = NULL;
-  fc_kv_result result = call_store(kv, "GET", path->str, NULL, deadline, &answer);
+  json_auto_t *response = NULL;
+  fc_kv_result result = call_store(kv, "GET", path->str, NULL, deadline, &response);
   if (result != FC_KV_OK) return result;
-  const json_t *rows = json_object_get(answer, FIELD_ROWS);
-  if (!read_number(answer, FIELD_REVISION, revision) || !json_is_array(rows)) return FC_KV_REFUSED;
-  *more = json_is_true(json_object_get(answer, FIELD_MORE));
+  const json_t *rows = json_object_get(response, FIELD_ROWS);
+  if (!read_number(response, FIELD_REVISION, revision) || !json_is_array(rows)) return FC_KV_REFUSED;
+  *more = json_is_true(json_object_get(response, FIELD_MORE));
   return fc_json_decode_list(rows, decode_row, out) == 0 ? FC_KV_OK : FC_KV_REFUSED;
 }
 
@@ -222,34 +222,34 @@
   g_autofree char *path =
       g_strdup_printf(CHANGES_PATH "?" QUERY_PREFIX "%s&" QUERY_FROM "%" G_GUINT64_FORMAT "&" QUERY_WAIT_MS "%d",
                       prefix, (guint64)from, (int)(wait_s * 1000));
-  json_auto_t *answer = NULL;
-  fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &answer);
-  /* All changes come in one answer. After a long interruption they may exceed its size limit, and so
+  json_auto_t *response = NULL;
+  fc_kv_result result = call_store(kv, "GET", path, NULL, deadline, &response);
+  /* All changes come in one response. After a long interruption they may exceed its size limit, and so
    * would every retry, while pages of the list stay below it. */
   if (kv->too_large) {
     g_info("change feed answer too large, listing the keys instead from=%" G_GUINT64_FORMAT, (guint64)from);
     return FC_KV_GONE;
   }
   if (result != FC_KV_OK) return result;
-  const json_t *events = json_object_get(answer, FIELD_EVENTS);
-  if (!read_number(answer, FIELD_REVISION, revision) || !json_is_array(events)) return FC_KV_REFUSED;
+  const json_t *events = json_object_get(response, FIELD_EVENTS);
+  if (!read_number(response, FIELD_REVISION, revision) || !json_is_array(events)) return FC_KV_REFUSED;
   if (fc_json_decode_list(events, decode_event, out) > 0) return FC_KV_REFUSED;
-  /* The store's API specifies no order, but records that are derived from others at the version of the
-   * term record need the oldest change first. */
+  /* The store's API specifies no order. Changes have to be applied oldest first: a new term derives
+   * state from the records as of its version. */
   g_ptr_array_sort(out, compare_versions);
   return FC_KV_OK;
 }
 
 fc_kv_result fc_kv_lease_open(fc_kv *kv, double ttl_s, double deadline, uint64_t *lease) {
-  json_auto_t *answer = NULL;
+  json_auto_t *response = NULL;
   json_t *body = json_pack("{si}", FIELD_LEASE_TTL_MS, (int)(ttl_s * 1000));
-  fc_kv_result result = call_store(kv, "POST", LEASES_PATH, body, deadline, &answer);
-  if (result == FC_KV_OK && !read_number(answer, FIELD_LEASE, lease)) return FC_KV_REFUSED;
+  fc_kv_result result = call_store(kv, "POST", LEASES_PATH, body, deadline, &response);
+  if (result == FC_KV_OK && !read_number(response, FIELD_LEASE, lease)) return FC_KV_REFUSED;
   return result;
 }
 
 fc_kv_result fc_kv_lease_renew(fc_kv *kv, uint64_t lease, double deadline) {
   g_autofree char *path = g_strdup_printf(LEASES_PATH "/%" G_GUINT64_FORMAT RENEW_SUFFIX, (guint64)lease);
-  json_auto_t *answer = NULL;
-  return call_store(kv, "POST", path, NULL, deadline, &answer);
+  json_auto_t *response = NULL;
+  return call_store(kv, "POST", path, NULL, deadline, &response);
 }
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -18,8 +18,8 @@
   FC_KV_GONE,     /* no such key or lease, or the history no longer reaches back far enough */
   FC_KV_BUSY,     /* rate limited: not executed */
   FC_KV_DOWN,     /* unavailable or no connection: not executed */
-  FC_KV_UNKNOWN,  /* no usable answer: it may have been executed, or may still be */
-  FC_KV_REFUSED,  /* malformed request or answer */
+  FC_KV_UNKNOWN,  /* no usable response: it may have been executed, or may still be */
+  FC_KV_REFUSED,  /* malformed request or response */
 } fc_kv_result;
 
 /* The current state of a key, or a change of it. */
--- a/src/protocol/peer_frame.h
+++ b/src/protocol/peer_frame.h
@@ -38,7 +38,7 @@
   char id[FC_NAME_SIZE];
   bool reconciled;  /* by its owner in the frame's term; only then is the task list complete */
   bool cordoned;    /* takes no new tasks */
-  bool unreachable; /* by its owner */
+  bool unreachable; /* for its owner */
   fc_frame_task *tasks;
   size_t task_count;
 } fc_frame_machine;
@@ -59,7 +59,7 @@
   uint32_t piece;    /* number of the piece, from 0 */
   bool last;         /* this is the last piece of the view, the one that is acknowledged */
   uint16_t backlog;  /* pending writes of the sender */
-  uint64_t revision; /* the sender's table is current up to this revision */
+  uint64_t revision; /* the sender's cluster state is current up to this revision */
   fc_frame_cancellation *cancellations;
   size_t cancellation_count;
   fc_frame_machine *machines;
@@ -69,8 +69,8 @@
 /* A machine of another member whose heartbeat the sender has answered. */
 typedef struct fc_frame_lease_renewal {
   char machine[FC_NAME_SIZE];
-  uint32_t age_ms;          /* since the last answer */
-  bool bidirectional;       /* its heartbeats show that it received an earlier answer */
+  uint32_t age_ms;          /* since the last response */
+  bool bidirectional;       /* its heartbeats show that it received an earlier response */
   uint64_t epoch, sequence; /* of the newest heartbeat answered */
 } fc_frame_lease_renewal;
 
@@ -85,13 +85,13 @@
   char sender[FC_NAME_SIZE];
   uint64_t incarnation, term, sequence;
   bool applied;                /* the view was applied completely, so the next one may have it as its base */
-  uint32_t grant_ms;           /* time for which the sender commits no term without the receiver; 0: no grant */
+  uint32_t grant_ms;           /* time for which the sender commits no term that excludes the receiver; 0: no grant */
   uint32_t no_cancellation_ms; /* since the sender last learned of a cancellation, or started */
-  bool cancellations_complete; /* the list has every one that the sender knows and the receiver's table lacks */
+  bool cancellations_complete; /* the list has every one that the sender knows and the receiver has not read */
   fc_frame_cancellation *cancellations;
   size_t cancellation_count;
   uint32_t kv_read_age_ms; /* since the sender last read the key-value store */
-  uint64_t revision;       /* of the sender's table when it applied the view */
+  uint64_t revision;       /* of the sender's cluster state when it applied the view */
   fc_frame_lease_renewal *renewals;
   size_t renewal_count;
   fc_frame_probe *probes;
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -6,7 +6,7 @@
 
 #include "protocol/json.h"
 
-/* Memory for libraries, stacks and an empty table; with less, the process would be killed at startup. */
+/* Memory for libraries, stacks and an empty cluster state; with less, the process would be killed at startup. */
 #define MEMORY_MIN_MB 6
 /* The links to the peers, the member's lease and reads of changes alone take half of this. */
 #define CPU_MIN_CORES 0.002
@@ -19,7 +19,7 @@
 /* The peers' listener accepts up to eight connections for each peer, and calls to peers may use an
  * eighth of all descriptors. */
 #define FD_PER_CONTROLLER_MIN 16
-/* A worker that misses one answer is without an answer for several heartbeat intervals. */
+/* A worker that misses one response gets the next only several heartbeat intervals later. */
 #define HEARTBEATS_PER_LEASE_MIN 3
 #define NAME_LENGTH_MAX 64u
 #define TEXT_LENGTH_MAX 256u
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -36,7 +36,7 @@
 /* The operators' settings; each has a default. */
 typedef struct fc_operator_settings {
   double round_s;            /* interval between placement rounds */
-  double handover_wait_s;    /* time that a job is pending before it is transferred to a shard with idle capacity */
+  double handover_wait_s;    /* time that a job is pending before it is handed over to a shard with idle capacity */
   unsigned split_limit;      /* largest number of slices of an array */
   double member_lease_share; /* duration of a member's lease, as a share of the workers' */
   double idle_keep_share;    /* idle time before release, as a share of boot time and minimum charge */
@@ -63,9 +63,9 @@
    * is gone. They are only validated here. */
   double gang_wait_s, gang_peer_s;
   double cancel_s; /* time within which a cancelled job has to stop */
-  /* Limits of the key-value store, which may lower them to those of `state.next` at any time. Sizes
-   * and requests observe the smaller of both from the start; the write rate is lowered once the
-   * store rejects a write. */
+  /* Limits of the key-value store, which may lower them to those of `state.next` at any time. The
+   * smaller size and request limits hold from the start; the write rate is lowered once the store
+   * rejects a write. */
   double kv_rps, kv_value_kb;
   unsigned kv_txn_ops;
   double kv_write_rps, kv_next_write_rps;
--- a/src/protocol/worker_api.c
+++ b/src/protocol/worker_api.c
@@ -146,7 +146,7 @@
   memset(heartbeat, 0, sizeof *heartbeat);
 }
 
-/* ---- answers and direct calls ---- */
+/* ---- responses and direct calls ---- */
 
 static void append_number_field(GString *out, const char *field, uint64_t number) {
   g_string_append_printf(out, "\"%s\":%" G_GUINT64_FORMAT, field, (guint64)number);
@@ -198,7 +198,7 @@
   fc_json_append(out, body);
 }
 
-static fc_worker_call_result result_of_answer(const fc_http_reply *reply, fc_heartbeat *heartbeat) {
+static fc_worker_call_result result_of_response(const fc_http_reply *reply, fc_heartbeat *heartbeat) {
   if (reply->status != 200 && reply->status != 409) return FC_WORKER_CALL_UNKNOWN;
   char error[ERROR_SIZE];
   if (!fc_heartbeat_parse(reply->body->str, reply->body->len, heartbeat, error, sizeof error))
@@ -215,7 +215,7 @@
   fc_http_reply reply;
   bool answered = fc_http_call(http, "POST", CALL_PATH, body->str, body->len, deadline, &reply);
   fc_worker_call_result result = reply.unsent ? FC_WORKER_CALL_UNSENT : FC_WORKER_CALL_UNKNOWN;
-  if (answered) result = result_of_answer(&reply, heartbeat);
+  if (answered) result = result_of_response(&reply, heartbeat);
   fc_http_reply_clear(&reply);
   fc_http_client_free(http);
   return result;
--- a/src/protocol/worker_api.h
+++ b/src/protocol/worker_api.h
@@ -1,5 +1,5 @@
 /* Encodes and decodes the messages between workers and controllers: heartbeats with the status of
- * tasks, their answers, and direct calls with commands. */
+ * tasks, the responses to them, and direct calls with commands. */
 #ifndef FC_PROTOCOL_WORKER_API_H
 #define FC_PROTOCOL_WORKER_API_H
 
@@ -10,7 +10,7 @@
 #include "protocol/job.h"
 #include "transport/conn.h"
 
-/* How long a worker waits for the answer to a heartbeat. */
+/* How long a worker waits for the response to a heartbeat. */
 #define FC_WORKER_REQUEST_TIMEOUT_S 4.0
 /* Largest number of tasks in one heartbeat. */
 #define FC_HEARTBEAT_TASKS_MAX 4096u
@@ -75,15 +75,15 @@
   double grace_s; /* only for FC_COMMAND_STOP: time to save a checkpoint */
 } fc_command;
 
-/* Appends the answer to a heartbeat. */
+/* Appends the body of the response to a heartbeat. */
 void fc_heartbeat_answer(GString *out, uint64_t fencing_token, const fc_command *commands, size_t count);
-/* Appends the body of a 421 answer, which names the controller to use; NULL: it is not known. */
+/* Appends the body of a 421 response, which names the controller to use; NULL: it is not known. */
 void fc_worker_redirect_answer(GString *out, const char *controller);
 
 typedef enum {
   FC_WORKER_CALL_DONE,    /* executed; the heartbeat has the state after that */
   FC_WORKER_CALL_REFUSED, /* not executed because of the fencing token or epoch; the heartbeat has the worker's own */
-  FC_WORKER_CALL_UNKNOWN, /* no usable answer: it may still be executed, even minutes later */
+  FC_WORKER_CALL_UNKNOWN, /* no usable response: it may still be executed, even minutes later */
   FC_WORKER_CALL_UNSENT,  /* no connection: not executed */
 } fc_worker_call_result;
 
@@ -92,8 +92,8 @@
   return result == FC_WORKER_CALL_DONE || result == FC_WORKER_CALL_REFUSED;
 }
 
-/* Sends commands directly to a worker and waits for its answer, a heartbeat, which the caller clears if
- * fc_worker_call_answered(). `deadline` is a time of the monotonic clock. May suspend the calling
+/* Sends commands directly to a worker and waits for its response, a heartbeat, which the caller clears
+ * if fc_worker_call_answered(). `deadline` is a time of the monotonic clock. May suspend the calling
  * routine. */
 fc_worker_call_result fc_worker_call(const fc_endpoint *at, uint64_t fencing_token, uint64_t epoch,
                                      const fc_command *commands, size_t count, double deadline,
