--- a/src/transport/conn.c
+++ b/src/transport/conn.c
@@ -22,7 +22,7 @@
   int fd;
   ev_io io;
   int wanted_events; /* EV_READ or EV_WRITE, as the waiter needs */
-  bool just_written; /* the other side has hardly had the time to answer */
+  bool just_written; /* the other side has hardly had the time to respond */
   fc_routine *waiter;
 };
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -27,41 +27,41 @@
   size_t pool_count;
 };
 
-/* The part of an answer that has been parsed. */
-typedef struct answer {
+/* The part of a response that has been parsed. */
+typedef struct response {
   GString *body;
   size_t max_body_bytes;
   GString *header_name, *header_value; /* of the header being parsed */
   bool in_value, complete, too_large;
   int retry_after_s;
-} answer;
+} response;
 
 /* Evaluates a header whose name and value are complete. */
-static void end_header(answer *answer) {
-  if (g_ascii_strcasecmp(answer->header_name->str, "Retry-After") == 0) {
-    long seconds = strtol(answer->header_value->str, NULL, 10);
-    if (seconds > 0 && seconds < RETRY_AFTER_MAX_S) answer->retry_after_s = (int)seconds;
+static void end_header(response *response) {
+  if (g_ascii_strcasecmp(response->header_name->str, "Retry-After") == 0) {
+    long seconds = strtol(response->header_value->str, NULL, 10);
+    if (seconds > 0 && seconds < RETRY_AFTER_MAX_S) response->retry_after_s = (int)seconds;
   }
-  g_string_truncate(answer->header_name, 0);
-  g_string_truncate(answer->header_value, 0);
+  g_string_truncate(response->header_name, 0);
+  g_string_truncate(response->header_value, 0);
 }
 
 static int on_header_name(http_parser *parser, const char *text, size_t length) {
-  answer *answer = parser->data;
-  if (answer->in_value) {
-    end_header(answer);
-    answer->in_value = false;
+  response *response = parser->data;
+  if (response->in_value) {
+    end_header(response);
+    response->in_value = false;
   }
-  if (answer->header_name->len + length > HEADER_NAME_MAX_BYTES) return 1;
-  g_string_append_len(answer->header_name, text, (gssize)length);
+  if (response->header_name->len + length > HEADER_NAME_MAX_BYTES) return 1;
+  g_string_append_len(response->header_name, text, (gssize)length);
   return 0;
 }
 
 static int on_header_value(http_parser *parser, const char *text, size_t length) {
-  answer *answer = parser->data;
-  answer->in_value = true;
-  if (answer->header_value->len + length > HEADER_VALUE_MAX_BYTES) return 1;
-  g_string_append_len(answer->header_value, text, (gssize)length);
+  response *response = parser->data;
+  response->in_value = true;
+  if (response->header_value->len + length > HEADER_VALUE_MAX_BYTES) return 1;
+  g_string_append_len(response->header_value, text, (gssize)length);
   return 0;
 }
 
@@ -71,16 +71,16 @@
 }
 
 static int on_body(http_parser *parser, const char *bytes, size_t length) {
-  answer *answer = parser->data;
-  answer->too_large = answer->body->len + length > answer->max_body_bytes;
-  if (answer->too_large) return 1;
-  g_string_append_len(answer->body, bytes, (gssize)length);
+  response *response = parser->data;
+  response->too_large = response->body->len + length > response->max_body_bytes;
+  if (response->too_large) return 1;
+  g_string_append_len(response->body, bytes, (gssize)length);
   return 0;
 }
 
 static int on_complete(http_parser *parser) {
-  answer *answer = parser->data;
-  answer->complete = true;
+  response *response = parser->data;
+  response->complete = true;
   http_parser_pause(parser, 1);
   return 0;
 }
@@ -144,10 +144,10 @@
 /* Shared by all routines: none is suspended between filling and parsing it. */
 static char g_input[16u * 1024u];
 
-/* Reads one answer; false when it is not complete at the deadline, on an error or at the end of the stream. */
-static bool read_answer(fc_conn *conn, http_parser *parser, double deadline) {
-  const answer *answer = parser->data;
-  while (!answer->complete) {
+/* Reads one response; false when it is not complete at the deadline, on an error or at the end of the stream. */
+static bool read_response(fc_conn *conn, http_parser *parser, double deadline) {
+  const response *response = parser->data;
+  while (!response->complete) {
     ssize_t received = fc_conn_read(conn, g_input, sizeof g_input, deadline);
     if (received < 0) return false;
     /* 0 bytes tell the parser that the stream has ended. */
@@ -156,7 +156,7 @@
     if (error != HPE_OK && error != HPE_PAUSED) return false;
     if (received == 0) break;
   }
-  return answer->complete;
+  return response->complete;
 }
 
 bool fc_http_call(fc_http_client *client, const char *method, const char *path, const char *body, size_t body_len,
@@ -169,20 +169,20 @@
   }
   g_autoptr(GString) header_name = g_string_new(NULL);
   g_autoptr(GString) header_value = g_string_new(NULL);
-  answer answer = {.body = reply->body,
-                   .max_body_bytes = client->max_body_bytes,
-                   .header_name = header_name,
-                   .header_value = header_value};
+  response response = {.body = reply->body,
+                       .max_body_bytes = client->max_body_bytes,
+                       .header_name = header_name,
+                       .header_value = header_value};
   http_parser parser;
   http_parser_init(&parser, HTTP_RESPONSE);
-  parser.data = &answer;
+  parser.data = &response;
   g_autoptr(GString) request = encode_request(client, method, path, body, body_len);
-  bool answered = fc_conn_write(conn, request->str, request->len, deadline) && read_answer(conn, &parser, deadline);
-  reply->too_large = answer.too_large;
+  bool answered = fc_conn_write(conn, request->str, request->len, deadline) && read_response(conn, &parser, deadline);
+  reply->too_large = response.too_large;
   bool reusable = false;
   if (answered) {
     reply->status = (int)parser.status_code;
-    reply->retry_after_s = answer.retry_after_s;
+    reply->retry_after_s = response.retry_after_s;
     http_parser_pause(&parser, 0);
     reusable = http_should_keep_alive(&parser);
   }
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -139,7 +139,7 @@
   return true;
 }
 
-/* Calls the handler and sends its answer; false: the connection is to be closed. */
+/* Calls the handler and sends its response; false: the connection is to be closed. */
 static bool answer_request(const server *server, fc_conn *conn, const http_parser *parser, bool keep_alive) {
   const parsed_request *parsed = parser->data;
   char *query = strchr(parsed->url->str, '?');
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -24,8 +24,8 @@
 
 /* The monotonic clock, in seconds; all deadlines refer to it. */
 double fc_now(void);
-/* The time of day, in seconds since 1970. It may be wrong by the clock error that the platform states,
- * so nothing relies on it for safety. */
+/* The wall-clock time, in seconds since 1970. It may be wrong by the clock error that the platform
+ * states, so nothing relies on it for safety. */
 double fc_time_of_day(void);
 
 /* Starts a routine. It first runs once the caller is suspended or returns to the loop; it is freed when
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,5 +1,5 @@
-/* Compares the bytes of requests, answers and stored records with fixtures/golden.txt: what users, workers,
- * the cloud and the key-value store see must not change when names inside the program change. */
+/* Compares the bytes of requests, responses and stored records with fixtures/golden.txt: what users,
+ * workers, the cloud and the key-value store see must not change when names inside the program change. */
 #include "golden.h"
 
 #include <arpa/inet.h>
@@ -36,7 +36,7 @@
   g_free(bytes);
 }
 
-/* Sends the requests of all rows and compares their answers. */
+/* Sends the requests of all rows and compares the responses. */
 static void check_exchanges(const exchange *rows, size_t count) {
   for (size_t i = 0; i < count; i++) {
     world_reply reply = world_request(rows[i].node, rows[i].method, rows[i].path, rows[i].body);
@@ -50,7 +50,7 @@
   sim_run_until(sim_now() + 10);
 }
 
-/* Repeats a GET request until the answer contains `text`. */
+/* Repeats a GET request until the response contains `text`. */
 static void wait_for_answer(const char *path, const char *text) {
   double deadline = sim_now() + 60;
   while (!strstr(world_request(0, "GET", path, "").body, text)) {
@@ -169,7 +169,7 @@
   };
   start_scene();
   check_exchanges(rows, G_N_ELEMENTS(rows));
-  /* The owner of the machine answers its report; the other two controllers redirect it to the owner. */
+  /* The owner of the machine answers its heartbeat; the other two controllers redirect it to the owner. */
   world_reply answered = {0}, redirected = {0};
   for (unsigned n = 0; n < WORLD_NODES; n++) {
     world_reply reply = world_request(n, "POST", "/checkin", CHECKIN("vm-000000", "0"));
--- a/tests/test_golden_process.c
+++ b/tests/test_golden_process.c
@@ -1,6 +1,6 @@
-/* Compares complete messages and log lines of the program, run as a process of its own and asked over
- * sockets, with fixtures/golden.txt. A thread with fixed answers stands in for the key-value store and the
- * cloud. */
+/* Compares complete messages and log lines of the program, run as a process of its own and queried over
+ * sockets, with fixtures/golden.txt. A thread with fixed responses stands in for the key-value store
+ * and the cloud. */
 #include "golden.h"
 
 #include <arpa/inet.h>
@@ -14,7 +14,7 @@
 
 #define TIMEOUT_S 20
 #define MESSAGE_MAX_BYTES 65536u
-#define CHANGES_DELAY_US 20000 /* of the empty answer to a long poll; much less than it allows */
+#define CHANGES_DELAY_US 20000 /* of the empty response to a long poll; much less than the poll allows */
 
 /* ---- the key-value store and the cloud ---- */
 
@@ -108,7 +108,7 @@
   return fd;
 }
 
-/* Sends a request to the program. Returns the bytes of its answer, "" for none; the caller frees them. */
+/* Sends a request to the program. Returns the bytes of its response, "" for none; the caller frees them. */
 static char *request_answer(uint16_t port, const char *request) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(port), .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -188,7 +188,7 @@
   return 0;
 }
 
-/* ---- the program's answers, requests and log lines ---- */
+/* ---- the program's responses, requests and log lines ---- */
 
 /* Repeats the request until it is answered with 200. */
 static void wait_for_ok(const char *request) {
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,6 +1,6 @@
 /* The HTTP server and client over loopback sockets: malformed, oversized and stalled requests, too many
- * connections, and answers at the client's size limit. Each test client is a child process that reports by
- * its exit code. The result depends on no duration, only on each case coming to an end. */
+ * connections, and responses at the client's size limit. Each test client is a child process that
+ * reports by its exit code. The result depends on no duration, only on each case coming to an end. */
 #include "check.h"
 
 #include <arpa/inet.h>
@@ -27,8 +27,8 @@
   return fd;
 }
 
-/* Sends a request and reads until the server closes the connection or the first answer is complete, which
- * then ends in '}'. */
+/* Sends a request and reads until the server closes the connection or the first response is complete,
+ * which then ends in '}'. */
 static void exchange(int fd, const char *request, size_t len, char *out, size_t size) {
   (void)signal(SIGPIPE, SIG_IGN);
   (void)!write(fd, request, len);
@@ -41,13 +41,13 @@
   out[received] = '\0';
 }
 
-/* Waits for more input; whether the server closes the connection instead. */
+/* Waits for more input. Returns whether the server closes the connection instead. */
 static bool closed_by_server(int fd) {
   char byte;
   return read(fd, &byte, 1) <= 0;
 }
 
-/* Whether the answer to a request starts with `status`, and the server then closes the connection if it should. */
+/* Whether the response to a request starts with `status`, and the server then closes the connection if it should. */
 static bool answered_with(const char *request, size_t len, const char *status, bool closes) {
   char out[2048];
   int fd = connect_to_server();
@@ -84,7 +84,7 @@
       return ANSWERED_WITH("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", "HTTP/1.1 200", true) ? 0 : 1;
     case CASE_NOT_HTTP:
       return ANSWERED_WITH("hello there\r\n\r\n", "HTTP/1.1 400", true) ? 0 : 1;
-    case CASE_OVERSIZED_BODY: /* the answer may be lost, as the server closes with unread input */
+    case CASE_OVERSIZED_BODY: /* the response may be lost, as the server closes with unread input */
       return ANSWERED_WITH(body, "HTTP/1.1 400", true) || ANSWERED_WITH(body, "", true) ? 0 : 1;
     case CASE_OVERSIZED_HEADER:
       return ANSWERED_WITH(header, "HTTP/1.1 400", true) || ANSWERED_WITH(header, "", true) ? 0 : 1;
@@ -148,7 +148,7 @@
 
 typedef struct size_limit_row {
   const char *name;
-  size_t max_body_bytes; /* of the client; the answer's body has two bytes */
+  size_t max_body_bytes; /* of the client; the response's body has two bytes */
   bool ok, too_large;
 } size_limit_row;
 
@@ -166,7 +166,7 @@
       fc_http_reply_clear(&reply);
       if (k == 0) first = g_connection;
     }
-    /* Each connection has a number of its own. A client keeps using its connection only if the answer fitted. */
+    /* Each connection has a number of its own. A client keeps using its connection only if the response fitted. */
     check_row(rows[i].name, first != previous && (g_connection == first) == rows[i].ok);
     previous = g_connection;
     fc_http_client_free(client);
--- a/tests/test_job_record.c
+++ b/tests/test_job_record.c
@@ -134,9 +134,9 @@
     check_row(rows[i].key, fc_member_key_format(encoded) == rows[i].format);
     json_decref(encoded);
   }
-  json_t *ours = fc_member_key_encode();
-  assert_int_equal(fc_member_key_format(ours), FC_JOB_FORMAT_AWAITING);
-  json_decref(ours);
+  json_t *own_key = fc_member_key_encode();
+  assert_int_equal(fc_member_key_format(own_key), FC_JOB_FORMAT_AWAITING);
+  json_decref(own_key);
 }
 
 /* ---- descriptions too long for one value ---- */
