--- a/src/bookkeeping/job_records.c
+++ b/src/bookkeeping/job_records.c
@@ -65,17 +65,17 @@
   if (job->phase != FC_PHASE_ACCEPTED && !job->lifecycle.ended_at) job->lifecycle.ended_at = now;
 }
 
-/* Applies the recorded transfers of slices. Returns the slices whose receiver changed, one bit for
+/* Applies the recorded handovers of slices. Returns the slices whose receiver changed, one bit for
  * each. */
-static unsigned apply_transfers(fc_job *job, const fc_job_record *record) {
-  unsigned transferred = 0;
+static unsigned apply_handovers(fc_job *job, const fc_job_record *record) {
+  unsigned handed_over = 0;
   for (unsigned i = 0; i < job->slices.count; i++) {
     if (g_strcmp0(job->record.handed_to[i], record->handed_to[i]) == 0) continue;
-    transferred |= 1u << i;
+    handed_over |= 1u << i;
     g_free(job->record.handed_to[i]);
     job->record.handed_to[i] = g_strdup(record->handed_to[i]);
   }
-  return transferred;
+  return handed_over;
 }
 
 /* A member that hands over a slice knows all of its tasks. It does so only after the receiver has
@@ -84,9 +84,9 @@
  * member that only reads the record has no such knowledge. One such member treated the slice as
  * resolved, received it in a later handover, and started tasks again that were running at the
  * member that had handed it over (fault test with meetings, seed 20588). */
-static void resolve_transferred_slices(const fc_cluster *cluster, fc_job *job, unsigned transferred) {
+static void resolve_handed_over_slices(const fc_cluster *cluster, fc_job *job, unsigned handed_over) {
   for (unsigned i = 0; i < job->slices.count; i++) {
-    if (!(transferred >> i & 1)) continue;
+    if (!(handed_over >> i & 1)) continue;
     bool received = fc_job_slice_owner(job, i) == cluster->membership.self;
     bool fully_known = !(job->record.origin.partly_known >> i & 1);
     job->slices.resolved &= ~(1u << i);
@@ -106,14 +106,14 @@
   apply_completion(job, id, record->done);
   apply_phase(cluster, job, id, record->phase, version, now);
   job->record.version = version;
-  unsigned transferred = apply_transfers(job, record);
+  unsigned handed_over = apply_handovers(job, record);
   job->record.origin = record->origin;
   fc_cluster_assign_slices(cluster, job);
   if (is_new) {
     fc_cluster_resolve_slices(cluster, job);
     link_placements(cluster, job);
-  } else if (transferred) {
-    resolve_transferred_slices(cluster, job, transferred);
+  } else if (handed_over) {
+    resolve_handed_over_slices(cluster, job, handed_over);
   }
   fc_dependencies_apply(cluster, job, fresh, now);
   /* A job read back after a restart arrived earlier: it is not counted as an arrival. */
--- a/src/bookkeeping/job_state.h
+++ b/src/bookkeeping/job_state.h
@@ -32,7 +32,7 @@
   fc_job_phase phase; /* according to its own record only */
   fc_job_origin origin;
   fc_description_ref description; /* reference to the description if it is stored outside the record */
-  char *handed_to[FC_SLICES_MAX]; /* member that the slice was transferred to; NULL: as assigned */
+  char *handed_to[FC_SLICES_MAX]; /* member that the slice was handed over to; NULL: as assigned */
 } fc_job_stored;
 
 /* Which tasks have completed. */
--- a/src/bookkeeping/reconciliation_progress.c
+++ b/src/bookkeeping/reconciliation_progress.c
@@ -5,15 +5,15 @@
 /* The members on whose machines tasks of a slice of this shard may be, one bit for each; 0:
  * unknown. While the member names stay the same, no slice or machine is reassigned: only a slice's
  * owner starts its tasks, only on its own machines, and a machine changes owner only when empty. So
- * the tasks of a slice that has never been transferred since it was accepted are on this
- * controller's machines or nowhere, and those of a transferred slice are where the record of the
- * last transfer says, as a member that hands over a slice knows all of its tasks. */
+ * the tasks of a slice that has never been handed over since it was accepted are on this
+ * controller's machines or nowhere, and those of a slice that was handed over are where the record of the
+ * last handover says, as a member that hands over a slice knows all of its tasks. */
 static unsigned possible_locations(const fc_cluster *cluster, const fc_job *job, unsigned slice) {
   const fc_job_origin *origin = &job->record.origin;
-  bool transferred = origin->transferred >> slice & 1;
-  uint64_t known_since = transferred ? origin->last_transfer[slice].term : origin->term;
+  bool handed_over = origin->handed_over >> slice & 1;
+  uint64_t known_since = handed_over ? origin->last_handover[slice].term : origin->term;
   if (!known_since || known_since < cluster->membership.term.names_since) return 0;
-  return transferred ? origin->last_transfer[slice].members : 1u << cluster->membership.self;
+  return handed_over ? origin->last_handover[slice].members : 1u << cluster->membership.self;
 }
 
 /* Slices of this shard whose possible locations have all been reconciled. */
--- a/src/controller/handover_execution.c
+++ b/src/controller/handover_execution.c
@@ -40,14 +40,14 @@
   if (!job || job->record.version != handover->version) return NULL;
   char *handed_to[FC_SLICES_MAX];
   fc_job_origin origin = job->record.origin;
-  origin.transferred |= handover->slices;
+  origin.handed_over |= handover->slices;
   origin.partly_known = (origin.partly_known & ~handover->slices) | handover->partly_known;
   for (unsigned i = 0; i < FC_SLICES_MAX; i++) {
     handed_to[i] = job->record.handed_to[i];
     if (!(handover->slices >> i & 1)) continue;
     handed_to[i] = (char *)handover->to[i];
-    origin.last_transfer[i].term = handover->term_number;
-    origin.last_transfer[i].members = handover->machine_owners[i];
+    origin.last_handover[i].term = handover->term_number;
+    origin.last_handover[i].members = handover->machine_owners[i];
   }
   fc_write *write = fc_job_record_write(cluster, job, job->phase, job->completion.bitmap, handed_to, &origin);
   if (write) fc_write_compare(write, FC_KEY_TERM, handover->term_version);
--- a/src/protocol/job_record.c
+++ b/src/protocol/job_record.c
@@ -19,8 +19,8 @@
 #define FIELD_HANDED_TO "to"
 #define FIELD_SUBMITTED "submitted"
 #define FIELD_TERM "term"
-#define FIELD_TRANSFERRED "moved"
-#define FIELD_LAST_TRANSFER "lastMove"
+#define FIELD_HANDED_OVER "moved"
+#define FIELD_LAST_HANDOVER "lastMove"
 #define FIELD_PARTLY_KNOWN "unseen"
 
 static const char *const k_phases[] = {
@@ -56,28 +56,28 @@
   }
 }
 
-/* Encodes {"3":[term,members]}; NULL: no slice has a known last transfer. */
-static json_t *encode_last_transfers(const fc_job_origin *origin, unsigned slices) {
-  json_t *transfers = NULL;
+/* Encodes {"3":[term,members]}; NULL: no slice has a known last handover. */
+static json_t *encode_last_handovers(const fc_job_origin *origin, unsigned slices) {
+  json_t *handovers = NULL;
   for (unsigned i = 0; i < slices; i++) {
-    if (!(origin->transferred >> i & 1) || !origin->last_transfer[i].term) continue;
-    json_int_t term = (json_int_t)origin->last_transfer[i].term;
-    json_int_t members = (json_int_t)origin->last_transfer[i].members;
-    set_slice(&transfers, i, json_pack("[II]", term, members));
+    if (!(origin->handed_over >> i & 1) || !origin->last_handover[i].term) continue;
+    json_int_t term = (json_int_t)origin->last_handover[i].term;
+    json_int_t members = (json_int_t)origin->last_handover[i].members;
+    set_slice(&handovers, i, json_pack("[II]", term, members));
   }
-  return transfers;
+  return handovers;
 }
 
-static bool read_last_transfer(const json_t *value, unsigned slice, fc_job_record *out) {
+static bool read_last_handover(const json_t *value, unsigned slice, fc_job_record *out) {
   json_int_t term = json_integer_value(json_array_get(value, 0));
   json_int_t members = json_integer_value(json_array_get(value, 1));
   if (term <= 0 || members <= 0 || members > UINT32_MAX) return false;
-  out->origin.last_transfer[slice].term = (uint64_t)term;
-  out->origin.last_transfer[slice].members = (unsigned)members;
+  out->origin.last_handover[slice].term = (uint64_t)term;
+  out->origin.last_handover[slice].members = (unsigned)members;
   return true;
 }
 
-/* Encodes {"2":"paddock-2"}; NULL: no slice has been transferred. */
+/* Encodes {"2":"paddock-2"}; NULL: no slice has been handed over. */
 static json_t *encode_handed_to(const fc_job_record *record) {
   json_t *handed_to = NULL;
   for (unsigned i = 0; i < record->slices; i++)
@@ -103,10 +103,10 @@
   if (origin->submitted_at > 0 && awaits_dependencies(record))
     json_object_set_new(object, FIELD_SUBMITTED, json_real(origin->submitted_at));
   if (origin->term) json_object_set_new(object, FIELD_TERM, json_integer((json_int_t)origin->term));
-  if (origin->transferred)
-    json_object_set_new(object, FIELD_TRANSFERRED, json_integer((json_int_t)origin->transferred));
-  json_t *transfers = encode_last_transfers(origin, record->slices);
-  if (transfers) json_object_set_new(object, FIELD_LAST_TRANSFER, transfers);
+  if (origin->handed_over)
+    json_object_set_new(object, FIELD_HANDED_OVER, json_integer((json_int_t)origin->handed_over));
+  json_t *handovers = encode_last_handovers(origin, record->slices);
+  if (handovers) json_object_set_new(object, FIELD_LAST_HANDOVER, handovers);
   if (origin->partly_known)
     json_object_set_new(object, FIELD_PARTLY_KNOWN, json_integer((json_int_t)origin->partly_known));
 }
@@ -177,10 +177,10 @@
   const char *done = fc_read_string_or_null(&reader, FIELD_DONE, DONE_LENGTH_MAX);
   out->slices = (unsigned)fc_read_count_or(&reader, FIELD_SLICES, 1, FC_SLICES_MAX, 1);
   out->origin.term = fc_read_count_or(&reader, FIELD_TERM, 0, FC_COUNT_MAX, 0);
-  out->origin.transferred = (unsigned)fc_read_count_or(&reader, FIELD_TRANSFERRED, 0, UINT32_MAX, 0);
+  out->origin.handed_over = (unsigned)fc_read_count_or(&reader, FIELD_HANDED_OVER, 0, UINT32_MAX, 0);
   out->origin.partly_known = (unsigned)fc_read_count_or(&reader, FIELD_PARTLY_KNOWN, 0, UINT32_MAX, 0);
   if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_HANDED_TO, read_handed_to, FC_FIELD_NOT_SLICE, out);
-  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_LAST_TRANSFER, read_last_transfer, FC_FIELD_NOT_TRANSFER, out);
+  if (fc_reader_ok(&reader)) read_slices(&reader, FIELD_LAST_HANDOVER, read_last_handover, FC_FIELD_NOT_HANDOVER, out);
   out->origin.submitted_at = fc_read_amount_or(&reader, FIELD_SUBMITTED, 0, UNIX_TIME_MAX_S, 0);
   read_description(&reader, format, out);
   if (!fc_reader_ok(&reader)) {
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -12,19 +12,19 @@
 #define FC_JOB_FORMAT_PLAIN 1
 #define FC_JOB_FORMAT_AWAITING 2
 
-/* When the job was submitted and accepted, and the transfers of its slices to other controllers. */
+/* When the job was submitted and accepted, and the handovers of its slices to other controllers. */
 typedef struct fc_job_origin {
   double submitted_at;  /* Unix time in seconds; 0: unknown. Stored only while dependencies are unfinished */
   uint64_t term;        /* the job was accepted in this term or later; 0: unknown */
-  unsigned transferred; /* bitmap of the slices that have been transferred */
-  /* For each transferred slice: the term of the last transfer, and a bitmap of the members of that
+  unsigned handed_over; /* bitmap of the slices that have been handed over */
+  /* For each slice that was handed over: the term of the last handover, and a bitmap of the members of that
    * term on whose machines its tasks were then, or may have been started since. 0, 0: unknown. */
   struct {
     uint64_t term;
     unsigned members;
-  } last_transfer[FC_SLICES_MAX];
-  /* Bitmap of the slices whose owner since the last transfer may not have seen all of their tasks.
-   * These tasks are older than the term of the transfer and on machines that were reconciled, so the
+  } last_handover[FC_SLICES_MAX];
+  /* Bitmap of the slices whose owner since the last handover may not have seen all of their tasks.
+   * These tasks are older than the term of the handover and on machines that were reconciled, so the
    * owner has seen them once it has reconciled all machines too. */
   unsigned partly_known;
 } fc_job_origin;
@@ -35,7 +35,7 @@
   fc_job_phase phase;
   char *done;                     /* numbers of the finished tasks as ranges, "0-3,7" */
   unsigned slices;                /* number of slices; 1 unless the job is a split array */
-  char *handed_to[FC_SLICES_MAX]; /* by slice: the controller it was transferred to; NULL: as assigned */
+  char *handed_to[FC_SLICES_MAX]; /* by slice: the controller that it was handed over to; NULL: as assigned */
   fc_description_ref parts;       /* of the description, when it is not in the record */
   bool awaiting;                  /* its dependencies are unfinished */
 } fc_job_record;
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -35,7 +35,7 @@
     [FC_FIELD_NOT_TYPES] = "not a short array of types",
     [FC_FIELD_ELEMENT_NOT_TYPE] = "holds something that is not a type",
     [FC_FIELD_NOT_SLICE] = "not a slice of the job",
-    [FC_FIELD_NOT_TRANSFER] = "not a transfer of a slice of the job",
+    [FC_FIELD_NOT_HANDOVER] = "not a transfer of a slice of the job",
     [FC_FIELD_NOT_DESCRIPTION] = "not a description",
     [FC_FIELD_NOT_DESCRIPTION_REF] = "not a digest and a number of parts",
 };
--- a/tests/test_compat.c
+++ b/tests/test_compat.c
@@ -72,7 +72,7 @@
   }
 }
 
-/* Checks the transfers of slices and the description in a record. */
+/* Checks the handovers of slices and the description in a record. */
 static void fields_of_a_job_record(void **state) {
   (void)state;
   json_t *value = load_record("job moved");
@@ -81,8 +81,8 @@
   assert_string_equal(record.handed_to[2], "paddock-2");
   assert_string_equal(record.handed_to[7], "paddock-0");
   assert_null(record.handed_to[0]);
-  assert_true(record.origin.transferred == 0x84 && record.origin.partly_known == 4);
-  assert_true(record.origin.last_transfer[2].term == 9 && record.origin.last_transfer[2].members == 6);
+  assert_true(record.origin.handed_over == 0x84 && record.origin.partly_known == 4);
+  assert_true(record.origin.last_handover[2].term == 9 && record.origin.last_handover[2].members == 6);
   const fc_job_spec *spec = &record.spec;
   assert_true(spec->kind == FC_JOB_ARRAY && spec->priority == FC_PRIORITY_HIGH && spec->tasks == 16 &&
               spec->gpus == 1.5);
--- a/tests/test_handover_planning.c
+++ b/tests/test_handover_planning.c
@@ -141,7 +141,7 @@
   third_machine->reconciled_term = 4;
   job->slices.resolved = 0;
   fc_job_record record = {.spec = job->spec,
-                          .origin = {.transferred = 1, .partly_known = row->partly_known},
+                          .origin = {.handed_over = 1, .partly_known = row->partly_known},
                           .phase = FC_PHASE_ACCEPTED,
                           .done = (char *)"",
                           .slices = 1};
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -129,7 +129,7 @@
   char error[200];
   assert_true(fc_job_spec_parse(k_submission, strlen(k_submission), &spec, error, sizeof error));
   const fc_job_record written = {.spec = spec,
-                                 .origin = {.term = 6, .transferred = 5, .last_transfer = {[2] = {9, 6}}},
+                                 .origin = {.term = 6, .handed_over = 5, .last_handover = {[2] = {9, 6}}},
                                  .phase = FC_PHASE_CANCELLED,
                                  .done = (char *)"0-3,7",
                                  .slices = 4,
@@ -142,20 +142,20 @@
   assert_int_equal(record.slices, 4);
   assert_string_equal(record.handed_to[2], "paddock-2");
   assert_null(record.handed_to[0]);
-  assert_true(record.origin.term == 6 && record.origin.transferred == 5);
-  assert_true(record.origin.last_transfer[2].term == 9 && record.origin.last_transfer[2].members == 6);
-  assert_true(record.origin.last_transfer[0].term == 0 && record.origin.last_transfer[0].members == 0);
+  assert_true(record.origin.term == 6 && record.origin.handed_over == 5);
+  assert_true(record.origin.last_handover[2].term == 9 && record.origin.last_handover[2].members == 6);
+  assert_true(record.origin.last_handover[0].term == 0 && record.origin.last_handover[0].members == 0);
   assert_int_equal(record.spec.tasks, 16);
   assert_true(record.spec.deadline_s == 900.0 && record.spec.zone == NULL && strcmp(record.spec.types[0], "g8") == 0);
   fc_job_record_clear(&record);
-  json_t *transfers = json_incref(json_object_get(encoded, "lastMove"));
+  json_t *handovers = json_incref(json_object_get(encoded, "lastMove"));
   json_object_del(encoded, "lastMove"); /* a record of a version without the field */
   assert_true(fc_job_record_decode(encoded, &record));
-  assert_true(record.origin.transferred == 5 && record.origin.last_transfer[2].term == 0 &&
-              record.origin.last_transfer[2].members == 0);
+  assert_true(record.origin.handed_over == 5 && record.origin.last_handover[2].term == 0 &&
+              record.origin.last_handover[2].members == 0);
   fc_job_record_clear(&record);
-  json_object_set_new(transfers, "4", json_pack("[ii]", 9, 6)); /* the job has no such slice */
-  json_object_set_new(encoded, "lastMove", transfers);
+  json_object_set_new(handovers, "4", json_pack("[ii]", 9, 6)); /* the job has no such slice */
+  json_object_set_new(encoded, "lastMove", handovers);
   assert_false(fc_job_record_decode(encoded, &record));
   json_object_del(encoded, "lastMove");
   json_object_set_new(encoded, "f", json_integer(2)); /* this format needs dependencies, and the record has none */
--- a/tests/test_reconciliation_progress.c
+++ b/tests/test_reconciliation_progress.c
@@ -68,10 +68,10 @@
   const char *name;
   bool own_reconciled, peer_reconciled;
   uint64_t accepted, names_since; /* terms; the current one is 10 */
-  unsigned transferred;
+  unsigned handed_over;
   bool other_owner, resolved;
-  uint64_t transferred_in; /* the term of the first slice's last transfer */
-  unsigned machine_owners; /* one bit for each member: its machines may hold tasks of the slice since that transfer */
+  uint64_t handed_over_in; /* the term of the first slice's last handover */
+  unsigned machine_owners; /* one bit for each member: its machines may hold tasks of the slice since that handover */
 } resolution_row;
 
 static const resolution_row k_resolutions[] = {
@@ -110,7 +110,7 @@
   fc_job_spec_clear(&record.spec);
 }
 
-/* Slices that were always in this shard, or were transferred to it with known tasks, are resolved
+/* Slices that were always in this shard, or were handed over to it with known tasks, are resolved
  * as soon as the machines that may hold their tasks are reconciled. */
 static void slices_resolved_before_all_machines_are_reconciled(void **state) {
   (void)state;
@@ -122,8 +122,8 @@
     fc_machine *peer_machine = fixture_machine(cluster, "vm-2", "a", false);
     fc_job *job = fixture_job(cluster, "job-000001", "sweep", "standard", "red", 4, 1, "");
     job->record.origin = (fc_job_origin){.term = row->accepted,
-                                         .transferred = row->transferred,
-                                         .last_transfer = {{row->transferred_in, row->machine_owners}}};
+                                         .handed_over = row->handed_over,
+                                         .last_handover = {{row->handed_over_in, row->machine_owners}}};
     job->record.handed_to[0] = g_strdup(row->other_owner ? "paddock-1" : "paddock-0");
     g_strlcpy(peer_machine->record.owner, "paddock-1", sizeof peer_machine->record.owner);
     fc_term term = {
@@ -139,7 +139,7 @@
   }
 }
 
-/* Applies the job's record with its slice transferred to `to`. */
+/* Applies the job's record with its slice handed over to `to`. */
 static void apply_handover(fc_cluster *cluster, const fc_job *job, const char *to, unsigned machine_owners,
                            bool partly_known) {
   fc_job_record record = {.phase = FC_PHASE_ACCEPTED,
@@ -147,9 +147,9 @@
                           .slices = 1,
                           .handed_to = {(char *)to},
                           .origin = {.term = 5,
-                                     .transferred = 1,
+                                     .handed_over = 1,
                                      .partly_known = partly_known,
-                                     .last_transfer = {{cluster->membership.term.number, machine_owners}}}};
+                                     .last_handover = {{cluster->membership.term.number, machine_owners}}}};
   record.spec = fc_job_spec_copy(&job->spec);
   (void)fc_cluster_apply_job(cluster, job->spec.id, &record, job->record.version + 1, true, 6);
   fc_job_spec_clear(&record.spec);
