--- a/src/protocol/worker_api.h
+++ b/src/protocol/worker_api.h
@@ -77,7 +77,7 @@
 
 /* Appends the body of the response to a heartbeat. */
 void fc_heartbeat_answer(GString *out, uint64_t fencing_token, const fc_command *commands, size_t count);
-/* Appends the body of a 421 response, which names the controller to use; NULL: it is not known. */
+/* Appends the body of a 421 response, which names the controller to use (NULL: not known). */
 void fc_worker_redirect_answer(GString *out, const char *controller);
 
 typedef enum {
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -41,21 +41,21 @@
 bad address|127.0.0.1:18080|here|client_listen
 bad port|127.0.0.1:18091|127.0.0.1:99999|outside.state
 negative lease|"lease_s":14.0|"lease_s":-1|settings.workers.lease_s
-lease of few reports|"lease_s":14.0|"lease_s":5.9|settings.workers.lease_s
-cancel not above lease|"cancel_s":34.0|"cancel_s":10|settings.workers.cancel_s
-no margin after the lease|"cancel_s":34.0|"cancel_s":19.9|settings.workers.cancel_s
+lease of less than three heartbeats|"lease_s":14.0|"lease_s":5.9|settings.workers.lease_s
+cancel_s below lease_s|"cancel_s":34.0|"cancel_s":10|settings.workers.cancel_s
+cancel_s without the margin above lease_s|"cancel_s":34.0|"cancel_s":19.9|settings.workers.cancel_s
 text for a number|"rps":120.0|"rps":"many"|settings.state.rps
 team without a name|"name":"t"|"nam":"t"|settings.teams[0].name
-too few sockets|"fd_limit":900|"fd_limit":31|settings.limits.fd_limit
+too few file descriptors|"fd_limit":900|"fd_limit":31|settings.limits.fd_limit
 too little memory|"memory_mb":56.0|"memory_mb":2.0|settings.limits.memory_mb
-too little processor|"cpu":0.08|"cpu":0.0015|settings.limits.cpu
-no processor|"cpu":0.08,||settings.limits.cpu
-one change a transaction|"txn_ops":8|"txn_ops":1|settings.state.txn_ops
-later limits ill-typed|"txn_ops":8|"txn_ops":8,"next":7|settings.state.next
-a list of later limits|"txn_ops":8|"txn_ops":8,"next":[1]|settings.state.next
-a later limit ill-typed|"txn_ops":8|"txn_ops":8,"next":{"value_kb":"2"}|settings.state.next.value_kb
-a later limit out of range|"txn_ops":8|"txn_ops":8,"next":{"write_rps":0}|settings.state.next.write_rps
-too small later transactions|"txn_ops":8|"txn_ops":8,"next":{"txn_ops":1}|settings.state.next.txn_ops
+too little CPU|"cpu":0.08|"cpu":0.0015|settings.limits.cpu
+no CPU limit|"cpu":0.08,||settings.limits.cpu
+one change per transaction|"txn_ops":8|"txn_ops":1|settings.state.txn_ops
+announced limits are not an object|"txn_ops":8|"txn_ops":8,"next":7|settings.state.next
+announced limits are a list|"txn_ops":8|"txn_ops":8,"next":[1]|settings.state.next
+an announced limit is a string|"txn_ops":8|"txn_ops":8,"next":{"value_kb":"2"}|settings.state.next.value_kb
+an announced limit out of range|"txn_ops":8|"txn_ops":8,"next":{"write_rps":0}|settings.state.next.write_rps
+announced transactions too small|"txn_ops":8|"txn_ops":8,"next":{"txn_ops":1}|settings.state.next.txn_ops
 no zones|"zones":\["z1"\]|"zones":[]|settings.zones
 R
 # Tight limits only cause a warning: the settings are accepted.
@@ -64,21 +64,21 @@
   expect "$name" 0 "warning: $text" "$bin" --check --config "$dir/tight.json"
   expect "$name, good" 0 "settings are good" "$bin" --check --config "$dir/tight.json"
 done <<'R'
-tight processor|"cpu":0.08|"cpu":0.002|settings.limits.cpu
-tight memory|"memory_mb":56.0|"memory_mb":6|settings.limits.memory_mb
-tight sockets|"fd_limit":900|"fd_limit":48|settings.limits.fd_limit
+tight CPU limit|"cpu":0.08|"cpu":0.002|settings.limits.cpu
+tight memory limit|"memory_mb":56.0|"memory_mb":6|settings.limits.memory_mb
+tight file descriptor limit|"fd_limit":900|"fd_limit":48|settings.limits.fd_limit
 R
 # Announced limits of the key-value store (state.next): all of them, some, none, and unknown ones.
 while IFS='|' read -r name to; do
   sed "s/\"txn_ops\":8/\"txn_ops\":8,\"next\":$to/" "$dir/good.json" > "$dir/next.json"
   expect "$name" 0 "settings are good" "$bin" --check --config "$dir/next.json"
 done <<'R'
-all later limits|{"rps":100.0,"write_rps":15.0,"value_kb":2.0,"txn_ops":4}
-some later limits|{"value_kb":2.0}
-no later limits|{}
-null for later limits|null
-a later limit that is null|{"value_kb":null,"txn_ops":4}
-unknown later limits|{"new":"x"}
+all limits announced|{"rps":100.0,"write_rps":15.0,"value_kb":2.0,"txn_ops":4}
+some limits announced|{"value_kb":2.0}
+no limits announced|{}
+null for the announced limits|null
+an announced limit that is null|{"value_kb":null,"txn_ops":4}
+unknown limits announced|{"new":"x"}
 R
 ample=$("$bin" --check --config "$dir/good.json" 2>&1)
 [ "$ample" = "settings are good" ] || { echo "failed: no warning with ample limits: $ample"; failed=1; }
--- a/tests/test_cost.c
+++ b/tests/test_cost.c
@@ -21,9 +21,9 @@
   return (int)syscall(SYS_epoll_ctl, epfd, op, fd, event);
 }
 
-int epoll_wait(int epfd, struct epoll_event *events, int most, int timeout_ms) {
+int epoll_wait(int epfd, struct epoll_event *events, int max_events, int timeout_ms) {
   g_epoll_waits++;
-  return (int)syscall(SYS_epoll_pwait, epfd, events, most, timeout_ms, NULL, 0);
+  return (int)syscall(SYS_epoll_pwait, epfd, events, max_events, timeout_ms, NULL, 0);
 }
 
 static uint16_t g_port;
--- a/tests/test_golden_process.c
+++ b/tests/test_golden_process.c
@@ -30,7 +30,7 @@
 
 static const struct {
   const char *request_prefix, *body;
-} k_answers[] = {
+} k_responses[] = {
     {"GET /flavors",
      "{\"builds\":[{\"name\":\"g4\",\"cpus\":40,\"gpus\":4,\"memGb\":400,\"cacheGb\":100,\"pullGbPerS\":1,"
      "\"price\":10,\"marketPrice\":3,\"bootS\":10,\"grounds\":[\"z1\"]}]}"},
@@ -45,18 +45,18 @@
     {"GET /changes?", "{\"round\":5,\"events\":[]}"},
 };
 
-static char *g_first_requests[G_N_ELEMENTS(k_answers)]; /* the first one that matched the row; NULL: none yet */
+static char *g_first_requests[G_N_ELEMENTS(k_responses)]; /* the first one that matched the row; NULL: none yet */
 static GMutex g_first_requests_lock;
 
 static void answer_request(int fd, const char *request) {
-  for (size_t i = 0; i < G_N_ELEMENTS(k_answers); i++) {
-    if (!g_str_has_prefix(request, k_answers[i].request_prefix)) continue;
+  for (size_t i = 0; i < G_N_ELEMENTS(k_responses); i++) {
+    if (!g_str_has_prefix(request, k_responses[i].request_prefix)) continue;
     g_mutex_lock(&g_first_requests_lock);
     if (!g_first_requests[i]) g_first_requests[i] = g_strdup(request);
     g_mutex_unlock(&g_first_requests_lock);
     if (g_str_has_prefix(request, "GET /changes?")) g_usleep(CHANGES_DELAY_US);
-    char *text = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen(k_answers[i].body),
-                                 k_answers[i].body);
+    char *text = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen(k_responses[i].body),
+                                 k_responses[i].body);
     (void)!write(fd, text, strlen(text));
     g_free(text);
     return;
@@ -118,12 +118,12 @@
   if (connect(fd, (struct sockaddr *)&sa, sizeof sa) == 0 && write(fd, request, strlen(request)) > 0) {
     char buffer[4096];
     ssize_t n;
-    size_t answer_length = SIZE_MAX; /* not known yet */
-    while (out->len < answer_length && (n = read(fd, buffer, sizeof buffer)) > 0) {
+    size_t response_length = SIZE_MAX; /* not known yet */
+    while (out->len < response_length && (n = read(fd, buffer, sizeof buffer)) > 0) {
       g_string_append_len(out, buffer, n);
       const char *length = strstr(out->str, "Content-Length: "), *body = strstr(out->str, "\r\n\r\n");
       if (length && body)
-        answer_length = (size_t)(body + 4 - out->str) + strtoul(length + strlen("Content-Length: "), NULL, 10);
+        response_length = (size_t)(body + 4 - out->str) + strtoul(length + strlen("Content-Length: "), NULL, 10);
     }
   }
   close(fd);
@@ -250,7 +250,7 @@
   g_free(page);
 }
 
-/* The first request that matched row `i` of k_answers, NULL for none yet; the caller frees it. */
+/* The first request that matched row `i` of k_responses, NULL for none yet; the caller frees it. */
 static char *first_request(size_t i) {
   g_mutex_lock(&g_first_requests_lock);
   char *copy = g_strdup(g_first_requests[i]);
@@ -260,15 +260,15 @@
 
 static void requests(void **state) {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS(k_answers); i++) {
-    if (g_str_has_prefix(k_answers[i].request_prefix, "POST /commit")) continue; /* contains random numbers */
+  for (size_t i = 0; i < G_N_ELEMENTS(k_responses); i++) {
+    if (g_str_has_prefix(k_responses[i].request_prefix, "POST /commit")) continue; /* contains random numbers */
     char *bytes = NULL;
     for (unsigned tenths = 0; !bytes && tenths < TIMEOUT_S * 10; tenths++) {
       bytes = first_request(i);
       if (!bytes) g_usleep(100000);
     }
     char *no_port = replace_matches(bytes ? bytes : "", "127\\.0\\.0\\.1:[0-9]+", "HOST"), *name = NULL;
-    name = g_strconcat("program: asks ", k_answers[i].request_prefix, NULL);
+    name = g_strconcat("program: asks ", k_responses[i].request_prefix, NULL);
     golden_check(g_strchomp(name), no_port);
     g_free(name);
     g_free(no_port);
