--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -63,9 +63,9 @@
    * is gone. They are only validated here. */
   double gang_wait_s, gang_peer_s;
   double cancel_s; /* time within which a cancelled job has to stop */
-  /* Limits of the key-value store, which may lower them to those of `state.next` at any time. Sizes
-   * and requests observe the smaller of both from the start; the write rate is lowered once the
-   * store rejects a write. */
+  /* Limits of the key-value store, which may lower them to those of `state.next` at any time. The
+   * smaller size and request limits hold from the start; the write rate is lowered once the store
+   * rejects a write. */
   double kv_rps, kv_value_kb;
   unsigned kv_txn_ops;
   double kv_write_rps, kv_next_write_rps;
