--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -98,7 +98,7 @@
 /* The key-value store refuses one controller, users cancel jobs, and a moment later it is down for
  * all. */
 static void refuse_one_then_outage(void) {
-  world_kv_refuse(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
+  world_kv_refuse_node(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
   while (at < in_s) {
@@ -109,7 +109,7 @@
 }
 
 static void refuse_one_controller(void) {
-  world_kv_refuse(random_node(), random_length());
+  world_kv_refuse_node(random_node(), random_length());
   if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, OVERLAP_S));
 }
 
@@ -140,7 +140,7 @@
   } else if (choice < 3) {
     world_partition_node(random_node(), sim_draw(5, 11));
   } else if (choice < 4) {
-    world_kv_refuse(random_node(), sim_draw(5, 11));
+    world_kv_refuse_node(random_node(), sim_draw(5, 11));
   } else {
     world_pause_node(random_node(), sim_draw(5, 11));
   }
--- a/tests/sim/links.c
+++ b/tests/sim/links.c
@@ -112,7 +112,7 @@
   add_controller_fault(LINK_CONTROLLER_WORKERS, node, for_s, mode);
 }
 
-void world_kv_refuse(unsigned node, double for_s) {
+void world_kv_refuse_node(unsigned node, double for_s) {
   g_kv_refuses_until[node] = sim_now() + for_s;
 }
 
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -127,7 +127,7 @@
   } else if (choice < 5) {
     kv_outage();
   } else if (choice < 6) {
-    world_kv_refuse((unsigned)world_random_node(), length);
+    world_kv_refuse_node((unsigned)world_random_node(), length);
   } else if (choice < 9.5) {
     break_links(now + length, mode);
   } else if (choice < 12) {
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -165,7 +165,7 @@
 
 /* ---- the key-value store ---- */
 
-void world_kv_refuse(unsigned node, double for_s); /* it refuses all requests of that controller */
+void world_kv_refuse_node(unsigned node, double for_s); /* it refuses all requests of that controller */
 void world_kv_down(double for_s);
 void world_kv_down_in(double in_s, double for_s);
 void world_kv_slow(double for_s, double most_s); /* each answer takes up to most_s */
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -89,14 +89,14 @@
   double zero = sim_now() + 10;
   bool early = row->refused_at <= row->cancel_at;
   sim_run_until(zero + MIN(row->refused_at, row->cancel_at));
-  if (early) world_kv_refuse(refused, 14);
+  if (early) world_kv_refuse_node(refused, 14);
   if (!row->linked) world_cut_node_peers(refused, 80);
   sim_run_until(zero + row->cancel_at);
   if (row->blind) world_kv_silence_watches(world_id(0), 3);
   play_cancellations(row, zero, writer, other);
   if (!early) {
     sim_run_until(zero + row->refused_at);
-    world_kv_refuse(refused, 14);
+    world_kv_refuse_node(refused, 14);
   }
   sim_run_until(MAX(sim_now(), zero + row->down_at));
   world_kv_down(54);
@@ -247,7 +247,7 @@
     for (unsigned node = 0; node < WORLD_NODES; node++) {
       start_services(500 + 10 * (uint32_t)i + node, jobs);
       if (rows[i].alone_s > 0) world_partition_node(node, rows[i].alone_s);
-      if (rows[i].refused_s > 0) world_kv_refuse(node, rows[i].refused_s);
+      if (rows[i].refused_s > 0) world_kv_refuse_node(node, rows[i].refused_s);
       if (rows[i].slow_s > 0) world_kv_slow(rows[i].slow_s, 1.5);
       sim_run_until(sim_now() + 3);
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), (int)((node + 1 + k % 2) % WORLD_NODES), k * 0.3);
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -317,7 +317,7 @@
       for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
       break;
     case REFUSED:
-      world_kv_refuse(1, 25);
+      world_kv_refuse_node(1, 25);
       break;
     case STATE_DOWN:
       world_kv_down(20);
@@ -431,7 +431,7 @@
 static void apply_cancel_fault(const cancel_row *row) {
   if (row->trouble == WRITER_ENDS) world_crash(0, 4);
   if (row->trouble == STATE_OUT) world_kv_down(50);
-  if (row->trouble == WRITER_REFUSED) world_kv_refuse(0, 40);
+  if (row->trouble == WRITER_REFUSED) world_kv_refuse_node(0, 40);
   if (row->trouble == ZONE_CUT) world_cut_zone(1, 20);
   for (unsigned n = 0; n < WORLD_NODES; n++)
     if (row->trouble == ALL_END || (row->trouble == OTHERS_END && n > 0)) world_crash(n, 4);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -61,7 +61,7 @@
   if (row->trouble == STATE_DOWN) world_kv_down(22);
   if (row->trouble == FIRST_ENDS) world_crash(0, 4);
   if (row->trouble == SECOND_ENDS) world_crash(1, 4);
-  if (row->trouble == REFUSED || row->trouble == CANCELLED) world_kv_refuse(0, 20);
+  if (row->trouble == REFUSED || row->trouble == CANCELLED) world_kv_refuse_node(0, 20);
   if (row->trouble == ALONE) world_partition_node(0, 12);
   if (row->trouble == LATE_WRITES) world_late_writes(0.3);
   if (row->trouble != CANCELLED) return;
