--- a/tests/sim/kv.h
+++ b/tests/sim/kv.h
@@ -61,7 +61,7 @@
 /* Answers watches that have changes or have expired. */
 void kv_watches_answer(void);
 /* To be called with the body of each applied transaction: starts the stall that
- * world_kv_silence_watches() has requested for it. */
+ * world_kv_stall_watches() has requested for it. */
 void kv_watches_on_commit(const char *body);
 
 /* ---- kv_faults.c ---- */
--- a/tests/sim/kv_watches.c
+++ b/tests/sim/kv_watches.c
@@ -20,7 +20,7 @@
   g_stalled_until = g_stall_s = 0;
 }
 
-void world_kv_silence_watches(const char *id, double for_s) {
+void world_kv_stall_watches(const char *id, double for_s) {
   g_snprintf(g_stall_trigger, sizeof g_stall_trigger, "\"fc1/job/%s\"", id);
   g_stall_s = for_s;
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -170,7 +170,7 @@
 void world_kv_down_in(double in_s, double for_s);
 void world_kv_slow(double for_s, double most_s); /* each answer takes up to most_s */
 /* From the next write of the job on, watches are not answered for for_s; writes are served. */
-void world_kv_silence_watches(const char *id, double for_s);
+void world_kv_stall_watches(const char *id, double for_s);
 /* Sets its limits from now on; write_rps 0: unlimited. */
 void world_kv_limit(double value_kb, unsigned txn_ops, double write_rps);
 /* Announces those limits in the settings of the controllers; to be called before they start. Larger
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -92,7 +92,7 @@
   if (early) world_kv_refuse_node(refused, 14);
   if (!row->linked) world_cut_node_peers(refused, 80);
   sim_run_until(zero + row->cancel_at);
-  if (row->blind) world_kv_silence_watches(world_id(0), 3);
+  if (row->blind) world_kv_stall_watches(world_id(0), 3);
   play_cancellations(row, zero, writer, other);
   if (!early) {
     sim_run_until(zero + row->refused_at);
