--- a/tests/sim/kv_faults.c
+++ b/tests/sim/kv_faults.c
@@ -53,9 +53,9 @@
 
 /* ---- delays ---- */
 
-void world_kv_slow(double for_s, double most_s) {
+void world_kv_slow(double for_s, double max_s) {
   g_slow_until = sim_now() + for_s;
-  g_slow_max_s = most_s;
+  g_slow_max_s = max_s;
 }
 
 void world_late_writes(double share) {
@@ -75,9 +75,9 @@
   g_delayed_commit_text = text;
 }
 
-void world_late_writes_delay(double least_s, double most_s) {
-  g_commit_delay_min_s = least_s;
-  g_commit_delay_max_s = most_s;
+void world_late_writes_delay(double min_s, double max_s) {
+  g_commit_delay_min_s = min_s;
+  g_commit_delay_max_s = max_s;
 }
 
 static bool is_delayable_commit(const sim_request *request) {
--- a/tests/sim/links.c
+++ b/tests/sim/links.c
@@ -116,6 +116,6 @@
   g_kv_refuses_until[node] = sim_now() + for_s;
 }
 
-void world_slow_links(double for_s, double most_s) {
-  sim_slow_links(sim_now() + for_s, most_s);
+void world_slow_links(double for_s, double max_s) {
+  sim_slow_links(sim_now() + for_s, max_s);
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -161,14 +161,14 @@
 void world_cut_node(unsigned node, double for_s, sim_link mode);         /* from everything */
 void world_cut_node_peers(unsigned node, double for_s);                  /* from the other controllers */
 void world_cut_node_workers(unsigned node, double for_s, sim_link mode); /* from all workers */
-void world_slow_links(double for_s, double most_s);                      /* every message takes up to most_s longer */
+void world_slow_links(double for_s, double max_s);                       /* every message takes up to max_s longer */
 
 /* ---- the key-value store ---- */
 
 void world_kv_refuse_node(unsigned node, double for_s); /* it refuses all requests of that controller */
 void world_kv_down(double for_s);
 void world_kv_down_in(double in_s, double for_s);
-void world_kv_slow(double for_s, double most_s); /* each answer takes up to most_s */
+void world_kv_slow(double for_s, double max_s); /* each answer takes up to max_s */
 /* From the next write of the job on, watches are not answered for for_s; writes are served. */
 void world_kv_stall_watches(const char *id, double for_s);
 /* Sets its limits from now on; write_rps 0: unlimited. */
@@ -179,8 +179,8 @@
 /* That share of transactions gets no answer in time and is applied 2 to 12 s late. */
 void world_late_writes(double share);
 void world_late_writes_end(double in_s);
-void world_late_writes_delay(double least_s, double most_s); /* the delay of late transactions, instead of 2 to 12 s */
-void world_late_writes_only(const char *text);               /* only transactions with that text are late; NULL: all */
+void world_late_writes_delay(double min_s, double max_s); /* the delay of late transactions, instead of 2 to 12 s */
+void world_late_writes_only(const char *text);            /* only transactions with that text are late; NULL: all */
 void kv_set_down(bool down);
 bool kv_has_key(const char *key);
 bool kv_value_contains(const char *key, const char *text);        /* the text is in its value as compact JSON */
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -212,7 +212,7 @@
 
 typedef struct delay_row {
   const char *name;
-  double share, for_s, least_s, most_s;
+  double share, for_s, min_s, max_s;
   int crash;
   unsigned seeds;
 } delay_row;
@@ -262,7 +262,7 @@
   sim_run_until(sim_now() + 4);
   double at = sim_now();
   submit_jobs_of_every_kind();
-  world_late_writes_delay(row->least_s, row->most_s);
+  world_late_writes_delay(row->min_s, row->max_s);
   world_late_writes(row->share);
   world_cancel_on_completion(0.3);
   if (row->crash >= 0) {
@@ -271,7 +271,7 @@
   }
   sim_run_until(at + row->for_s);
   world_late_writes(0);
-  sim_run_until(at + 90 + row->most_s);
+  sim_run_until(at + 90 + row->max_s);
   for (unsigned k = 0; k < 60; k++) { /* no removed record comes back at any moment */
     sim_run_until(sim_now() + 1);
     world_check_released();
@@ -381,7 +381,7 @@
   (void)state;
   static const struct {
     const char *name, *of;
-    double share, most_s;
+    double share, max_s;
     unsigned crashes; /* one controller after the other, ten seconds apart */
     double back_s;
   } rows[] = {
@@ -400,7 +400,7 @@
     scene_begin(&(scene_setup){.seed = (uint32_t)(500 + i), .capacity = 6, .keep_idle = true, .machines = {4, 4}});
     sim_run_until(sim_now() + 6);
     double at = sim_now();
-    world_late_writes_delay(2, rows[i].most_s);
+    world_late_writes_delay(2, rows[i].max_s);
     world_late_writes_only(rows[i].of);
     world_late_writes(rows[i].share);
     for (unsigned k = 0; k < 60; k++) {
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -3,9 +3,9 @@
 
 #include "scene.h"
 
-/* Until so many jobs are done, for `most_s` at most. */
-static void run_until_done(unsigned jobs, double most_s) {
-  double end = sim_now() + most_s;
+/* Until so many jobs are done, for `max_s` at most. */
+static void run_until_done(unsigned jobs, double max_s) {
+  double end = sim_now() + max_s;
   while (sim_now() < end && world_current_result().finished < jobs) sim_run_until(MIN(end, sim_now() + 5));
 }
 
