--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -1,4 +1,4 @@
-/* Rules for answers to users: no terminal state is reported that is wrong or is taken back later, and
+/* Rules for responses to users: no terminal state is reported that is wrong or is taken back later, and
  * jobs that depend on a cancelled job are cancelled in time. */
 #include "users.h"
 
@@ -41,8 +41,8 @@
   if (done && job->done_count < job->tasks) world_rule_broken("reported done with tasks left", job->id);
   if (cancelled && !job->cancel_requested && !job_dependency_cancelled(job))
     world_rule_broken("cancelled without a request", job->id);
-  double asked_from = MAX(dependency_seen_cancelled_at(job), job->first_submitted_at);
-  if (!done && !cancelled && sim_now() > asked_from + CANCEL_DEADLINE_S)
+  double since = MAX(dependency_seen_cancelled_at(job), job->first_submitted_at);
+  if (!done && !cancelled && sim_now() > since + CANCEL_DEADLINE_S)
     world_rule_broken("not cancelled with its dependency", job->id);
   if (request->seen_done && !done) world_rule_broken("reported done, then not done", job->id);
   if (request->seen_cancelled && !cancelled) world_rule_broken("reported cancelled, then not cancelled", job->id);
--- a/tests/sim/checks.c
+++ b/tests/sim/checks.c
@@ -1,6 +1,6 @@
 /* Rules for whole days: once the faults are over no job that could run stays pending for too long, and
- * at the end every job is known, the largest have begun, and at least half the jobs of each kind and
- * team have begun. */
+ * at the end the status of every accepted job is answered, every job record in the store belongs to a
+ * job of the day, and the largest jobs and at least half the jobs of each kind and team have begun. */
 #include "stand_ins.h"
 
 #define SAMPLE_INTERVAL_S 3.0
@@ -12,7 +12,7 @@
   return task->state != TASK_EXITED;
 }
 
-/* Whether controllers can use it: it is reachable and not about to be preempted. */
+/* Whether controllers can use the machine: it is reachable and not about to be preempted. */
 static bool is_usable(const sim_worker *worker) {
   double now = sim_now();
   return worker->up && !worker->terminated && worker->preemption_notice_at <= 0 && now >= worker->hung_until &&
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -3,9 +3,9 @@
 
 #define NEVER_BOOTS_S 1e9
 #define NEVER_BOOTS_SHARE 0.05
-#define LIST_DELAY_S 10 /* after its creation a machine is missing from the list for so long */
+#define LIST_DELAY_S 10 /* from the creation of a machine until it is listed */
 
-static GHashTable *g_rentals; /* name of the request -> reply (json_t), which is repeated for the same name */
+static GHashTable *g_rentals; /* name of the request -> response (json_t), which is repeated for the same name */
 static bool g_down;
 
 void world_cloud_down(bool down) {
--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -3,7 +3,7 @@
 #include "deployment.h"
 #include "stand_ins.h"
 
-#define LOSS_SHARE 0.002          /* of requests and of replies */
+#define LOSS_SHARE 0.002          /* of requests and of responses */
 #define DUPLICATE_SHARE 0.03      /* of heartbeats */
 #define FAULT_MAX_S 45            /* the longest fault of random_faults.c */
 #define FIRST_MACHINES 3          /* present from the start */
@@ -23,7 +23,7 @@
   world_kv_limit(ANNOUNCED_VALUE_KB, ANNOUNCED_TXN_OPS, ANNOUNCED_WRITE_RPS);
 }
 
-/* Upgrades one controller after the other, sometimes the next before the last is back. Some of their
+/* Upgrades one controller after the other, sometimes before the previous one is back. Some of their
  * transactions are applied only long after the last upgrade. */
 static void upgrade_next(void *arg) {
   unsigned node = GPOINTER_TO_UINT(arg);
@@ -84,7 +84,7 @@
   while (added < (unsigned)(busy_s / PIPELINE_JOB_INTERVAL_S)) added += users_add_random_pipeline(added, busy_s);
 }
 
-/* Of the days with incidents some have no other faults. */
+/* Some days with incidents have no random faults besides them. */
 static void start_faults(uint32_t seed, double busy_s, bool incidents) {
   double end = sim_now() + busy_s;
   g_duplicate_share = DUPLICATE_SHARE;
--- a/tests/sim/deployment.c
+++ b/tests/sim/deployment.c
@@ -192,8 +192,8 @@
   return node >= 0 && g_former[node] ? FORMER_VERSION : CURRENT_VERSION;
 }
 
-/* Uses the version that sent the request, not the one that runs there when it arrives: transactions of
- * the former version that arrived after its upgrade were checked against limits unknown to it. */
+/* Uses the version that sent the request, not the one that runs there when it arrives: otherwise
+ * transactions of the former version that arrive after its upgrade are checked against limits unknown to it. */
 bool world_sent_by_former(const struct sim_exchange *exchange) {
   return sim_sender_tag(exchange) == FORMER_VERSION;
 }
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -1,4 +1,4 @@
-/* Simulated links with their faults, and src/transport/http.h over them: requests and replies. */
+/* Simulated links with their faults, and src/transport/http.h over them: requests and responses. */
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
@@ -83,7 +83,7 @@
   return g_strdup_printf("%u:%u", ip, port);
 }
 
-static int g_retry_after_s; /* of the reply that a stand-in handles now */
+static int g_retry_after_s; /* of the response that a stand-in handles now */
 
 int sim_retry_after(void) {
   return g_retry_after_s;
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -1,4 +1,4 @@
-/* Messages between simulated workers and controllers: heartbeats and their replies, late duplicates of
+/* Messages between simulated workers and controllers: heartbeats and their responses, late duplicates of
  * heartbeats, direct commands, and the lease that answered heartbeats renew. */
 #include "workers.h"
 
@@ -48,7 +48,7 @@
   return text;
 }
 
-/* ---- replies ---- */
+/* ---- responses ---- */
 
 static uint64_t get_integer(const json_t *message, const char *name) {
   return (uint64_t)json_integer_value(json_object_get(message, name));
@@ -59,7 +59,7 @@
   worker->fencing_token = fencing_token;
 }
 
-/* A reply with an older fencing token comes from a former leader: it neither renews the lease nor is
+/* A response with an older fencing token comes from a former leader: it neither renews the lease nor is
  * obeyed. */
 static void accept_reply(sim_worker *worker, const json_t *message) {
   uint64_t fencing_token = get_integer(message, "captaincy");
@@ -73,7 +73,7 @@
   worker->node = (worker->node + 1) % WORLD_NODES;
 }
 
-/* Switches to the controller that the reply names, or to the next one if a controller redirects to
+/* Switches to the controller that the response names, or to the next one if a controller redirects to
  * itself. */
 static void follow_redirect(sim_worker *worker, const char *leader) {
   int node = atoi(leader + strlen("paddock-"));
@@ -108,7 +108,7 @@
 /* ---- late duplicates ---- */
 
 /* A heartbeat that is delivered a second time, from a fraction of a second to several leases late,
- * possibly to another controller or after the machine was returned. The reply is ignored. */
+ * possibly to another controller or after the machine was returned. The response is ignored. */
 typedef struct late_heartbeat {
   uint32_t from, to;
   char *body;
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -85,7 +85,7 @@
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, 0);
 }
 
-/* Their machines hang too, for seconds or possibly well past the expiry of their leases. */
+/* Cancels jobs whose machines hang too, for seconds or possibly well past the expiry of their leases. */
 static void cancel_burst_and_hang(void) {
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : random_length());
 }
@@ -95,8 +95,8 @@
   world_kv_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
-/* The key-value store refuses one controller, users cancel jobs, and a moment later it is down for
- * all. */
+/* The key-value store refuses one controller, users cancel jobs, and a moment later the store is down
+ * for all. */
 static void refuse_one_then_outage(void) {
   world_kv_refuse_node(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
@@ -176,7 +176,7 @@
   users_send_invalid(sim_now() + random_length());
 }
 
-/* A controller reaches only workers and users, while users cancel jobs. */
+/* A controller reaches neither the key-value store nor its peers while users cancel jobs. */
 static void isolate_controller(void) {
   world_partition_node(random_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
--- a/tests/sim/kv_faults.c
+++ b/tests/sim/kv_faults.c
@@ -1,4 +1,4 @@
-/* Faults of the simulated key-value store: outages, slow answers, and transactions that are applied
+/* Faults of the simulated key-value store: outages, delayed requests, and transactions that are applied
  * only after their sender has timed out. */
 #include "kv.h"
 
--- a/tests/sim/kv_limits.c
+++ b/tests/sim/kv_limits.c
@@ -10,7 +10,7 @@
 typedef struct kv_limits {
   size_t value_bytes;
   unsigned txn_ops;
-  double write_rps;          /* 0: no limit; the token bucket below holds at most one second's */
+  double write_rps;          /* 0: no limit; the token bucket below holds at most the changes of one second */
   double tokens, updated_at; /* changes allowed at once, as of updated_at */
 } kv_limits;
 
--- a/tests/sim/network.h
+++ b/tests/sim/network.h
@@ -1,6 +1,6 @@
 /* The simulated transport: declarations that its files share. events.c has virtual time,
  * processes.c and routines.c the processes and their routines, load.c the processor time and traffic
- * of processes, exchanges.c links, requests and replies, and streams.c streams between controllers. */
+ * of processes, exchanges.c links, requests and responses, and streams.c streams between controllers. */
 #ifndef FC_TESTS_SIM_NETWORK_H
 #define FC_TESTS_SIM_NETWORK_H
 
@@ -12,13 +12,13 @@
   bool alive;
   double paused_until; /* until then no routine runs and incoming messages stay queued; its clock goes on */
   GPtrArray *routines;
-  /* With a CPU share, its routines run one at a time, each after the cost of the one before. */
+  /* With a CPU share, its routines run one at a time, each once the cost of the previous one is worked off. */
   double cpu_share;              /* 0: nothing costs time */
   double timer_delay_max_s;      /* its timers fire up to this much late */
   double busy_until;             /* when the cost charged so far has been worked off */
   GQueue ready;                  /* fc_routine */
   bool run_scheduled;            /* there is an event that runs the first of `ready` */
-  double lag_s, lag_measured_at; /* how late a timer was, and when */
+  double lag_s, lag_measured_at; /* how late a timer fired, and when */
 } sim_process;
 
 /* ---- events.c ---- */
@@ -40,7 +40,7 @@
 fc_routine *sim_spawn_in(sim_process *process, fc_routine_fn fn, void *arg);
 /* Ends a routine without resuming it. */
 void sim_routine_release(fc_routine *routine);
-/* Adds processor time that is charged to its process before the routine runs next. */
+/* Adds a cost that is charged to its process before the routine runs next. */
 void sim_routine_add_cost(fc_routine *routine, double cost_s);
 
 /* ---- load.c ---- */
@@ -53,7 +53,7 @@
 /* Memory allocated between the two is the simulation's and not counted as the process's. Calls nest. */
 void sim_internal_alloc_begin(void);
 void sim_internal_alloc_end(void);
-/* Of reading or sending a message. */
+/* The cost of reading or sending a message. */
 double sim_message_cost(size_t bytes);
 /* Keeps the process busy for that cost. No effect on NULL or a process without a CPU share. */
 void sim_charge(sim_process *process, double cost_s);
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -36,7 +36,7 @@
   for (int node = 0; node < WORLD_NODES; node++) crash(node);
 }
 
-/* Restarts two controllers at once, and both again shortly after, in the middle of a term. */
+/* Restarts two controllers at the same time, and each once more shortly after, in the middle of a term. */
 static void restart_two_twice(void) {
   int first = world_random_node(), second = world_random_node();
   restart_at_once(first);
@@ -64,7 +64,7 @@
   links_add_fault(&fault);
 }
 
-/* Heartbeats arrive, but replies and commands don't; at one machine, sometimes at all. */
+/* Heartbeats arrive, but responses and commands don't; at one machine, sometimes at all. */
 static void lose_inbound(double until) {
   bool all = sim_chance(0.15);
   for (guint i = 0; i < g_worker_list->len; i++) {
--- a/tests/sim/routines.c
+++ b/tests/sim/routines.c
@@ -51,7 +51,7 @@
   return TIME_OF_DAY_OFFSET_S + sim_now();
 }
 
-/* By what share the running process's clock is faster than virtual time. */
+/* The share by which the running process's clock is faster than virtual time. */
 static double clock_drift(void) {
   const sim_process *process = sim_running_process();
   return process ? MAX_CLOCK_DRIFT * (process->ip % CLOCK_DRIFT_RATES) / (CLOCK_DRIFT_RATES - 1.0) : 0;
@@ -177,7 +177,7 @@
   sim_at(MAX(sim_now(), MAX(process->busy_until, process->paused_until)), run_next, process);
 }
 
-/* Runs the first ready routine, but not before all earlier cost and that of what it reads is worked off. */
+/* Runs the first ready routine once all earlier cost and the cost of what it reads are worked off. */
 static void run_next(void *arg) {
   sim_process *process = arg;
   process->run_scheduled = false;
--- a/tests/sim/sim.h
+++ b/tests/sim/sim.h
@@ -97,14 +97,14 @@
 void sim_serve(uint32_t ip, sim_server_fn fn, void *arg);
 /* The request's tag; 0 without sim_set_sender_tags(). */
 unsigned sim_sender_tag(const struct sim_exchange *exchange);
-/* Only the first answer to a request is sent. */
+/* Only the first response to a request is sent. */
 void sim_answer(struct sim_exchange *exchange, int status, const char *body);
 
 /* ---- clients of stand-ins ---- */
 
-/* status 0: no reply before the timeout. */
+/* status 0: no response before the timeout. */
 typedef void (*sim_reply_fn)(int status, const char *body, void *arg);
-/* Within a sim_reply_fn: the Retry-After of that reply, in seconds; 0: none. */
+/* Within a sim_reply_fn: the Retry-After of that response, in seconds; 0: none. */
 int sim_retry_after(void);
 /* Sends a request to a controller's client port. */
 void sim_call(uint32_t from, uint32_t to, const char *method, const char *path, const char *body, double timeout,
--- a/tests/sim/stand_ins.h
+++ b/tests/sim/stand_ins.h
@@ -32,7 +32,7 @@
 
 /* ---- users ---- */
 
-/* A job as its user knows it. "seen": in an answer that the user received. */
+/* A job as its user knows it. "seen": in a response that the user received. */
 typedef struct sim_job {
   char id[32];
   unsigned tasks;
@@ -200,7 +200,7 @@
 
 /* Starts the periodic checks for starvation. */
 void checks_start(void);
-/* The earliest time at which checks_end() has seen the longest allowed delays. */
+/* The time by which every delay that the checks allow is over, so that checks_end() can be called. */
 double checks_end_time(void);
 /* Checks what has to hold at the end of a day. */
 void checks_end(void);
--- a/tests/sim/streams.c
+++ b/tests/sim/streams.c
@@ -172,8 +172,8 @@
   conn->closed = true;
 }
 
-bool fc_listen(const fc_endpoint *at, size_t most, fc_conn_fn on_conn, void *arg) {
-  (void)most;
+bool fc_listen(const fc_endpoint *at, size_t max_open, fc_conn_fn on_conn, void *arg) {
+  (void)max_open;
   sim_listener *listener = g_new0(sim_listener, 1);
   *listener = (sim_listener){.fn = on_conn, .arg = arg, .process = sim_running_process()};
   g_hash_table_replace(g_listeners, sim_endpoint_key(ntohl(at->ip), at->port), listener);
--- a/tests/sim/users.c
+++ b/tests/sim/users.c
@@ -1,8 +1,8 @@
-/* Simulated users: they submit jobs, poll their status, cancel them, and check the answers. */
+/* Simulated users: they submit jobs, poll their status, cancel them, and check the responses. */
 #include "users.h"
 
 #define REPEATED_SUBMISSION_SHARE 0.1 /* of polls, after which the job is submitted again */
-#define DEPENDENCY_POLL_S 0.05        /* until the dependencies of a job are accepted */
+#define DEPENDENCY_POLL_S 0.05        /* interval, until the dependencies of a job are accepted */
 
 static int g_users_node; /* the only healthy one; -1: any */
 
@@ -133,7 +133,7 @@
   sim_job *job = arg;
   user_request_status(job, users_pick_node());
   if (sim_chance(REPEATED_SUBMISSION_SHARE)) user_repeat_submission(job, users_pick_node());
-  /* Often enough that two lost answers in a row don't exceed ANSWER_DEADLINE_S. */
+  /* Often enough that two lost responses in a row don't exceed ANSWER_DEADLINE_S. */
   sim_after(job->terminal ? sim_draw(4, 12) : sim_draw(4, 6), poll_status, job);
 }
 
--- a/tests/sim/users.h
+++ b/tests/sim/users.h
@@ -18,16 +18,16 @@
 int users_pick_node(void);
 /* Submits the job after its delay and polls its status from then on. */
 void user_begin(sim_job *job);
-/* Requests the job's status from the controller and checks the answer. */
+/* Requests the job's status from the controller and checks the response. */
 void user_request_status(sim_job *job, int node);
-/* Submits the job again and checks the answer. */
+/* Submits the job again and checks the response. */
 void user_repeat_submission(sim_job *job, int node);
 /* Cancels the job through the controller, then through any until it is acknowledged. */
 void user_cancel_by(sim_job *job, int node);
 
 /* ---- answer_checks.c ---- */
 
-/* What the user knew when it sent a request: answers can arrive out of order. */
+/* What the user knew when it sent a request: responses can arrive out of order. */
 typedef struct job_request {
   sim_job *job;
   bool seen_done, seen_cancelled;
@@ -35,7 +35,7 @@
 
 /* For a request that is sent now; the caller frees it with g_free(). */
 job_request *job_request_new(sim_job *job);
-/* Checks the job status in the answer's body against what was known, and records it. */
+/* Checks the job status in the response's body against what was known, and records it. */
 void job_request_check_status(const job_request *request, const char *body);
 
 /* ---- invalid_requests.c ---- */
--- a/tests/sim/workers.h
+++ b/tests/sim/workers.h
@@ -13,7 +13,7 @@
 
 /* If the lease has expired, ends all tasks and begins a new epoch. */
 void worker_check_lease(sim_worker *worker);
-/* Sends a heartbeat; the reply renews the lease and may carry commands. */
+/* Sends a heartbeat; the response renews the lease and may carry commands. */
 void worker_send_heartbeat(sim_worker *worker);
 /* A sim_server_fn for the worker in `arg`: serves the commands that controllers send directly. */
 void worker_serve_commands(const sim_request *request, void *arg);
@@ -22,7 +22,7 @@
 
 /* Resets the counts of exits by cause. */
 void tasks_init(void);
-/* Executes the commands of a heartbeat reply or a direct call, in order. */
+/* Executes the commands of a heartbeat response or a direct call, in order. */
 void tasks_execute(sim_worker *worker, json_t *commands);
 /* Advances the task by a step: ends its image fetch, wait or run if due. */
 void task_step(sim_worker *worker, sim_task *task);
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -30,10 +30,10 @@
   unsigned crashes, faults;
   unsigned late_starts;                      /* of tasks, after the user saw the job cancelled */
   unsigned invalid_requests;                 /* requests that must be refused or change nothing */
-  unsigned min_served_percent;               /* the lowest share that began of the jobs of a kind or team, or of the
-                                              * largest jobs of a kind */
+  unsigned min_served_percent;               /* the lowest percentage of jobs that began, of the jobs of each kind,
+                                              * of each team, and of the largest jobs of each kind */
   unsigned starts_after_done;                /* starts of tasks that had completed before */
-  unsigned submissions, unanswered, refused; /* sent; not answered; answered with 429 or 503 */
+  unsigned submissions, unanswered, refused; /* ended; not answered; answered with 429 or 503 */
   double min_lease_left_s;                   /* the shortest remaining lease of a running worker */
   unsigned over_rate;                        /* transactions that the key-value store refused for their rate */
   unsigned status_requests, status_answers, status_refusals; /* ended; answered with 200; with 503 */
@@ -56,8 +56,8 @@
 
 /* ---- set-up of a scene ---- */
 
-/* Creates the stand-ins with the default settings. lose: the shares of requests and of replies that
- * are lost. */
+/* Creates the stand-ins with the default settings. lose: the share of requests, and of responses,
+ * that is lost. */
 void world_set_up(uint32_t seed, double lose);
 /* Starts the controllers; to be called after the scene has changed its settings. */
 void world_start_nodes(void);
@@ -120,7 +120,7 @@
 /* The number of jobs that were accepted before then, aren't terminal, and have had no status request
  * answered since. */
 unsigned world_jobs_unanswered_since(double since);
-void world_request_job_status(unsigned node, const char *id); /* its user requests its status and checks the answer */
+void world_request_job_status(unsigned node, const char *id); /* its user requests its status and checks the response */
 /* Sends a GET request, runs the simulation until it is answered, and returns the HTTP status; 0: timeout. */
 int world_get_status(unsigned node, const char *path);
 
@@ -154,7 +154,7 @@
 
 /* ---- network faults ---- */
 
-void world_partition_node(unsigned node, double for_s); /* it reaches only workers and users */
+void world_partition_node(unsigned node, double for_s); /* from the key-value store and its peers */
 void world_cut_zone(unsigned zone, double for_s);       /* from everything outside the zone */
 /* Traffic between the two is held, or connections are reset; both reach all others. */
 void world_cut_pair(unsigned node, unsigned machine, double for_s, sim_link mode);
@@ -168,7 +168,7 @@
 void world_kv_refuse_node(unsigned node, double for_s); /* it refuses all requests of that controller */
 void world_kv_down(double for_s);
 void world_kv_down_in(double in_s, double for_s);
-void world_kv_slow(double for_s, double max_s); /* each answer takes up to max_s */
+void world_kv_slow(double for_s, double max_s); /* each request is executed up to max_s late */
 /* From the next write of the job on, watches are not answered for for_s; writes are served. */
 void world_kv_stall_watches(const char *id, double for_s);
 /* Sets its limits from now on; write_rps 0: unlimited. */
@@ -176,7 +176,7 @@
 /* Announces those limits in the settings of the controllers; to be called before they start. Larger
  * values and transactions of theirs break a rule from the start. */
 void world_kv_announce_limits(double value_kb, unsigned txn_ops, double write_rps);
-/* That share of transactions gets no answer in time and is applied 2 to 12 s late. */
+/* That share of transactions gets no response in time and is applied 2 to 12 s late. */
 void world_late_writes(double share);
 void world_late_writes_end(double in_s);
 void world_late_writes_delay(double min_s, double max_s); /* the delay of late transactions, instead of 2 to 12 s */
@@ -196,8 +196,8 @@
 void world_cut_inbound(unsigned from, unsigned to, double for_s); /* nothing that is sent to them arrives */
 /* Their heartbeats reach no controller; direct commands reach them. */
 void world_cut_outbound(unsigned from, unsigned to, double for_s);
-/* Both give notice that a machine is preempted in in_s: the first to a spot machine in use, and returns
- * false if there is none. */
+/* Both give a machine notice that it is preempted in in_s; the first picks a spot machine in use, and
+ * returns false if there is none. */
 bool world_preempt_any_spot(double in_s);
 void world_preempt_machine(unsigned machine, double in_s);
 /* Delivers a heartbeat with the machine's current status to the controller after in_s. */
