--- a/tests/sim/days.c
+++ b/tests/sim/days.c
@@ -9,7 +9,7 @@
 #define FIRST_MACHINES 3          /* present from the start */
 #define JOB_INTERVAL_S 8          /* mean */
 #define PIPELINE_JOB_INTERVAL_S 4 /* mean */
-#define NO_RANDOM_FAULTS_EVERY 3u /* days with incidents have no random faults if the seed is a multiple */
+#define NO_RANDOM_FAULTS_EVERY 3u /* days with incidents have no random faults if the seed is a multiple of it */
 
 /* The key-value store's limits after a day's upgrade. */
 #define ANNOUNCED_VALUE_KB 2
--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -8,7 +8,7 @@
 #include "transport/http.h"
 
 #define CLIENT_PORT 8080 /* of controllers; stand-ins answer on any port */
-/* Of requests, while links lose some. */
+/* Shares of requests that are delayed, while links lose some. */
 #define VERY_LATE_SHARE 0.006
 #define LATE_SHARE 0.016 /* the very late ones included */
 
--- a/tests/sim/heartbeats.c
+++ b/tests/sim/heartbeats.c
@@ -89,7 +89,7 @@
 static void on_heartbeat_reply(int status, const char *body, void *arg) {
   sim_worker *worker = arg;
   if (status != 200) worker->connection = 0;
-  if (worker->sent_incarnation != worker->incarnation) return; /* the machine has restarted since */
+  if (worker->sent_incarnation != worker->incarnation) return; /* a restart has ended its connection */
   worker->in_flight = false;
   if (!worker_alive(worker)) return;
   worker_check_lease(worker);
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -6,7 +6,7 @@
 
 static double g_last_incident_at; /* none starts after it */
 
-/* Shorter than a worker's lease, longer, or longer than a cancellation may take. */
+/* Draws a duration: shorter than a worker's lease, longer, or longer than a cancellation may take. */
 static double random_length(void) {
   double choice = sim_draw(0, 1);
   if (choice < 0.4) return sim_draw(1, LEASE_S * 0.8);
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -45,7 +45,7 @@
   sim_after(sim_draw(0.1, 1.5), restart_again, GINT_TO_POINTER(second));
 }
 
-/* Shorter or longer than the controller's own lease, a worker's lease, or the deadline of a
+/* Pauses a controller for shorter or longer than its own lease, a worker's lease, or the deadline of a
  * cancellation. */
 static void pause_one(double length) {
   world_pause_node((unsigned)world_random_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
--- a/tests/sim/workers.c
+++ b/tests/sim/workers.c
@@ -2,7 +2,7 @@
 #include "workers.h"
 
 #define DEFAULT_IMAGE_FETCH_MAX_S 3
-#define CHANGE_HEARTBEAT_MIN_S 0.5 /* the shortest interval between heartbeats that report a changed status */
+#define CHANGE_HEARTBEAT_MIN_S 0.5 /* the shortest time from a heartbeat to one that reports a changed status */
 
 static unsigned g_next_machine, g_next_ip;
 double g_image_fetch_max_s;
