--- a/tests/sim/exchanges.c
+++ b/tests/sim/exchanges.c
@@ -1,4 +1,4 @@
-/* Simulated links with their faults, and src/transport/http.h over them: requests and replies. */
+/* Simulated links with their faults, and src/transport/http.h over them: requests and responses. */
 #include <arpa/inet.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "transport/http.h"
 
 #define CLIENT_PORT 8080 /* of controllers; stand-ins answer on any port */
-/* Of requests, while links lose some. */
+/* Shares of requests that are delayed, while links lose some. */
 #define VERY_LATE_SHARE 0.006
 #define LATE_SHARE 0.016 /* the very late ones included */
 
@@ -83,7 +83,7 @@
   return g_strdup_printf("%u:%u", ip, port);
 }
 
-static int g_retry_after_s; /* of the reply that a stand-in handles now */
+static int g_retry_after_s; /* of the response that a stand-in handles now */
 
 int sim_retry_after(void) {
   return g_retry_after_s;
--- a/tests/sim/incidents.c
+++ b/tests/sim/incidents.c
@@ -6,7 +6,7 @@
 
 static double g_last_incident_at; /* none starts after it */
 
-/* Shorter than a worker's lease, longer, or longer than a cancellation may take. */
+/* Draws a duration: shorter than a worker's lease, longer, or longer than a cancellation may take. */
 static double random_length(void) {
   double choice = sim_draw(0, 1);
   if (choice < 0.4) return sim_draw(1, LEASE_S * 0.8);
@@ -85,7 +85,7 @@
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, 0);
 }
 
-/* Their machines hang too, for seconds or possibly well past the expiry of their leases. */
+/* Cancels jobs whose machines hang too, for seconds or possibly well past the expiry of their leases. */
 static void cancel_burst_and_hang(void) {
   users_cancel_running((unsigned)sim_draw(1, 5), 0.2, sim_chance(0.5) ? sim_draw(1, 6) : random_length());
 }
@@ -95,10 +95,10 @@
   world_kv_down(sim_draw(CANCEL_DEADLINE_S, CANCEL_DEADLINE_S * 1.4));
 }
 
-/* The key-value store refuses one controller, users cancel jobs, and a moment later it is down for
- * all. */
+/* The key-value store refuses one controller, users cancel jobs, and a moment later the store is down
+ * for all. */
 static void refuse_one_then_outage(void) {
-  world_kv_refuse(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
+  world_kv_refuse_node(random_node(), sim_draw(2, CANCEL_DEADLINE_S * 1.4));
   double in_s = sim_draw(1, 2);
   double at = 0;
   while (at < in_s) {
@@ -109,7 +109,7 @@
 }
 
 static void refuse_one_controller(void) {
-  world_kv_refuse(random_node(), random_length());
+  world_kv_refuse_node(random_node(), random_length());
   if (sim_chance(0.5)) users_cancel_running_in(2, sim_draw(0, OVERLAP_S));
 }
 
@@ -140,7 +140,7 @@
   } else if (choice < 3) {
     world_partition_node(random_node(), sim_draw(5, 11));
   } else if (choice < 4) {
-    world_kv_refuse(random_node(), sim_draw(5, 11));
+    world_kv_refuse_node(random_node(), sim_draw(5, 11));
   } else {
     world_pause_node(random_node(), sim_draw(5, 11));
   }
@@ -176,7 +176,7 @@
   users_send_invalid(sim_now() + random_length());
 }
 
-/* A controller reaches only workers and users, while users cancel jobs. */
+/* A controller reaches neither the key-value store nor its peers while users cancel jobs. */
 static void isolate_controller(void) {
   world_partition_node(random_node(), random_length());
   users_cancel_running_in(2, sim_draw(0, 12));
--- a/tests/sim/random_faults.c
+++ b/tests/sim/random_faults.c
@@ -36,7 +36,7 @@
   for (int node = 0; node < WORLD_NODES; node++) crash(node);
 }
 
-/* Restarts two controllers at once, and both again shortly after, in the middle of a term. */
+/* Restarts two controllers at the same time, and each once more shortly after, in the middle of a term. */
 static void restart_two_twice(void) {
   int first = world_random_node(), second = world_random_node();
   restart_at_once(first);
@@ -45,7 +45,7 @@
   sim_after(sim_draw(0.1, 1.5), restart_again, GINT_TO_POINTER(second));
 }
 
-/* Shorter or longer than the controller's own lease, a worker's lease, or the deadline of a
+/* Pauses a controller for shorter or longer than its own lease, a worker's lease, or the deadline of a
  * cancellation. */
 static void pause_one(double length) {
   world_pause_node((unsigned)world_random_node(), sim_chance(0.4) ? sim_draw(0.2, 3) : length * 1.4);
@@ -64,7 +64,7 @@
   links_add_fault(&fault);
 }
 
-/* Heartbeats arrive, but replies and commands don't; at one machine, sometimes at all. */
+/* Heartbeats arrive, but responses and commands don't; at one machine, sometimes at all. */
 static void lose_inbound(double until) {
   bool all = sim_chance(0.15);
   for (guint i = 0; i < g_worker_list->len; i++) {
@@ -127,7 +127,7 @@
   } else if (choice < 5) {
     kv_outage();
   } else if (choice < 6) {
-    world_kv_refuse((unsigned)world_random_node(), length);
+    world_kv_refuse_node((unsigned)world_random_node(), length);
   } else if (choice < 9.5) {
     break_links(now + length, mode);
   } else if (choice < 12) {
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -93,14 +93,14 @@
   double start = sim_now() + 10;
   bool refused_first = row->refused_at <= row->cancel_at;
   sim_run_until(start + MIN(row->refused_at, row->cancel_at));
-  if (refused_first) world_kv_refuse(refused, REFUSED_S);
+  if (refused_first) world_kv_refuse_node(refused, REFUSED_S);
   if (!row->peers_connected) world_cut_node_peers(refused, 80);
   sim_run_until(start + row->cancel_at);
-  if (row->watches_silent) world_kv_silence_watches(world_id(0), 3);
+  if (row->watches_silent) world_kv_stall_watches(world_id(0), 3);
   cancel_with_faults(row, start, writer, other);
   if (!refused_first) {
     sim_run_until(start + row->refused_at);
-    world_kv_refuse(refused, REFUSED_S);
+    world_kv_refuse_node(refused, REFUSED_S);
   }
   sim_run_until(MAX(sim_now(), start + row->down_at));
   world_kv_down(DOWN_S);
@@ -253,7 +253,7 @@
     for (unsigned node = 0; node < WORLD_NODES; node++) {
       start_services(500 + 10 * (uint32_t)i + node, jobs);
       if (rows[i].partitioned_s > 0) world_partition_node(node, rows[i].partitioned_s);
-      if (rows[i].refused_s > 0) world_kv_refuse(node, rows[i].refused_s);
+      if (rows[i].refused_s > 0) world_kv_refuse_node(node, rows[i].refused_s);
       if (rows[i].slow_s > 0) world_kv_slow(rows[i].slow_s, 1.5);
       sim_run_until(sim_now() + 3);
       for (unsigned k = 0; k < 5; k++) world_cancel(world_id(k), (int)((node + 1 + k % 2) % WORLD_NODES), k * 0.3);
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -319,7 +319,7 @@
       for (unsigned n = 0; n < WORLD_NODES; n++) world_crash(n, 4);
       break;
     case KV_REFUSES_ONE:
-      world_kv_refuse(1, 25);
+      world_kv_refuse_node(1, 25);
       break;
     case KV_DOWN:
       world_kv_down(20);
@@ -434,7 +434,7 @@
 static void apply_cancel_fault(const cancel_row *row) {
   if (row->fault == WRITER_CRASHES) world_crash(0, 4);
   if (row->fault == KV_OUTAGE) world_kv_down(50);
-  if (row->fault == WRITER_REFUSED) world_kv_refuse(0, 40);
+  if (row->fault == WRITER_REFUSED) world_kv_refuse_node(0, 40);
   if (row->fault == ZONE_CUT) world_cut_zone(1, 20);
   for (unsigned n = 0; n < WORLD_NODES; n++)
     if (row->fault == ALL_CRASH || (row->fault == OTHERS_CRASH && n > 0)) world_crash(n, 4);
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -213,9 +213,9 @@
 
 typedef struct delay_row {
   const char *name;
-  double share, for_s;    /* of the transactions that are delayed; for how long that is so */
-  double least_s, most_s; /* their delay */
-  int crash;              /* the controller that crashes; -1: none */
+  double share, for_s; /* of the transactions that are delayed; for how long that is so */
+  double min_s, max_s; /* their delay */
+  int crash;           /* the controller that crashes; -1: none */
   unsigned seeds;
 } delay_row;
 
@@ -264,7 +264,7 @@
   sim_run_until(sim_now() + 4);
   double at = sim_now();
   submit_jobs_of_every_kind();
-  world_late_writes_delay(row->least_s, row->most_s);
+  world_late_writes_delay(row->min_s, row->max_s);
   world_late_writes(row->share);
   world_cancel_on_completion(0.3);
   if (row->crash >= 0) {
@@ -273,7 +273,7 @@
   }
   sim_run_until(at + row->for_s);
   world_late_writes(0);
-  sim_run_until(at + 90 + row->most_s);
+  sim_run_until(at + 90 + row->max_s);
   for (unsigned k = 0; k < 60; k++) { /* no removed record is written again */
     sim_run_until(sim_now() + 1);
     world_check_released();
@@ -383,7 +383,7 @@
   (void)state;
   static const struct {
     const char *name, *body_text; /* text in the bodies of the transactions that are delayed */
-    double share, most_s;         /* of these transactions that are delayed; by how long */
+    double share, max_s;          /* of these transactions that are delayed; by how long */
     unsigned crashes;             /* one controller after the other, ten seconds apart */
     double back_s;                /* until a controller is back */
   } rows[] = {
@@ -402,7 +402,7 @@
     scene_begin(&(scene_setup){.seed = (uint32_t)(500 + i), .capacity = 6, .keep_idle = true, .machines = {4, 4}});
     sim_run_until(sim_now() + 6);
     double at = sim_now();
-    world_late_writes_delay(2, rows[i].most_s);
+    world_late_writes_delay(2, rows[i].max_s);
     world_late_writes_only(rows[i].body_text);
     world_late_writes(rows[i].share);
     for (unsigned k = 0; k < 60; k++) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -71,7 +71,7 @@
   if (row->fault == KV_DOWN) world_kv_down(22);
   if (row->fault == FIRST_CRASHES) world_crash(0, 4);
   if (row->fault == SECOND_CRASHES) world_crash(1, 4);
-  if (row->fault == KV_REFUSES_FIRST || row->fault == CANCELLED) world_kv_refuse(0, 20);
+  if (row->fault == KV_REFUSES_FIRST || row->fault == CANCELLED) world_kv_refuse_node(0, 20);
   if (row->fault == FIRST_PARTITIONED) world_partition_node(0, 12);
   if (row->fault == LATE_WRITES) world_late_writes(0.3);
   if (row->fault != CANCELLED) return;
