--- a/tests/heap.c
+++ b/tests/heap.c
@@ -94,7 +94,7 @@
   g_counting = true;
 }
 
-/* These stand in for the C library's; the names are glibc's. */
+/* The functions below replace the C library's, and call glibc's own under these names. */
 // NOLINTBEGIN(bugprone-reserved-identifier,readability-identifier-naming)
 extern void *__libc_malloc(size_t bytes);
 extern void *__libc_calloc(size_t count, size_t bytes);
--- a/tests/small.h
+++ b/tests/small.h
@@ -47,7 +47,7 @@
 /* Counters at one time, to report what happened since. */
 typedef struct snapshot {
   world_result r;
-  double at, cpu_s; /* of the first controller */
+  double at, cpu_s; /* cpu_s: used by the first controller */
   unsigned terms;
 } snapshot;
 
--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -115,8 +115,8 @@
   }
 }
 
-/* The users of many archived jobs poll them every eight seconds: over 95% of the queries are answered with
- * 200, not refused with 503. */
+/* The users of many archived jobs poll them every eight seconds: less than 5% of the queries are refused with
+ * 503. */
 static void polling_of_many_archived_jobs(void **state) {
   (void)state;
   enum { JOBS = 120, POLL_INTERVAL_S = 8, POLLS = 6 };
@@ -207,7 +207,7 @@
   assert_non_null(strstr(machines.body, "fc1/machine/vm-000001"));
 }
 
-/* A machine with a preemption notice runs one task of a gang: all tasks of the gang are stopped together, and
+/* A machine with a spot notice runs one task of a gang: all tasks of the gang are stopped together, and
  * none fails because its peers are gone. */
 static void gang_drained_on_a_spot_notice(void **state) {
   (void)state;
--- a/tests/test_cancel.c
+++ b/tests/test_cancel.c
@@ -19,10 +19,14 @@
   /* Seconds from a common start: when the key-value store begins to refuse one controller, when users
    * cancel, and when the store goes down. */
   double refused_at, cancel_at, down_at;
-  /* Which controller acknowledges: the one that writes the cancellation; also another, from its cache;
-   * the writer, once more after a restart; the writer, which crashes right after. */
-  enum { WRITER, FROM_CACHE, RESTARTED, CRASHED } by;
-  bool watches_silent;  /* no controller's watch is answered from the cancellation on */
+  /* Which controller acknowledges the cancellations. */
+  enum {
+    WRITER,     /* the one that writes them */
+    FROM_CACHE, /* the writer, then another from its cache */
+    RESTARTED,  /* the writer, and once more after a restart */
+    CRASHED,    /* the writer, which crashes right after */
+  } by;
+  bool watches_silent;  /* no controller's watch is answered for 3 s from the cancellation on */
   bool peers_connected; /* the refused controller is connected to its peers */
   bool forwarded;       /* acknowledged cancellations can reach every controller */
 } outage_row;
@@ -161,8 +165,8 @@
   const char *name;
   enum { HUNG, OUTBOUND_CUT, INBOUND_CUT } fault;
   unsigned count;         /* of machines */
-  double before_s, for_s; /* when it begins, before the cancellation; duration */
-  bool kv_down, crash;    /* the key-value store is down after it; a controller crashes after it */
+  double before_s, for_s; /* of the fault: how long it begins before the cancellation; duration */
+  bool kv_down, crash;    /* after both: the key-value store goes down; a controller crashes */
 } unreachable_row;
 
 static const unreachable_row k_unreachable[] = {
--- a/tests/test_expired_leases.c
+++ b/tests/test_expired_leases.c
@@ -106,7 +106,8 @@
   run_rows(rows, G_N_ELEMENTS(rows));
 }
 
-/* A dropped start's share of the limit goes to other jobs: no task runs twice, but the limit is exceeded. */
+/* If a start is dropped too early, its share of the limit goes to other jobs, and the limit is exceeded although
+ * no task runs twice. */
 static void team_limit_after_an_expired_lease(void **state) {
   (void)state;
   static const expired_lease_row rows[] = {
--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -12,6 +12,7 @@
 #define SEEDS_WITH_PIPELINES 16u
 #define SEEDS_WITH_UPGRADES 16u
 
+/* FAULT_SEED=N begins with seed N, and runs it alone unless FAULT_SEEDS=M asks for M seeds. */
 static void run_days(const world_day *day, uint32_t seeds) {
   const char *first_text = g_getenv("FAULT_SEED"), *count_text = g_getenv("FAULT_SEEDS");
   uint32_t first = first_text ? (uint32_t)atoi(first_text) : 1;
@@ -53,6 +54,7 @@
   run_days(&(world_day){.overlapping_faults = true}, SEEDS_WITH_MEETINGS);
 }
 
+/* Pipelines: jobs that depend on others. */
 static void days_with_pipelines(void **state) {
   (void)state;
   run_days(&(world_day){.pipelines = true}, SEEDS_WITH_PIPELINES);
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -418,7 +418,7 @@
 typedef struct cancel_row {
   const char *name;
   enum { NONE, WRITER_CRASHES, KV_OUTAGE, OTHERS_CRASH, WRITER_REFUSED, ZONE_CUT, ALL_CRASH } fault;
-  bool ask_later; /* 0.1 s after the cancellation, else at once */
+  bool query_later; /* 0.1 s after the cancellation, else at once */
 } cancel_row;
 
 static const cancel_row k_cancels[] = {
@@ -471,7 +471,7 @@
   }
 }
 
-/* Asks until it is answered: archived jobs are looked up at a bounded rate. */
+/* Repeats the query until it is answered: archived jobs are looked up at a bounded rate. */
 static bool archived_as_cancelled(unsigned k) {
   char path[64];
   g_snprintf(path, sizeof path, "/api/jobs/%s", world_id(k));
@@ -496,7 +496,7 @@
     world_cancel(world_id(ROOT_JOB), 0, 0);
     while (!world_seen_cancelled_at(world_id(ROOT_JOB))) sim_run_until(sim_now() + 0.001);
     apply_cancel_fault(row);
-    if (row->ask_later) sim_run_until(sim_now() + 0.1);
+    if (row->query_later) sim_run_until(sim_now() + 0.1);
     check_all_cancelled(row, true);
     sim_run_until(sim_now() + 120);
     for (unsigned k = 1; k <= DEPENDENTS; k++) {
--- a/tests/test_late.c
+++ b/tests/test_late.c
@@ -314,7 +314,7 @@
     {"new jobs", "\"phase\":\"accepted\"", 0, 4, true},
     {"completions of jobs", "\"phase\":\"done\"", 0, 20, true},
     {"archived jobs", "\"set\":\"fc1over/", 0, 40, true},
-    {"shares of quotas", "\"set\":\"fc1/quota", 0, 20, true},
+    {"quota shares", "\"set\":\"fc1/quota", 0, 20, true},
 };
 
 static void submit_four_jobs(void) {
@@ -377,8 +377,8 @@
   }
 }
 
-/* Records of quota shares, members and terms are applied late, with a team at its quota and controllers
- * that restart: the quota is not exceeded, and in the end all controllers are members again and all jobs done. */
+/* Records of quota shares, members and terms are applied late, with a team at its limit and controllers
+ * that restart: the limit is not exceeded, and in the end all controllers are members again and all jobs done. */
 static void delayed_quota_and_membership_records(void **state) {
   (void)state;
   static const struct {
--- a/tests/test_leaders.c
+++ b/tests/test_leaders.c
@@ -216,7 +216,7 @@
 }
 
 /* While a single controller is up for long, new jobs start, at the latest once it may remove the others
- * from the term, which is cancel_s - lease_s after its entry. */
+ * from the term, which is cancel_s - lease_s after it joined. */
 static void check_one_controller_serves(const char *name, unsigned node) {
   sim_run_until(sim_now() + 8);
   world_set_users_node((int)node);
@@ -454,6 +454,7 @@
       cmocka_unit_test(ten_leader_changes_in_two_minutes), cmocka_unit_test(all_controllers_down),
       cmocka_unit_test(leader_changes_during_return), cmocka_unit_test(completions_across_leader_changes),
       cmocka_unit_test(unreachable_machines_at_a_leader_change)};
+  /* Runs a single test. */
   if (g_getenv("LEADERS_ONLY")) cmocka_set_test_filter(g_getenv("LEADERS_ONLY"));
   return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -61,8 +61,8 @@
     if (r.broken) fail_msg("%s: %s", row->name, r.first);
     check_row(row->name, r.accepted == JOBS + 1);
     check_row(row->name, r.finished == JOBS + 1);
-    /* Each of the three controllers needs a few refusals to adapt. While writes are pending, it tries a higher
-     * rate every 13 s (bookkeeping/write_rate.c). */
+    /* Each of the three controllers needs a few refusals to adapt. While writes are pending its rate recovers,
+     * and is refused again about every 13 s (bookkeeping/write_rate.c). */
     check_row(row->name, early <= row->max_refused && r.over_rate - early <= LATER_S * WORLD_NODES / 13);
   }
 }
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -1,4 +1,4 @@
-/* Placement constraints while machines, controllers and links fail: zones, team quotas, overload. */
+/* Placement constraints while machines, controllers and links fail: zones, team limits, overload. */
 #include "check.h"
 
 #include "scene.h"
@@ -183,7 +183,7 @@
   static const failover_row rows[] = {
       {"every machine answers", 0, 0.3},
       {"another's machines hang", 13, 0.3},
-      {"another's machines hang, replaced later", 13, 3},
+      {"another's machines hang, controllers back later", 13, 3},
   };
   enum { RUNS = 3, MAX_SEEDS = 12 };
   for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -282,7 +282,7 @@
 
 enum { LIMIT_SERVICES = 4 };
 
-/* Four services use the team's whole quota; an array of the team is pending. */
+/* Four services use the team's whole limit; an array of the team is pending. */
 static void start_team_at_limit(const char *name, uint32_t seed) {
   scene_begin(&(scene_setup){.seed = seed, .capacity = 8, .machines = {6, 6}});
   for (unsigned k = 0; k < LIMIT_SERVICES; k++)
@@ -314,9 +314,9 @@
   }
 }
 
-/* A team is at its quota, controllers restart, the machines of one of its jobs are unreachable, and that
- * job is cancelled. Its tasks count as quota usage until it is proved that they have ended; then the team's
- * next job starts at once. */
+/* A team is at its limit, controllers restart, the machines of one of its jobs are unreachable, and that
+ * job is cancelled. Its tasks count against the limit until it is proved that they have ended; then the
+ * team's next job starts at once. */
 static void team_limit_after_a_cancellation(void **state) {
   (void)state;
   unsigned late = 0;
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -397,7 +397,7 @@
   static const struct {
     const char *name;
     unsigned crashed;
-    double down_s, ask_after_s; /* both from the crash on */
+    double down_s, request_in_s; /* both from the crash on */
   } rows[] = {
       {"one controller, at once", 1, 0.05, 0.06},
       {"one controller, a moment later", 1, 0.05, 0.5},
@@ -411,7 +411,7 @@
     world_set_up(23 + (uint32_t)i, 0);
     start_three_jobs();
     for (unsigned n = 0; n < rows[i].crashed; n++) world_crash(n, rows[i].down_s);
-    sim_run_until(sim_now() + rows[i].ask_after_s);
+    sim_run_until(sim_now() + rows[i].request_in_s);
     check_infeasible(rows[i].name, 0, true, IMMEDIATE_S);
     world_reply r = world_request(0, "POST", "/api/jobs", "{\"id\":\"job-000002\",\"squad\":1}");
     check_reply(rows[i].name, &r, r.status == 200 || r.status == 503, IMMEDIATE_S);
@@ -426,8 +426,8 @@
   }
 }
 
-/* Without the key-value store no controller can tell that a job is unknown: it answers 503 at once, neither 400
- * nor 422, to a request with a valid id unless it knows the job. */
+/* Without the key-value store no controller can tell that a job is unknown: it answers a request with a valid id
+ * with 503 at once, neither 400 nor 422, unless it knows that the job has ended. */
 static void invalid_requests_in_a_kv_store_outage(void **state) {
   (void)state;
   world_set_up(31, 0);
--- a/tests/test_scenes.c
+++ b/tests/test_scenes.c
@@ -145,7 +145,7 @@
 }
 
 /* A single machine that receives no messages is returned as soon as a silent one, and its tasks restart
- * elsewhere. If most machines receive none, the fault is likely in the network, and none is returned. */
+ * elsewhere. If most machines receive none, the fault is likely not theirs, and no machine is returned. */
 static void machines_that_receive_nothing(void **state) {
   (void)state;
   static const struct {
--- a/tests/test_unused_shares.c
+++ b/tests/test_unused_shares.c
@@ -29,7 +29,7 @@
 #define ZONE_FULL_AT_S 20.0
 #define ARRAYS 6u
 #define ARRAYS_AT_S 60.0
-#define STARVED_AFTER_S 90.0 /* pending for so long is starvation */
+#define STARVED_AFTER_S 90.0 /* the stated aim: no job is pending for longer beside room */
 #define MACHINE_GPUS 4u
 
 enum { RED_SERVICE = 1, RED_ARRAY, BLUE_ZONE_B, BLUE_GANG, BLUE_HELD_BACK, BLUE_ARRAY = 20 };
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,6 +1,6 @@
-/* The version before job dependencies and this one side by side, and on each other's data. For controllers of
- * the former version the simulated key-value store adapts records to that version's formats (sim/kv_store.c,
- * sim/kv_commits.c). */
+/* The version before job dependencies (the old or former version) and this one side by side, and on each
+ * other's data. For controllers of the old version the simulated key-value store adapts records to that version's
+ * formats (sim/kv_store.c, sim/kv_commits.c). */
 #include "check.h"
 
 #include "scene.h"
