--- a/tests/test_answers.c
+++ b/tests/test_answers.c
@@ -115,7 +115,7 @@
   }
 }
 
-/* The users of many archived jobs poll them every eight seconds: less than 5% of the queries are refused with
+/* The users of many archived jobs poll them every eight seconds: over 95% of the queries are not refused with
  * 503. */
 static void polling_of_many_archived_jobs(void **state) {
   (void)state;
