--- a/tests/test_heartbeats.c
+++ b/tests/test_heartbeats.c
@@ -1,6 +1,6 @@
 /* Heartbeats: which member answers them, how they are ordered, and what they show about the
  * connection; without a network. */
-#include "worker_bench.h"
+#include "worker_fixture.h"
 
 #include "scheduler/free_capacity.h"
 
--- a/tests/test_machine_probes.c
+++ b/tests/test_machine_probes.c
@@ -1,5 +1,5 @@
 /* When machines are called directly, and what probes show; without a network. */
-#include "worker_bench.h"
+#include "worker_fixture.h"
 
 #include "controller/machine_reachability.h"
 
--- a/tests/test_reconciler.c
+++ b/tests/test_reconciler.c
@@ -1,5 +1,5 @@
 /* Reconciliation: what a task list proves before and after the machine is fenced; without a network. */
-#include "worker_bench.h"
+#include "worker_fixture.h"
 
 /* A machine gets no command before its worker has shown the current fencing token, from which on it
  * refuses commands of earlier terms. */
--- a/tests/test_worker_commands.c
+++ b/tests/test_worker_commands.c
@@ -1,5 +1,5 @@
 /* Commands that a worker is sent with the response to a heartbeat or by a direct call; no network. */
-#include "worker_bench.h"
+#include "worker_fixture.h"
 
 /* A start is repeated until a heartbeat lists the task. While a copy of the start may still arrive, a heartbeat without
  * the task doesn't prove that it will not run, so its placement stays. */
--- a/tests/test_worker_leases.c
+++ b/tests/test_worker_leases.c
@@ -1,5 +1,5 @@
 /* Expiry of worker leases; without a network. */
-#include "worker_bench.h"
+#include "worker_fixture.h"
 
 #include "controller/machine_reachability.h"
 
--- a/tests/worker_bench.h
+++ b/tests/worker_fixture.h
@@ -1,6 +1,6 @@
 /* Test fixture: the modules of a controller that handle workers, without a network. */
-#ifndef FC_TESTS_WORKER_BENCH_H
-#define FC_TESTS_WORKER_BENCH_H
+#ifndef FC_TESTS_WORKER_FIXTURE_H
+#define FC_TESTS_WORKER_FIXTURE_H
 
 #include "check.h"
 
