--- a/tests/small.h
+++ b/tests/constrained_controllers.h
@@ -1,7 +1,7 @@
 /* Helpers for tests of controllers with a fortieth of a core: every wake-up, and each message and byte that a
  * controller reads or sends, costs it virtual time (sim_process_set_cpu_share). */
-#ifndef FC_TESTS_SMALL_H
-#define FC_TESTS_SMALL_H
+#ifndef FC_TESTS_CONSTRAINED_CONTROLLERS_H
+#define FC_TESTS_CONSTRAINED_CONTROLLERS_H
 
 #include "check.h"
 
--- a/tests/test_small.c
+++ b/tests/test_small.c
@@ -1,5 +1,5 @@
 /* Long runs of controllers with a fortieth of a core. */
-#include "small.h"
+#include "constrained_controllers.h"
 
 #define QUERY_ANSWERED_WITHIN_S 75.0 /* users get an answer about every unfinished job at least this often */
 #define ALL_NODES 7u                 /* one bit for each controller */
--- a/tests/test_small_costs.c
+++ b/tests/test_small_costs.c
@@ -1,7 +1,7 @@
 /* Cost of a controller in messages, bytes, wake-ups and allocations, for a fleet and one twice as large. All
  * costs are counted, so they don't depend on the speed of the test machine. */
+#include "constrained_controllers.h"
 #include "heap.h"
-#include "small.h"
 
 #define FLEET 120u /* machines; on three controllers */
 #define MEASURED_S 60.0
--- a/tests/test_small_requests.c
+++ b/tests/test_small_requests.c
@@ -1,6 +1,6 @@
 /* Floods of requests that must be refused, sent to a controller with a fortieth of a core that serves the whole
  * fleet. */
-#include "small.h"
+#include "constrained_controllers.h"
 
 #define LOADED_MACHINES 224u /* their heartbeats take two thirds of one controller's share */
 #define FLOOD_S 20.0
