--- a/src/controller/metrics_page.h
+++ b/src/controller/metrics_page.h
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-#include "controller/report_sources.h"
+#include "controller/metrics_sources.h"
 
 /* Appends all metrics, one per line: "name value". */
 void fc_metrics_page_append(const fc_metrics_sources *sources, GString *out);
--- a/src/controller/report_sources.h
+++ b/src/controller/metrics_sources.h
@@ -1,6 +1,6 @@
 /* The modules that the metrics page and the status lines of the log read. */
-#ifndef FC_CONTROLLER_REPORT_SOURCES_H
-#define FC_CONTROLLER_REPORT_SOURCES_H
+#ifndef FC_CONTROLLER_METRICS_SOURCES_H
+#define FC_CONTROLLER_METRICS_SOURCES_H
 
 #include "bookkeeping/group_commit.h"
 #include "controller/leadership.h"
