--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -5,7 +5,7 @@
 #include "scheduler/free_capacity.h"
 #include "scheduler/gang_precedence.h"
 #include "scheduler/job_order.h"
-#include "scheduler/least_resources.h"
+#include "scheduler/minimum_request.h"
 #include "scheduler/pending_tasks.h"
 #include "scheduler/zone_spread.h"
 
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -5,7 +5,7 @@
 #include "bookkeeping/cluster_machines.h"
 #include "scheduler/free_capacity.h"
 #include "scheduler/job_order.h"
-#include "scheduler/least_resources.h"
+#include "scheduler/minimum_request.h"
 #include "scheduler/pending_tasks.h"
 #include "scheduler/shard_room.h"
 #include "scheduler/team_quota.h"
--- a/src/scheduler/least_resources.c
+++ b/src/scheduler/minimum_request.c
@@ -1,4 +1,4 @@
-#include "scheduler/least_resources.h"
+#include "scheduler/minimum_request.h"
 
 #include <math.h>
 
--- a/src/scheduler/least_resources.h
+++ b/src/scheduler/minimum_request.h
@@ -1,7 +1,7 @@
 /* The minimum of each resource that any of several jobs requests: a machine without room for that minimum can be
  * skipped for all of them. Only cpus, gpus and memory_gb of the spec are set. Pure functions. */
-#ifndef FC_SCHEDULER_LEAST_RESOURCES_H
-#define FC_SCHEDULER_LEAST_RESOURCES_H
+#ifndef FC_SCHEDULER_MINIMUM_REQUEST_H
+#define FC_SCHEDULER_MINIMUM_REQUEST_H
 
 #include <glib.h>
 
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -4,7 +4,7 @@
 
 #include "scheduler/gang_precedence.h"
 #include "scheduler/job_order.h"
-#include "scheduler/least_resources.h"
+#include "scheduler/minimum_request.h"
 #include "scheduler/pending_tasks.h"
 #include "scheduler/rental_choice.h"
 #include "scheduler/zone_spread.h"
