--- a/src/controller/quota_room.c
+++ b/src/controller/quota_room.c
@@ -61,12 +61,12 @@
 /* Drops machines that can't hold even the smallest request of the jobs after preempting everything that the first job,
  * which has the highest priority, may preempt. */
 static void drop_machines_without_room(const fc_shard_room *room, const GPtrArray *jobs) {
-  const fc_job_spec least = fc_minimum_request_of(jobs);
+  const fc_job_spec minimum = fc_minimum_request_of(jobs);
   guint retained = 0;
   for (guint i = 0; i < room->capacity->len; i++) {
     const fc_free_capacity entry = g_array_index(room->capacity, fc_free_capacity, i);
     fc_resources most = fc_victims_room(room->cluster, room->usage, &entry, jobs->pdata[0]);
-    if (fc_resources_fit(&most, &least)) g_array_index(room->capacity, fc_free_capacity, retained++) = entry;
+    if (fc_resources_fit(&most, &minimum)) g_array_index(room->capacity, fc_free_capacity, retained++) = entry;
   }
   g_array_set_size(room->capacity, retained);
 }
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -254,9 +254,9 @@
 
 /* Collects the jobs with pending tasks that this shard may place, and the minimum of each resource that any of
  * them requests. */
-static void gather_candidates(placing_round *round, fc_job_spec *least) {
+static void gather_candidates(placing_round *round, fc_job_spec *minimum) {
   const fc_cluster *cluster = round->cluster;
-  *least = fc_minimum_request_none();
+  *minimum = fc_minimum_request_none();
   fc_job_iter job_iter = fc_cluster_jobs(cluster);
   for (fc_job *job; (job = fc_job_iter_next(&job_iter));) {
     if (!fc_job_placeable(cluster, job, round->now)) continue;
@@ -269,17 +269,17 @@
     added->pending = fc_job_pending_tasks_in(job, slices, FC_PENDING_TASKS_MAX);
     added->spread = fc_job_zone_spread(job);
     g_ptr_array_add(round->candidates, added);
-    fc_minimum_request_add(least, job->spec.cpus, job->spec.gpus, job->spec.memory_gb);
+    fc_minimum_request_add(minimum, job->spec.cpus, job->spec.gpus, job->spec.memory_gb);
   }
   g_ptr_array_sort(round->candidates, compare_candidates);
 }
 
 /* Collects the machines with room for some candidate: in a full fleet these are few. Sorted by id, so that ties
  * are broken the same way on every run. */
-static void gather_targets(placing_round *round, const fc_job_spec *least) {
+static void gather_targets(placing_round *round, const fc_job_spec *minimum) {
   const fc_cluster *cluster = round->cluster;
   GArray *capacity = fc_free_capacity_gather(cluster, fc_machine_usable, round->now);
-  fc_free_capacity_keep_fitting(capacity, least);
+  fc_free_capacity_keep_fitting(capacity, minimum);
   fc_free_capacity_sort(capacity);
   for (guint i = 0; i < capacity->len; i++) {
     const fc_free_capacity *entry = &g_array_index(capacity, fc_free_capacity, i);
@@ -305,9 +305,9 @@
   g_array_set_clear_func(round.targets, target_clear);
   round.candidates = g_ptr_array_new_with_free_func(candidate_free);
   round.decisions = g_array_new(FALSE, TRUE, sizeof(fc_placement_decision));
-  fc_job_spec least;
-  gather_candidates(&round, &least);
-  if (round.candidates->len > 0) gather_targets(&round, &least);
+  fc_job_spec minimum;
+  gather_candidates(&round, &minimum);
+  if (round.candidates->len > 0) gather_targets(&round, &minimum);
   if (round.targets->len > 0) place_candidates(&round);
   g_array_free(round.targets, TRUE);
   g_ptr_array_free(round.candidates, TRUE);
--- a/src/scheduler/free_capacity.c
+++ b/src/scheduler/free_capacity.c
@@ -50,11 +50,11 @@
   g_array_sort(capacity, compare_machine_id);
 }
 
-void fc_free_capacity_keep_fitting(GArray *capacity, const fc_job_spec *least) {
+void fc_free_capacity_keep_fitting(GArray *capacity, const fc_job_spec *minimum) {
   guint retained = 0;
   for (guint i = 0; i < capacity->len; i++) {
     const fc_free_capacity entry = g_array_index(capacity, fc_free_capacity, i);
-    if (fc_resources_fit(&entry.room, least)) g_array_index(capacity, fc_free_capacity, retained++) = entry;
+    if (fc_resources_fit(&entry.room, minimum)) g_array_index(capacity, fc_free_capacity, retained++) = entry;
   }
   g_array_set_size(capacity, retained);
 }
--- a/src/scheduler/free_capacity.h
+++ b/src/scheduler/free_capacity.h
@@ -29,7 +29,7 @@
 GArray *fc_free_capacity_gather(const fc_cluster *cluster, fc_machine_filter_fn filter, double now);
 /* Sorts by machine id, so that all members consider the machines in the same order. */
 void fc_free_capacity_sort(GArray *capacity);
-/* Removes the machines without room for `least`; the others keep their order. */
-void fc_free_capacity_keep_fitting(GArray *capacity, const fc_job_spec *least);
+/* Removes the machines without room for `minimum`; the others keep their order. */
+void fc_free_capacity_keep_fitting(GArray *capacity, const fc_job_spec *minimum);
 
 #endif
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -13,10 +13,10 @@
 /* The pause between handovers of a job grows by one round with each handover, up to this many additional rounds. */
 #define HANDOVER_BACKOFF_MAX_ROUNDS 7u
 
-/* Removes machines without room for `least`: with a long queue nearly all are full, and need not be examined
+/* Removes machines without room for `minimum`: with a long queue nearly all are full, and need not be examined
  * again. Returns whether other members own any of the remaining ones. */
-static bool keep_fitting(const fc_cluster *cluster, GArray *capacity, const fc_job_spec *least) {
-  fc_free_capacity_keep_fitting(capacity, least);
+static bool keep_fitting(const fc_cluster *cluster, GArray *capacity, const fc_job_spec *minimum) {
+  fc_free_capacity_keep_fitting(capacity, minimum);
   for (guint i = 0; i < capacity->len; i++)
     if (g_array_index(capacity, fc_free_capacity, i).machine->owner != cluster->membership.self) return true;
   return false;
@@ -197,9 +197,9 @@
   fc_free_capacity_sort(capacity);
   const fc_shard_room room = {.cluster = cluster, .capacity = capacity};
   GPtrArray *jobs = pending_jobs(cluster);
-  const fc_job_spec least = fc_minimum_request_of(jobs);
-  GArray *queue = keep_fitting(cluster, capacity, &least) ? pack_own_queues(&room, jobs) : NULL;
-  for (guint i = 0; queue && i < queue->len && keep_fitting(cluster, capacity, &least); i++) {
+  const fc_job_spec minimum = fc_minimum_request_of(jobs);
+  GArray *queue = keep_fitting(cluster, capacity, &minimum) ? pack_own_queues(&room, jobs) : NULL;
+  for (guint i = 0; queue && i < queue->len && keep_fitting(cluster, capacity, &minimum); i++) {
     const queued_job *queued = &g_array_index(queue, queued_job, i);
     if (handover_allowed(cluster, queued->job, now)) hand_over_slices(&room, peers, queued, handovers);
   }
--- a/src/scheduler/minimum_request.h
+++ b/src/scheduler/minimum_request.h
@@ -9,8 +9,8 @@
 
 /* The minimum over no jobs: every resource is INFINITY. */
 fc_job_spec fc_minimum_request_none(void);
-/* Lowers *least to the request where that is smaller. */
-void fc_minimum_request_add(fc_job_spec *least, double cpus, double gpus, double memory_gb);
+/* Lowers *minimum to the request where that is smaller. */
+void fc_minimum_request_add(fc_job_spec *minimum, double cpus, double gpus, double memory_gb);
 /* The minimum over the jobs (fc_job pointers). */
 fc_job_spec fc_minimum_request_of(const GPtrArray *jobs);
 
--- a/src/scheduler/queue_packing.c
+++ b/src/scheduler/queue_packing.c
@@ -23,15 +23,15 @@
 
 /* The minimum of each resource that any job, or any class of expected arrivals, requests. */
 static fc_job_spec minimum_request(const fc_cluster *cluster, const GPtrArray *jobs) {
-  fc_job_spec least = fc_minimum_request_of(jobs);
+  fc_job_spec minimum = fc_minimum_request_of(jobs);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init(&iter, cluster->arrivals.classes);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const fc_arrival_class *job_class = value;
-    fc_minimum_request_add(&least, job_class->cpus, job_class->gpus, job_class->memory_gb);
+    fc_minimum_request_add(&minimum, job_class->cpus, job_class->gpus, job_class->memory_gb);
   }
-  return least;
+  return minimum;
 }
 
 static void pack_task(fc_model_machine *machine, job_packing *packing) {
@@ -216,9 +216,9 @@
 GArray *fc_queue_packing_plan(const fc_cluster *cluster, fc_capacity_refused_fn refused, void *refused_arg,
                               double now) {
   GPtrArray *jobs = fc_cluster_open_jobs(cluster);
-  const fc_job_spec least = minimum_request(cluster, jobs);
+  const fc_job_spec minimum = minimum_request(cluster, jobs);
   fc_capacity_model model;
-  fc_capacity_model_init(&model, cluster, &least, now);
+  fc_capacity_model_init(&model, cluster, &minimum, now);
   model.refused = refused;
   model.refused_arg = refused_arg;
   pack_queue(&model, jobs, now);
