--- a/src/bookkeeping/cluster.h
+++ b/src/bookkeeping/cluster.h
@@ -35,7 +35,7 @@
 typedef struct fc_incomplete_job {
   json_t *value;
   uint64_t version;
-  bool read_as_change; /* read as a change, not in a full read */
+  bool read_as_change; /* from the change feed, in the order of revisions; false: from a snapshot */
 } fc_incomplete_job;
 
 /* How far the cluster state has followed the key-value store. Written only by the watch. */
@@ -56,7 +56,7 @@
 /* Progress of machine reconciliation. */
 typedef struct fc_reconciliation {
   uint64_t complete_in_term; /* the term in which all machines were reconciled */
-  uint64_t members_term;     /* the term that `members` refers to */
+  uint64_t members_term;     /* `members` is valid in this term only */
   unsigned members;          /* one bit for each member: all its machines are reconciled in that term */
 } fc_reconciliation;
 
--- a/src/bookkeeping/group_commit.h
+++ b/src/bookkeeping/group_commit.h
@@ -25,7 +25,7 @@
 /* The limits of the key-value store; the rates are this member's even share of them. */
 typedef struct fc_group_commit_limits {
   unsigned txn_ops;          /* changes in one transaction */
-  size_t value_bytes;        /* size of one encoded value */
+  size_t value_bytes;        /* of one encoded value; a write with a larger one is refused */
   double writes_per_s;       /* current rate, changes per second */
   double min_writes_per_s;   /* the store may lower the rate to this without notice */
   double requests_per_s;     /* transactions per second */
--- a/src/bookkeeping/machine_state.h
+++ b/src/bookkeeping/machine_state.h
@@ -90,9 +90,9 @@
   char id[64];
   fc_machine_record record;    /* endpoint, type, zone and recorded owner */
   uint64_t record_version;     /* 0: no record; the machine must not be used */
-  bool record_write_pending;   /* a write of the record is in flight */
+  bool record_write_pending;   /* another member may already own it: no task is placed on it meanwhile */
   bool endpoint_recorded;      /* the record has the machine's endpoint; no task is started before */
-  bool endpoint_write_pending; /* a write of the endpoint is in flight */
+  bool endpoint_write_pending; /* the write that sets endpoint_recorded is in flight: no second one is started */
   int type;                    /* index into the machine types; -1: unknown */
   unsigned zone;               /* index into the zones of the settings; FC_ZONES_MAX: not among them */
   int owner;                   /* index into the members of the current term; -1: none */
@@ -100,7 +100,7 @@
   double owned_since;          /* when this controller became its owner, as far as known */
   double idle_since;           /* 0: in use */
   uint64_t reconciled_term;    /* the term in which its task list was last fenced, or the machine was proved gone */
-  bool command_in_flight;      /* a direct command is in flight */
+  bool command_in_flight;      /* a direct call to its worker is in flight: no second one sends commands meanwhile */
   fc_machine_worker worker;
   fc_machine_lease lease;
   fc_machine_reachability reachability;
--- a/src/controller/admission.c
+++ b/src/controller/admission.c
@@ -28,7 +28,7 @@
   fc_job_phase phase;       /* initial phase of the job */
   json_t *record;           /* encoded job record */
   fc_description_ref parts; /* of its description, if that is stored separately from the record */
-  uint64_t first_part;      /* version of the first part */
+  uint64_t first_part;      /* version of part 0, on which the write of the record is conditional */
 } submission;
 
 fc_admission *fc_admission_new(fc_cluster *cluster, fc_group_commit *commit, fc_peers *peers, fc_job_lookup *lookup,
--- a/src/controller/archive_lookup.c
+++ b/src/controller/archive_lookup.c
@@ -37,7 +37,7 @@
 
 fc_archive_result fc_archive_lookup_find(fc_archive_lookup *lookup, const char *id, double deadline,
                                          fc_archived_job *out) {
-  /* The mark is written before the first job is archived. */
+  /* The marker is written before the first job is archived. */
   if (!lookup->cluster->archive_in_use) return FC_ARCHIVE_MISSING;
   if (!take_request(lookup)) return FC_ARCHIVE_UNAVAILABLE;
   char *key = g_strconcat(FC_PREFIX_ARCHIVED, id, NULL);
--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -22,7 +22,7 @@
   return archiver;
 }
 
-/* Writes the mark that there may be archived jobs. Returns whether the mark is known to exist. */
+/* Writes the marker that there may be archived jobs. Returns whether the marker is known to exist. */
 static bool write_mark(fc_archiver *archiver) {
   const fc_settings *settings = archiver->cluster->settings;
   fc_write *write = fc_write_new();
--- a/src/controller/machine_returns.c
+++ b/src/controller/machine_returns.c
@@ -50,7 +50,7 @@
  * the index of the first machine left. */
 static guint add_removals(const fc_machine_returns *returns, fc_write *write, const GPtrArray *ids, guint first) {
   guint next = first;
-  /* The mark of returns counts as the first change. */
+  /* The marker of returns, FC_KEY_RETURNED, counts as the first change. */
   for (unsigned changes = 1; next < ids->len && (changes == 1 || changes < fc_group_commit_max_writes(returns->commit));
        next++) {
     const fc_machine *machine = fc_cluster_find_machine(returns->cluster, ids->pdata[next]);
@@ -70,8 +70,8 @@
   fc_kv_result result = FC_KV_OK;
   for (guint i = 0; i < ids->len && result == FC_KV_OK;) {
     fc_write *write = fc_write_new();
-    /* The record of a machine that has sent a heartbeat is written on condition that this mark has not changed, so that
-     * a delayed write fails. */
+    /* The record of a machine that has sent a heartbeat is written on condition that this marker has not changed, so
+     * that a delayed write fails. */
     fc_write_put(write, FC_KEY_RETURNED, fc_marker_encode());
     i = add_removals(returns, write, ids, i);
     result = fc_group_commit_write(returns->commit, write, FC_WRITE_PRIORITY_DECISION, fc_now() + WRITE_TIMEOUT_S,
--- a/src/controller/rental_execution.c
+++ b/src/controller/rental_execution.c
@@ -208,9 +208,9 @@
     batch.write = fc_write_new();
     batch.count = 0;
     fc_write_compare(batch.write, FC_KEY_TERM, term_version);
-    /* For a delayed copy of this write, the machine's record is also missing if the machine has been returned since. So
-     * the write is conditional on the intent, which has been removed for good by then (scene
-     * delayed_transactions_about_removed_records: a returned machine was recorded again). */
+    /* A delayed copy of this write can't tell a machine that was never recorded from one that was recorded and has been
+     * returned since: both have no record. So the write is conditional on the intent, which has been removed for good
+     * by then (scene delayed_transactions_about_removed_records: a returned machine was recorded again). */
     fc_write_compare(batch.write, key, rental->record.version);
     i = fill_batch(execution, &batch, i);
     ok = commit_write(execution, batch.write, WRITE_TIMEOUT_S, &revision) == FC_KV_OK;
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -49,7 +49,7 @@
 json_t *fc_json_parse(const char *text, size_t length);
 
 /* Reads the fields of one object. The first error is kept: later reads return the smallest valid
- * value, or NULL, and leave the error as it is. */
+ * value, NULL or their `fallback`, and leave the error as it is. */
 typedef struct fc_reader {
   const json_t *object;    /* borrowed */
   const char *array_field; /* the array whose element has the faulty field; NULL: not in an array */
@@ -60,6 +60,7 @@
 /* `object` has to outlive the reader and all strings read with it. Records an error when it is NULL
  * or not an object. */
 void fc_reader_init(fc_reader *reader, const json_t *object);
+/* Whether no error has been recorded. */
 bool fc_reader_ok(const fc_reader *reader);
 /* Records an error in a field, unless there is an earlier error. */
 void fc_reader_fail(fc_reader *reader, const char *field, fc_field_error error);
@@ -70,10 +71,10 @@
 /* Writes the error as "array_field.field: text". Call it only after an error. */
 void fc_reader_describe(const fc_reader *reader, char *out, size_t size);
 
-/* Each of these reads one field. If the field is absent or null, the functions named ..._or and
- * ..._or_null return `fallback` or NULL, and the others record an error. Bounds are inclusive.
- * Strings are borrowed from the object; they must not be empty, longer than `max` bytes, or contain
- * control characters. */
+/* Each fc_read_...() below reads one field. If the field is absent or null, the functions named
+ * ..._or and ..._or_null return `fallback` or NULL, and the others record an error. Bounds are
+ * inclusive. Strings are borrowed from the object; they must not be empty, longer than `max` bytes, or
+ * contain control characters. */
 const char *fc_read_string(fc_reader *reader, const char *field, size_t max);
 const char *fc_read_string_or_null(fc_reader *reader, const char *field, size_t max);
 /* Copies a string, which has to fit into `out` with its NUL. `out` is unchanged after an error. */
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -28,26 +28,30 @@
   json_t *value; /* NULL: the key was removed */
   uint64_t version;
 } fc_kv_change;
+/* Frees a change with its key and its reference to the value; NULL is allowed. */
 void fc_kv_change_free(gpointer change);
 
 /* A transaction: all of its writes are executed if every condition holds, else none. */
 typedef struct fc_txn fc_txn;
+/* Creates an empty transaction; the caller frees it with fc_txn_free(). */
 fc_txn *fc_txn_new(void);
 void fc_txn_free(fc_txn *txn);
 /* Adds a condition: the key has this version; 0: the key does not exist. */
 void fc_txn_compare(fc_txn *txn, const char *key, uint64_t version);
-/* Add a write; they take the reference to `value`. A leased key is removed when its lease expires. */
+/* fc_txn_put() and fc_txn_put_leased() add a write that sets a key, and take the reference to `value`; a
+ * leased key is removed when its lease expires. fc_txn_delete() adds a write that removes a key. */
 void fc_txn_put(fc_txn *txn, const char *key, json_t *value);
 void fc_txn_put_leased(fc_txn *txn, const char *key, json_t *value, uint64_t lease);
 void fc_txn_delete(fc_txn *txn, const char *key);
 /* The number of writes, conditions not counted. */
 size_t fc_txn_write_count(const fc_txn *txn);
 
+/* Creates a client of the store at the address `at`; the caller frees it with fc_kv_free(). */
 fc_kv *fc_kv_new(const fc_endpoint *at);
 void fc_kv_free(fc_kv *kv);
 
-/* Each of the calls below may suspend the calling routine. Results are valid only on FC_KV_OK; lists
- * may have received elements before an error. */
+/* Each of the calls below, from fc_kv_commit() on, may suspend the calling routine. Results are valid
+ * only on FC_KV_OK. The caller owns the elements added to lists; some may have been added before an error. */
 
 /* Commits a transaction, which stays the caller's; *revision is the one it created. On FC_KV_CONFLICT
  * `failed` (may be NULL) receives copies of the keys whose conditions failed. */
@@ -64,7 +68,7 @@
                            uint64_t *revision);
 /* Creates a lease that expires `ttl_s` after its last renewal. */
 fc_kv_result fc_kv_lease_open(fc_kv *kv, double ttl_s, double deadline, uint64_t *lease);
-/* FC_KV_GONE: the lease has expired. */
+/* Renews a lease, which then lasts for its `ttl_s` again. FC_KV_GONE: it has expired. */
 fc_kv_result fc_kv_lease_renew(fc_kv *kv, uint64_t lease, double deadline);
 
 #endif
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -1,6 +1,7 @@
 /* Keys of the key-value store, and the records other than those of jobs. Every stored value has a
- * format number. Each encode function returns a reference owned by the caller; each decode function
- * returns false for a malformed value. Nothing here suspends the calling routine. */
+ * format number. Each fc_..._encode() returns a reference owned by the caller. Each fc_..._decode()
+ * returns false for a malformed value; the contents of `out` are then undefined. Nothing here suspends
+ * the calling routine. */
 #ifndef FC_PROTOCOL_RECORDS_H
 #define FC_PROTOCOL_RECORDS_H
 
@@ -49,7 +50,7 @@
 /* Encodes the value of a member's own key, which exists as long as its lease. It has the newest format
  * of job records that the process reads; versions without support for dependencies give none. */
 json_t *fc_member_key_encode(void);
-/* The newest format that the member reads; FC_JOB_FORMAT_PLAIN when it gives none. */
+/* The newest format that the member reads; FC_JOB_FORMAT_PLAIN when it gives none or is malformed. */
 unsigned fc_member_key_format(const json_t *value);
 
 json_t *fc_term_encode(const fc_term *term);
@@ -98,7 +99,8 @@
 json_t *fc_archived_job_encode(const fc_archived_job *archived);
 bool fc_archived_job_decode(const json_t *value, fc_archived_job *out);
 
-/* Only the shares of teams that have a limit are stored. */
+/* Both take the teams from `settings`. Only the shares of teams that have a limit are stored; a share
+ * that is not stored is decoded as 0. */
 json_t *fc_quota_record_encode(const fc_quota_record *quota, const fc_settings *settings);
 bool fc_quota_record_decode(const json_t *value, const fc_settings *settings, fc_quota_record *out);
 
--- a/src/scheduler/handover_planning.c
+++ b/src/scheduler/handover_planning.c
@@ -91,7 +91,7 @@
 
 typedef struct queued_job {
   fc_job *job;
-  unsigned pending[FC_SLICES_MAX]; /* number of pending tasks, by slice */
+  unsigned pending[FC_SLICES_MAX]; /* tasks, by slice */
   unsigned staying;                /* this shard's slices (a bit each) that are not to be handed over */
 } queued_job;
 
