--- a/src/controller/archiver.c
+++ b/src/controller/archiver.c
@@ -23,7 +23,7 @@
 }
 
 /* Writes the marker that there may be archived jobs. Returns whether the marker is known to exist. */
-static bool write_mark(fc_archiver *archiver) {
+static bool write_marker(fc_archiver *archiver) {
   const fc_settings *settings = archiver->cluster->settings;
   fc_write *write = fc_write_new();
   fc_write_compare(write, FC_KEY_ARCHIVE, 0);
@@ -83,9 +83,9 @@
 
 static void run_pass(fc_archiver *archiver, double pause_s) {
   GPtrArray *ids = collect_jobs(archiver, jobs_per_pass(archiver, pause_s));
-  bool marked = ids->len > 0 && (archiver->cluster->archive_in_use || write_mark(archiver));
+  bool may_archive = ids->len > 0 && (archiver->cluster->archive_in_use || write_marker(archiver));
   /* Other writes take precedence. */
-  for (guint i = 0; marked && i < ids->len && fc_group_commit_backlog(archiver->commit) == 0; i++)
+  for (guint i = 0; may_archive && i < ids->len && fc_group_commit_backlog(archiver->commit) == 0; i++)
     archive_job(archiver, ids->pdata[i]);
   g_ptr_array_free(ids, TRUE);
 }
